--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -97,7 +97,7 @@
 		e := roles.Engine{
 			ID: id, Role: wire.Role(sv.told.GetRole()), Target: wire.Role(sv.told.GetRole()),
 			Age:  age,
-			Busy: float64(load.GetQueuedPrefillTokens()) + decision.OutputCost*float64(load.GetRunningDecodeTokens()),
+			Busy: float64(load.GetQueuedPrefillTokens()) + decision.OutputTokenCost*float64(load.GetRunningDecodeTokens()),
 		}
 		if o := r.state.unresolved(id); o != nil && sv.goneMS == 0 {
 			e.Changing = true
--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -76,7 +76,7 @@
 	firstSlack := w.FirstTokenBy - now - e.wait - e.prefill
 	finishSlack := w.FinishBy - now - e.wait - e.prefill - e.decode
 	slack := min(firstSlack, finishSlack)
-	if w.LateIsOfUse {
+	if w.SoftFirstTokenDeadline {
 		slack = finishSlack
 	}
 	if slack >= 0 {
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -138,9 +138,9 @@
 	c := New()
 	granted := 0
 	for range 1000 {
-		c.Served("counter", 0.2)
+		c.RecordServed("counter", 0.2)
 		for range 3 {
-			if c.Retry("counter") {
+			if c.AllowRetry("counter") {
 				granted++
 			}
 		}
--- a/internal/decision/admission/closed.go
+++ b/internal/decision/admission/closed.go
@@ -38,15 +38,15 @@
 	for i := range fleet.Servers {
 		s := &fleet.Servers[i]
 		switch {
-		case !s.ServesInTime(w), s.Role == engineapi.RolePrefill:
-		case s.Rate == 0 && s.Usable:
+		case !s.ServesNowOrLater(w), s.Role == engineapi.RolePrefill:
+		case s.RateLimit == 0 && s.Usable:
 			return bounded{}
 		default:
-			if b.servers == 0 || s.OpensIn < b.opensIn {
-				b.opensIn = s.OpensIn
+			if b.servers == 0 || s.AvailableIn < b.opensIn {
+				b.opensIn = s.AvailableIn
 			}
 			b.servers++
-			b.rate += s.Rate
+			b.rate += s.RateLimit
 		}
 	}
 	return b
@@ -60,15 +60,15 @@
 	if w.Class != declaration.ClassBulk {
 		by = min(by, w.FirstTokenBy)
 	}
-	if rate := w.Pace.PrefillRate; rate > 0 {
+	if rate := w.EngineSpeed.PrefillRate; rate > 0 {
 		by -= seconds(float64(w.PromptTokens) / rate)
 	}
 	return by
 }
 
-// ClosedTooLong tells whether all servers of work that waits are closed until it is too late,
+// ThrottledPastDeadline tells whether all servers of work that waits are closed until it is too late,
 // and when it may come back.
-func ClosedTooLong(now time.Duration, w *decision.Work, fleet *decision.Fleet) (retryAfter time.Duration, closed bool) {
+func ThrottledPastDeadline(now time.Duration, w *decision.Work, fleet *decision.Fleet) (retryAfter time.Duration, closed bool) {
 	b := boundedFor(w, fleet)
 	if b.servers == 0 || now+b.opensIn <= startBy(w) {
 		return 0, false
@@ -101,10 +101,10 @@
 	if ahead.Requests == 0 || b.rate == 0 {
 		return b.opensIn
 	}
-	cost, secs := queued.PoolDrained(now, w)
+	cost, secs := queued.PoolThroughput(now, w)
 	each := ahead.Cost() / float64(ahead.Requests)
 	if w.Kind == declaration.KindPlain {
-		each = decision.PlainCost
+		each = decision.PlainCallCost
 	}
 	return max(b.opensIn, waitBehind(float64(ahead.Requests), cost/max(1, each), secs, b.rate/entries, boundedPrior))
 }
--- a/internal/decision/admission/estimate.go
+++ b/internal/decision/admission/estimate.go
@@ -46,10 +46,10 @@
 	e.prefill = seconds(float64(w.PromptTokens) / max(1, s.bestPrefill))
 	e.decode = time.Duration(w.OutputTokens) * tokenTime
 	switch {
-	case w.OutputGuessed:
+	case w.OutputUncertain:
 		e.decode = 0
-	case w.Pace.TokenTime > 0:
-		e.decode = time.Duration(w.OutputTokens) * w.Pace.TokenTime
+	case w.EngineSpeed.TokenTime > 0:
+		e.decode = time.Duration(w.OutputTokens) * w.EngineSpeed.TokenTime
 	}
 	return e
 }
@@ -79,9 +79,9 @@
 	if ahead == 0 {
 		return 0
 	}
-	usual := float64(x.supply.slots) / decision.PlainCall.Seconds() / x.entries
-	cost, secs := x.queued.PoolDrained(x.now, x.work)
-	return waitBehind(ahead, cost/decision.PlainCost, secs, usual, plainPrior)
+	usual := float64(x.supply.slots) / decision.PlainCallTime.Seconds() / x.entries
+	cost, secs := x.queued.PoolThroughput(x.now, x.work)
+	return waitBehind(ahead, cost/decision.PlainCallCost, secs, usual, plainPrior)
 }
 
 // waitBehind is the wait behind so many requests where done of them have left the queue in secs
@@ -98,7 +98,7 @@
 // load is tokens that wait.
 type load struct{ prefill, decode float64 }
 
-func (l load) cost() float64 { return l.prefill + decision.OutputCost*l.decode }
+func (l load) cost() float64 { return l.prefill + decision.OutputTokenCost*l.decode }
 
 // ownAhead is what of its profile is served before the work: under fair
 // queueing the lesser of all that waits and of its member's own work over the
@@ -148,7 +148,7 @@
 	mine := x.queued.Get(key)
 	key.Member = ""
 	profile := x.queued.Get(key)
-	cost, secs := x.queued.Drained(x.now, key)
+	cost, secs := x.queued.Throughput(x.now, key)
 	key.Profile = ""
 	all := x.queued.Get(key)
 
--- a/internal/decision/admission/extra.go
+++ b/internal/decision/admission/extra.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ExtraLimit bounds what a deployment sends beyond the first send of each request.
-type ExtraLimit struct {
+// ResendLimit bounds what a deployment sends beyond the first send of each request.
+type ResendLimit struct {
 	// Ratio is how many such sends a service may get per request for it.
 	Ratio float64
 	// Constant is how many it may get besides in each window.
@@ -12,14 +12,14 @@
 	Window time.Duration
 }
 
-// Extra is one entry's part of the limit, per service.
+// ResendLimiter is one entry's part of the limit, per service.
 //
 // It answers the pattern of a fleet that fails or refuses much at once: every
 // request is sent again, the load doubles just when it can't be served, and the
 // fleet never recovers. Each entry takes the ratio of its own requests and an
 // equal part of the constant, so that no entry has to ask another before it sends.
-type Extra struct {
-	limit    ExtraLimit
+type ResendLimiter struct {
+	limit    ResendLimit
 	services map[string]*extraUse
 }
 
@@ -34,16 +34,16 @@
 // clocks, and a send counts where it arrives.
 const safeShare = 0.8
 
-// NewExtra gives an entry's part of the limit; nil for none.
-func NewExtra(limit *ExtraLimit) *Extra {
+// NewResendLimiter gives an entry's part of the limit; nil for none.
+func NewResendLimiter(limit *ResendLimit) *ResendLimiter {
 	if limit == nil || limit.Window <= 0 {
 		return nil
 	}
-	return &Extra{limit: *limit, services: make(map[string]*extraUse)}
+	return &ResendLimiter{limit: *limit, services: make(map[string]*extraUse)}
 }
 
-// Arrived counts a request for the service.
-func (x *Extra) Arrived(now time.Duration, service string) {
+// RecordArrival counts a request for the service.
+func (x *ResendLimiter) RecordArrival(now time.Duration, service string) {
 	if x == nil {
 		return
 	}
@@ -51,9 +51,9 @@
 	u.requests = append(u.requests, now)
 }
 
-// Take asks for one more send of a request to the service; entries is how many
+// AllowResend asks for one more send of a request to the service; entries is how many
 // entries share the limit.
-func (x *Extra) Take(now time.Duration, service string, entries int) bool {
+func (x *ResendLimiter) AllowResend(now time.Duration, service string, entries int) bool {
 	if x == nil {
 		return true
 	}
@@ -67,7 +67,7 @@
 	return true
 }
 
-func (x *Extra) use(now time.Duration, service string) *extraUse {
+func (x *ResendLimiter) use(now time.Duration, service string) *extraUse {
 	u := x.services[service]
 	if u == nil {
 		u = &extraUse{}
--- a/internal/decision/admission/extra_test.go
+++ b/internal/decision/admission/extra_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-var testLimit = &ExtraLimit{Ratio: 0.2, Constant: 90, Window: 10 * time.Second}
+var testLimit = &ResendLimit{Ratio: 0.2, Constant: 90, Window: 10 * time.Second}
 
 // A service fails everything for a while at the usual load of 20 requests/s. Without
 // a bound each request goes out again and again and the load doubles; with it the
 // sends beyond the first stay within the deployment's limit in every window.
 func TestFailingServiceGetsNoMoreThanTheLimit(t *testing.T) {
 	const entries, rate, seconds = 9, 20, 60
-	x := NewExtra(testLimit)
+	x := NewResendLimiter(testLimit)
 	var sends []time.Duration
 	for i := range rate * seconds {
 		now := time.Duration(i) * time.Second / rate
-		x.Arrived(now, "lm")
-		for x.Take(now, "lm", entries) {
+		x.RecordArrival(now, "lm")
+		for x.AllowResend(now, "lm", entries) {
 			sends = append(sends, now)
 		}
 	}
@@ -40,24 +40,24 @@
 
 // One service fails; another one's requests may still be sent again.
 func TestServicesHaveLimitsOfTheirOwn(t *testing.T) {
-	x := NewExtra(testLimit)
-	for x.Take(0, "lm", 1) {
+	x := NewResendLimiter(testLimit)
+	for x.AllowResend(0, "lm", 1) {
 	}
-	if !x.Take(0, "portal", 1) {
+	if !x.AllowResend(0, "portal", 1) {
 		t.Fatal("the other service has none left")
 	}
 }
 
 // Without a limit nothing is held back.
 func TestNoLimitHoldsNothingBack(t *testing.T) {
-	var x *Extra
-	x.Arrived(0, "lm")
+	var x *ResendLimiter
+	x.RecordArrival(0, "lm")
 	for range 1000 {
-		if !x.Take(0, "lm", 9) {
+		if !x.AllowResend(0, "lm", 9) {
 			t.Fatal("held back")
 		}
 	}
-	if NewExtra(&ExtraLimit{}) != nil {
+	if NewResendLimiter(&ResendLimit{}) != nil {
 		t.Fatal("a limit without a window counts")
 	}
 }
--- a/internal/decision/admission/guess_test.go
+++ b/internal/decision/admission/guess_test.go
@@ -13,16 +13,16 @@
 func idleCountingFleet() *decision.Fleet {
 	return &decision.Fleet{Entries: 9, Servers: []decision.Server{{
 		ID: "e", Kind: declaration.KindModel, Model: "m", Role: engineapi.RoleMixed, Usable: true, Slots: 64,
-		CountsOnly: true, Load: engineapi.Load{PrefillRate: 25000, DecodeRate: 7000},
+		ReportsCountsOnly: true, Load: engineapi.Load{PrefillRate: 25000, DecodeRate: 7000},
 	}}}
 }
 
 func relayedWork(output int, guessed bool) *decision.Work {
 	return &decision.Work{
-		RequestID: "r", Kind: declaration.KindModel, Model: "m", Class: declaration.ClassBulk, LateIsOfUse: true,
-		PromptTokens: 17000, OutputTokens: output, OutputGuessed: guessed,
-		Pace:    decision.Pace{PrefillRate: 25000, TokenTime: 9 * time.Millisecond},
-		Arrived: 0, FirstTokenBy: 800 * time.Millisecond, FinishBy: 6 * time.Second,
+		RequestID: "r", Kind: declaration.KindModel, Model: "m", Class: declaration.ClassBulk, SoftFirstTokenDeadline: true,
+		PromptTokens: 17000, OutputTokens: output, OutputUncertain: guessed,
+		EngineSpeed: decision.EngineSpeed{PrefillRate: 25000, TokenTime: 9 * time.Millisecond},
+		Arrived:     0, FirstTokenBy: 800 * time.Millisecond, FinishBy: 6 * time.Second,
 	}
 }
 
@@ -43,11 +43,11 @@
 // sends itself by their number refuses at a tenth of the load.
 func TestCountedBacklogIsNotMultiplied(t *testing.T) {
 	fleet := idleCountingFleet()
-	fleet.Servers[0].Sent = decision.Sent{Requests: 2, PrefillTokens: 20000, Unread: decision.Unread{20000}, SincePrefillTokens: 20000, SinceRequests: 2}
+	fleet.Servers[0].InFlight = decision.InFlight{Requests: 2, PrefillTokens: 20000, PrefillBacklog: decision.PrefillBacklog{20000}, PrefillTokensSinceReport: 20000, RequestsSinceReport: 2}
 	if v := New().Admit(0, relayedWork(80, true), fleet, queue.New().Summary()); !v.Admit {
 		t.Fatalf("refused behind 0.8 s of reading: %s, wait %v", v.Reason, v.Wait)
 	}
-	fleet.Servers[0].OthersWaiting, fleet.Servers[0].UsualUnread = 60, 4000
+	fleet.Servers[0].EstimatedPeerWaiting, fleet.Servers[0].MeanPrefillTokens = 60, 4000
 	if v := New().Admit(0, relayedWork(80, true), fleet, queue.New().Summary()); v.Admit {
 		t.Fatal("let in behind 10 s of reading")
 	}
--- a/internal/decision/admission/late.go
+++ b/internal/decision/admission/late.go
@@ -24,7 +24,7 @@
 	maxLateRetry = 2 * time.Second
 )
 
-// Late tells whether long work is turned away because others' prompts make it late, and
+// LateFromBacklog tells whether long work is turned away because others' prompts make it late, and
 // when it may come back. before is what it waits for at the best server, own what its own
 // prompt takes there.
 //
@@ -32,7 +32,7 @@
 // are late; a part turned away for a second or two leaves the others on time, and comes
 // back when the burst is over. What is late by its own length is served: it takes nothing
 // from others while little waits, and turned away it would be as late the next time.
-func Late(w *decision.Work, before, own time.Duration) (retryAfter time.Duration, late bool) {
+func LateFromBacklog(w *decision.Work, before, own time.Duration) (retryAfter time.Duration, late bool) {
 	allowed := w.FirstTokenBy - w.Arrived
 	most := max(part(allowed, lateAt)-own, part(allowed, mayWait))
 	if own > part(allowed, lateAt) {
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -57,7 +57,7 @@
 			count.asked++
 		}
 		wait := max(0, e.busy-c.at)
-		after, late := Late(w, wait, own)
+		after, late := LateFromBacklog(w, wait, own)
 		switch {
 		case late && !c.again:
 			c.at, c.again = c.at+after, true
@@ -101,13 +101,13 @@
 // An idle engine takes any prompt, and a queue turns away what it alone makes late.
 func TestLateCountsWhatOthersCause(t *testing.T) {
 	w := &decision.Work{FirstTokenBy: 500 * time.Millisecond}
-	if _, late := Late(w, 0, 2*time.Second); late {
+	if _, late := LateFromBacklog(w, 0, 2*time.Second); late {
 		t.Error("an idle engine turns a long prompt away")
 	}
-	if _, late := Late(w, 400*time.Millisecond, 50*time.Millisecond); !late {
+	if _, late := LateFromBacklog(w, 400*time.Millisecond, 50*time.Millisecond); !late {
 		t.Error("a queue of 0.4 s lets in what has 0.5 s")
 	}
-	after, late := Late(w, 5*time.Second, 50*time.Millisecond)
+	after, late := LateFromBacklog(w, 5*time.Second, 50*time.Millisecond)
 	if !late || after != maxLateRetry {
 		t.Errorf("behind 5 s of reading: late %v, come back after %v", late, after)
 	}
--- a/internal/decision/admission/retry.go
+++ b/internal/decision/admission/retry.go
@@ -11,15 +11,15 @@
 // budget is a token bucket filled by served requests.
 type budget struct{ left float64 }
 
-// Served notes that a request was answered whole: it earns part of a retry.
-func (c *Controller) Served(profile string, retryBudget float64) {
+// RecordServed notes that a request was answered whole: it earns part of a retry.
+func (c *Controller) RecordServed(profile string, retryBudget float64) {
 	b := c.budget(profile)
 	b.left = min(b.left+retryBudget, maxRetries)
 }
 
-// Retry asks for one retry within the profile's budget. Without the bound a
+// AllowRetry asks for one retry within the profile's budget. Without the bound a
 // slow fleet gets every request two or three times and never recovers.
-func (c *Controller) Retry(profile string) bool {
+func (c *Controller) AllowRetry(profile string) bool {
 	b := c.budget(profile)
 	if b.left < 1 {
 		return false
--- a/internal/decision/admission/supply.go
+++ b/internal/decision/admission/supply.go
@@ -30,7 +30,7 @@
 	for i := range fleet.Servers {
 		server := &fleet.Servers[i]
 		// What a server that names a limit takes has nothing to do with its places.
-		if server.Serves(w) && server.Rate == 0 {
+		if server.Serves(w) && server.RateLimit == 0 {
 			s.add(now, w, server, float64(max(1, fleet.Entries)))
 		}
 	}
@@ -41,11 +41,11 @@
 	load := &server.Load
 	s.servers++
 	s.slots += max(1, server.Slots)
-	s.running += float64(load.Running+load.Queued) + float64(server.Sent.SinceRequests)*entries
+	s.running += float64(load.Running+load.Queued) + float64(server.InFlight.RequestsSinceReport)*entries
 	if server.Kind == declaration.KindPlain {
 		return
 	}
-	if server.CountsOnly {
+	if server.ReportsCountsOnly {
 		s.addCounted(w, server)
 		return
 	}
@@ -55,13 +55,13 @@
 		s.prefillRate += prefillRate
 		s.bestPrefill = max(s.bestPrefill, prefillRate)
 		s.prefillTokens += left(float64(load.QueuedPrefillTokens), prefillRate, age) +
-			float64(server.Sent.SincePrefillTokens)*entries
+			float64(server.InFlight.PrefillTokensSinceReport)*entries
 	}
-	s.urgentTokens += float64(server.Sent.UrgentPrefillTokens) * entries
+	s.urgentTokens += float64(server.InFlight.UrgentPrefillTokens) * entries
 	if server.Role != engineapi.RolePrefill {
 		s.decodeRate += decodeRate
 		s.decodeTokens += left(float64(load.RunningDecodeTokens), decodeRate, age) +
-			float64(server.Sent.SinceDecodeTokens)*entries
+			float64(server.InFlight.DecodeTokensSinceReport)*entries
 	}
 }
 
@@ -71,13 +71,13 @@
 	if server.Role != engineapi.RoleDecode {
 		s.prefillRate += server.PrefillRate()
 		s.bestPrefill = max(s.bestPrefill, server.PrefillRate())
-		backlog := server.Backlog(w)
+		backlog := server.PrefillTokensAhead(w)
 		s.prefillTokens += backlog
 		s.urgentTokens += backlog
 	}
 	if server.Role != engineapi.RolePrefill {
 		s.decodeRate += server.DecodeRate()
-		s.decodeTokens += float64(server.Sent.DecodeTokens)
+		s.decodeTokens += float64(server.InFlight.DecodeTokens)
 	}
 }
 
--- a/internal/decision/backpressure/limit.go
+++ b/internal/decision/backpressure/limit.go
@@ -14,14 +14,14 @@
 	maxDoubled  = 4
 )
 
-// Limit is what one entry knows of the limit of one life of a server, and its permits.
+// RateLimit is what one entry knows of the limit of one life of a server, and its permits.
 //
 // Invariant: while a limit is known, nothing is sent without a permit, and each permit counts
 // once. A limit ends by an answer to a request that was sent after the limit was heard:
 // an answer that was on its way longer says nothing newer, and silence says nothing at all.
-type Limit struct {
-	rate    float64
-	heardAt time.Duration
+type RateLimit struct {
+	rate       float64
+	receivedAt time.Duration
 	// permits are from when each may be used, the earliest first.
 	permits []time.Duration
 	asking  bool
@@ -31,31 +31,31 @@
 }
 
 // Rate is the limit in requests a second; 0 for none.
-func (l *Limit) Rate() float64 { return l.rate }
+func (l *RateLimit) Rate() float64 { return l.rate }
 
-// HeardAt is when the word came that the limit is by.
-func (l *Limit) HeardAt() time.Duration { return l.heardAt }
+// ReceivedAt is when the word came that the limit is by.
+func (l *RateLimit) ReceivedAt() time.Duration { return l.receivedAt }
 
-// Hear takes the rate of an answer that came at that time to a request sent at sent, 0 where
+// Update takes the rate of an answer that came at that time to a request sent at sent, 0 where
 // it names none. It tells whether the limit is another one now.
-func (l *Limit) Hear(at, sent time.Duration, rate float64) bool {
-	later := sent >= l.heardAt
+func (l *RateLimit) Update(at, sent time.Duration, rate float64) bool {
+	later := sent >= l.receivedAt
 	switch {
 	case rate == 0 && (l.rate == 0 || !later):
 		return false
 	case rate == 0:
-		*l = Limit{heardAt: at}
+		*l = RateLimit{receivedAt: at}
 		return true
 	case l.rate > 0 && rate > l.rate && !later:
 		return false
 	}
 	changed := rate != l.rate
-	l.rate, l.heardAt = rate, max(l.heardAt, at)
+	l.rate, l.receivedAt = rate, max(l.receivedAt, at)
 	return changed
 }
 
-// Open tells whether a request may be sent now.
-func (l *Limit) Open(now time.Duration) bool {
+// CanSend tells whether a request may be sent now.
+func (l *RateLimit) CanSend(now time.Duration) bool {
 	if l.rate == 0 {
 		return true
 	}
@@ -63,9 +63,9 @@
 	return len(l.permits) > 0 && l.permits[0] <= now
 }
 
-// Take uses a permit up; false if there is none.
-func (l *Limit) Take(now time.Duration) bool {
-	if !l.Open(now) {
+// TrySend uses a permit up; false if there is none.
+func (l *RateLimit) TrySend(now time.Duration) bool {
+	if !l.CanSend(now) {
 		return false
 	}
 	if l.rate > 0 {
@@ -75,7 +75,7 @@
 }
 
 // expire drops permits that were not used in time.
-func (l *Limit) expire(now time.Duration) {
+func (l *RateLimit) expire(now time.Duration) {
 	for len(l.permits) > 0 && now-l.permits[0] >= permitFor {
 		l.permits = l.permits[1:]
 		l.askFrom = max(l.askFrom, now+min(firstUnused<<min(l.unused, maxDoubled), maxUnused))
@@ -83,8 +83,8 @@
 	}
 }
 
-// Wants tells whether a permit is to be asked for, if there is work for the server.
-func (l *Limit) Wants(now time.Duration) bool {
+// ShouldRequest tells whether a permit is to be asked for, if there is work for the server.
+func (l *RateLimit) ShouldRequest(now time.Duration) bool {
 	if l.rate == 0 || l.asking || now < l.askFrom {
 		return false
 	}
@@ -92,12 +92,12 @@
 	return len(l.permits) == 0 && now >= l.askFrom
 }
 
-// Asked notes that a question for permits is under way.
-func (l *Limit) Asked() { l.asking = true }
+// MarkRequested notes that a question for permits is under way.
+func (l *RateLimit) MarkRequested() { l.asking = true }
 
-// Granted takes the answer to it: from when the permits may be used, each so long from now,
+// ApplyGrant takes the answer to it: from when the permits may be used, each so long from now,
 // and how long to wait before the next question.
-func (l *Limit) Granted(now time.Duration, in []time.Duration, again time.Duration) {
+func (l *RateLimit) ApplyGrant(now time.Duration, in []time.Duration, again time.Duration) {
 	l.asking = false
 	l.askFrom = max(l.askFrom, now+again)
 	if l.rate == 0 {
@@ -108,13 +108,13 @@
 	}
 }
 
-// Unanswered notes that the question got no answer.
-func (l *Limit) Unanswered() { l.asking = false }
+// RequestFailed notes that the question got no answer.
+func (l *RateLimit) RequestFailed() { l.asking = false }
 
-// OpensIn is how long it takes until a request may be sent, as far as is known.
-func (l *Limit) OpensIn(now time.Duration) time.Duration {
+// AvailableIn is how long it takes until a request may be sent, as far as is known.
+func (l *RateLimit) AvailableIn(now time.Duration) time.Duration {
 	switch {
-	case l.Open(now):
+	case l.CanSend(now):
 		return 0
 	case len(l.permits) > 0:
 		return l.permits[0] - now
--- a/internal/decision/backpressure/schedule.go
+++ b/internal/decision/backpressure/schedule.go
@@ -21,7 +21,7 @@
 	askersPerPermit = 2.0
 )
 
-// Schedule gives out the permits for one life of a server; one entry keeps it for all.
+// PermitSchedule gives out the permits for one life of a server; one entry keeps it for all.
 //
 // It answers a server in need before many entries with uneven demand: shares of the limit
 // would leave it idle for those that have little and keep it from those that have much, and
@@ -29,7 +29,7 @@
 // other at the pace of the limit, whoever asks; those that get none come back spread over
 // the time in which all that have asked lately can get one, so that questions grow with the
 // limit and not with the number of entries.
-type Schedule struct {
+type PermitSchedule struct {
 	rate   float64
 	wordAt time.Duration
 	// next is when the next permit may be used, began when the schedule did, used when it was
@@ -40,51 +40,51 @@
 	turn   int
 }
 
-// Ask is a question for permits.
-type Ask struct {
+// GrantRequest is a question for permits.
+type GrantRequest struct {
 	Entry string
-	// Rate is the limit as the entry knows it, from a word that came at WordAt.
-	Rate   float64
-	WordAt time.Duration
-	Wanted int
+	// Rate is the limit as the entry knows it, from a word that came at SignalAt.
+	Rate     float64
+	SignalAt time.Duration
+	Wanted   int
 }
 
-// Answer gives permits: how long from now each may be used, and when to ask again.
-type Answer struct {
-	In    []time.Duration
-	Again time.Duration
+// GrantResponse gives permits: how long from now each may be used, and when to ask again.
+type GrantResponse struct {
+	Delays        []time.Duration
+	NextRequestIn time.Duration
 }
 
 // Grant answers a question.
-func (s *Schedule) Grant(now time.Duration, ask Ask) Answer {
+func (s *PermitSchedule) Grant(now time.Duration, ask GrantRequest) GrantResponse {
 	if s.askers == nil || s.Idle(now) {
-		*s = Schedule{next: now, began: now, askers: make(map[string]time.Duration)}
+		*s = PermitSchedule{next: now, began: now, askers: make(map[string]time.Duration)}
 	}
 	s.used = now
-	if s.rate == 0 || ask.WordAt >= s.wordAt {
-		s.rate, s.wordAt = ask.Rate, ask.WordAt
+	if s.rate == 0 || ask.SignalAt >= s.wordAt {
+		s.rate, s.wordAt = ask.Rate, ask.SignalAt
 	}
 	pace := s.rate
 	if now-s.began < beginFor {
 		pace /= 2
 	}
 	s.count(now)
-	var a Answer
+	var a GrantResponse
 	for range ask.Wanted {
 		slot := max(s.next, now)
 		if slot-now > ahead {
 			break
 		}
-		a.In = append(a.In, slot-now)
+		a.Delays = append(a.Delays, slot-now)
 		s.next = slot + time.Duration(float64(time.Second)/pace)
 	}
-	a.Again = s.again(now, pace, ask.Entry)
-	s.askers[ask.Entry] = now + a.Again + time.Second
+	a.NextRequestIn = s.again(now, pace, ask.Entry)
+	s.askers[ask.Entry] = now + a.NextRequestIn + time.Second
 	return a
 }
 
 // count forgets the entries that have not asked again when they could.
-func (s *Schedule) count(now time.Duration) {
+func (s *PermitSchedule) count(now time.Duration) {
 	for entry, until := range s.askers {
 		if now >= until {
 			delete(s.askers, entry)
@@ -93,7 +93,7 @@
 }
 
 // again is when an entry is to ask next.
-func (s *Schedule) again(now time.Duration, pace float64, entry string) time.Duration {
+func (s *PermitSchedule) again(now time.Duration, pace float64, entry string) time.Duration {
 	others := float64(len(s.askers))
 	if _, counted := s.askers[entry]; counted {
 		others--
@@ -105,4 +105,4 @@
 }
 
 // Idle tells whether nobody has asked for a while.
-func (s *Schedule) Idle(now time.Duration) bool { return now-s.used >= forgetAfter }
+func (s *PermitSchedule) Idle(now time.Duration) bool { return now-s.used >= forgetAfter }
--- a/internal/decision/backpressure/ways_test.go
+++ b/internal/decision/backpressure/ways_test.go
@@ -53,8 +53,8 @@
 // learn late.
 type asked struct {
 	rate      float64
-	schedules [2]Schedule
-	limits    []Limit
+	schedules [2]PermitSchedule
+	limits    []RateLimit
 	answers   []answerUnderWay
 	// changeAt is when the second schedule takes over, changeOver until when all know.
 	changeAt, changeOver time.Duration
@@ -64,21 +64,21 @@
 type answerUnderWay struct {
 	at    time.Duration
 	entry int
-	Answer
+	GrantResponse
 }
 
 // oneWay is how long a question or an answer takes.
 const oneWay = 2 * time.Millisecond
 
 func newAsked(entries int, rate float64) *asked {
-	a := &asked{rate: rate, limits: make([]Limit, entries), changeAt: 10 * time.Second, changeOver: 11 * time.Second}
+	a := &asked{rate: rate, limits: make([]RateLimit, entries), changeAt: 10 * time.Second, changeOver: 11 * time.Second}
 	for i := range a.limits {
-		a.limits[i].Hear(0, 0, rate)
+		a.limits[i].Update(0, 0, rate)
 	}
 	return a
 }
 
-func (a *asked) keeper(now time.Duration, entry int) *Schedule {
+func (a *asked) keeper(now time.Duration, entry int) *PermitSchedule {
 	late := now < a.changeOver && entry%3 == 0
 	if now < a.changeAt || late {
 		return &a.schedules[0]
@@ -90,21 +90,21 @@
 	for len(a.answers) > 0 && a.answers[0].at <= now {
 		under := a.answers[0]
 		a.answers = a.answers[1:]
-		a.limits[under.entry].Granted(now, under.In, under.Again)
+		a.limits[under.entry].ApplyGrant(now, under.Delays, under.NextRequestIn)
 	}
 	for i := range a.limits {
 		n := waiting(i)
-		if n == 0 || !a.limits[i].Wants(now) {
+		if n == 0 || !a.limits[i].ShouldRequest(now) {
 			continue
 		}
 		a.questions++
-		a.limits[i].Asked()
-		answer := a.keeper(now, i).Grant(now, Ask{Entry: fmt.Sprint("entry-", i), Rate: a.rate, Wanted: min(n, 4)})
+		a.limits[i].MarkRequested()
+		answer := a.keeper(now, i).Grant(now, GrantRequest{Entry: fmt.Sprint("entry-", i), Rate: a.rate, Wanted: min(n, 4)})
 		a.answers = append(a.answers, answerUnderWay{now + 2*oneWay, i, answer})
 	}
 }
 
-func (a *asked) take(now time.Duration, entry int) bool { return a.limits[entry].Take(now) }
+func (a *asked) take(now time.Duration, entry int) bool { return a.limits[entry].TrySend(now) }
 
 // played is what came of a way.
 type played struct {
--- a/internal/decision/backpressure/word_test.go
+++ b/internal/decision/backpressure/word_test.go
@@ -27,10 +27,10 @@
 		{[]string{""}, 0, ""},
 		{[]string{"1e999"}, 0, "1e999"},
 	} {
-		var w Word
-		w.ReadRate(c.values...)
-		if w.Rate != c.rate || w.Unclear != c.unclear {
-			t.Errorf("%q: rate %g, unclear %q; want %g, %q", c.values, w.Rate, w.Unclear, c.rate, c.unclear)
+		var w Signal
+		w.ParseRateLimit(c.values...)
+		if w.RateLimit != c.rate || w.Malformed != c.unclear {
+			t.Errorf("%q: rate %g, unclear %q; want %g, %q", c.values, w.RateLimit, w.Malformed, c.rate, c.unclear)
 		}
 	}
 }
@@ -53,10 +53,10 @@
 		{[]string{"soon"}, 0, "soon"},
 		{[]string{"2", "soon"}, 2 * time.Second, "soon"},
 	} {
-		var w Word
-		w.ReadRest(c.values...)
-		if w.Rest != c.rest || w.Unclear != c.unclear {
-			t.Errorf("%q: rest %v, unclear %q; want %v, %q", c.values, w.Rest, w.Unclear, c.rest, c.unclear)
+		var w Signal
+		w.ParseBackoff(c.values...)
+		if w.Backoff != c.rest || w.Malformed != c.unclear {
+			t.Errorf("%q: rest %v, unclear %q; want %v, %q", c.values, w.Backoff, w.Malformed, c.rest, c.unclear)
 		}
 	}
 }
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -32,14 +32,14 @@
 	// PromptTokens and OutputTokens are estimates; zero for plain services.
 	PromptTokens int
 	OutputTokens int
-	// OutputGuessed tells that OutputTokens is a caller's guess, right at the median
+	// OutputUncertain tells that OutputTokens is a caller's guess, right at the median
 	// and far off in single cases: no work is refused or given up for it.
-	OutputGuessed bool
+	OutputUncertain bool
 	// Prefix is the chain of prompt block hashes, salted by member.
 	Prefix []uint64
-	// PartTokens are the tokens of each element of Prefix; nil where all have
+	// BlockTokens are the tokens of each element of Prefix; nil where all have
 	// engineapi.BlockTokens.
-	PartTokens []int
+	BlockTokens []int
 	// Arrived is when the request came in; FirstTokenBy and FinishBy are its
 	// deadlines.
 	Arrived      time.Duration
@@ -47,37 +47,37 @@
 	FinishBy     time.Duration
 	// Resumed work has been accepted before; it is never refused for load.
 	Resumed bool
-	// Shared is how many of the first parts other requests have too. They are kept
+	// SharedBlocks is how many of the first parts other requests have too. They are kept
 	// at a few servers each, the same ones for all entries; 0: not known.
-	Shared int
-	// LateIsOfUse tells that an answer after FirstTokenBy is still worth having;
+	SharedBlocks int
+	// SoftFirstTokenDeadline tells that an answer after FirstTokenBy is still worth having;
 	// only FinishBy decides then whether it is given up.
-	LateIsOfUse bool
-	// Pace is how fast engines are known to do such work; its zero fields stand
+	SoftFirstTokenDeadline bool
+	// EngineSpeed is how fast engines are known to do such work; its zero fields stand
 	// for those of internal/enginemodel.
-	Pace Pace
+	EngineSpeed EngineSpeed
 	// KVTokens is how many tokens of KV cache can be imported where it runs;
 	// with any there is no prefill.
 	KVTokens int
 }
 
-// Pace is how fast an engine does one work with nothing beside it.
-type Pace struct {
+// EngineSpeed is how fast an engine does one work with nothing beside it.
+type EngineSpeed struct {
 	// PrefillRate is in tokens a second.
 	PrefillRate float64
 	// TokenTime is the time of one token in a batch of usual size.
 	TokenTime time.Duration
-	// MoveRate is how many tokens' KV cache move between two engines a second.
-	MoveRate float64
+	// KVTransferRate is how many tokens' KV cache move between two engines a second.
+	KVTransferRate float64
 }
 
-// HeldTokens is how many tokens the first parts of the prompt have.
-func (w *Work) HeldTokens(parts int) int {
-	if w.PartTokens == nil {
+// PrefixTokens is how many tokens the first parts of the prompt have.
+func (w *Work) PrefixTokens(parts int) int {
+	if w.BlockTokens == nil {
 		return parts * engineapi.BlockTokens
 	}
 	sum := 0
-	for _, n := range w.PartTokens[:parts] {
+	for _, n := range w.BlockTokens[:parts] {
 		sum += n
 	}
 	return sum
@@ -95,47 +95,47 @@
 	Model    string
 	Adapters []string
 	Role     engineapi.Role
-	// OthersFirst tells that another group of entries sends its work here first: what it has
+	// PreferredByOtherGroup tells that another group of entries sends its work here first: what it has
 	// sent in the last moments is not known yet.
-	OthersFirst bool
+	PreferredByOtherGroup bool
 	// Usable is false while it leaves, changes, is drained or unconfirmed, or is closed.
 	Usable bool
-	// Rate is how many requests a second it takes from all entries, by its own word; 0: any.
-	Rate float64
-	// Closed tells that only its own word keeps it from more work now, OpensIn how long it
+	// RateLimit is how many requests a second it takes from all entries, by its own word; 0: any.
+	RateLimit float64
+	// Throttled tells that only its own word keeps it from more work now, AvailableIn how long it
 	// does, as far as is known.
-	Closed  bool
-	OpensIn time.Duration
-	Slots   int
-	// CountsOnly tells that Load holds no tokens: what waits there is reckoned
-	// from what this entry has sent and from OthersRunning and OthersWaiting, an
+	Throttled   bool
+	AvailableIn time.Duration
+	Slots       int
+	// ReportsCountsOnly tells that Load holds no tokens: what waits there is reckoned
+	// from what this entry has sent and from EstimatedPeerRunning and EstimatedPeerWaiting, an
 	// estimate of other entries' requests there.
-	CountsOnly                   bool
-	OthersRunning, OthersWaiting float64
-	// Peers is what other entries have reported of their backlogs there, PeersKnown the part
+	ReportsCountsOnly                          bool
+	EstimatedPeerRunning, EstimatedPeerWaiting float64
+	// PeerBacklog is what other entries have reported of their backlogs there, PeerCoverage the part
 	// of the others that have, 0 to 1: for the rest the estimates stand.
-	Peers      Backlog
-	PeersKnown float64
-	// UsualUnread and UsualKV are what a request has to read and to hold there on
+	PeerBacklog  Backlog
+	PeerCoverage float64
+	// MeanPrefillTokens and MeanKVTokens are what a request has to read and to hold there on
 	// average, in tokens.
-	UsualUnread, UsualKV float64
-	// FixedReading is what a prompt takes there beside its tokens, in seconds.
-	FixedReading float64
+	MeanPrefillTokens, MeanKVTokens float64
+	// PrefillOverheadSeconds is what a prompt takes there beside its tokens, in seconds.
+	PrefillOverheadSeconds float64
 	// Load is its last report, ReportedAt when that was true (since boot, lag
 	// taken off).
 	Load       engineapi.Load
 	ReportedAt time.Duration
-	// Sent is what this entry has sent and not seen finished.
-	Sent Sent
+	// InFlight is what this entry has sent and not seen finished.
+	InFlight InFlight
 }
 
-// Sent sums up what this entry has running or waiting at one server.
-type Sent struct {
+// InFlight sums up what this entry has running or waiting at one server.
+type InFlight struct {
 	Requests      int
 	PrefillTokens int
 	DecodeTokens  int
-	// Unread are the prefill tokens by the rank of their work.
-	Unread Unread
+	// PrefillBacklog are the prefill tokens by the rank of their work.
+	PrefillBacklog PrefillBacklog
 	// KVTokens is what these requests hold in memory there.
 	KVTokens int
 	// UrgentPrefillTokens is the prefill of urgent and lookup work whose first
@@ -143,10 +143,10 @@
 	// engines prefill by priority.
 	UrgentPrefillTokens int
 	// Since sums what was sent after the server's last report was true.
-	SinceRequests      int
-	SincePrefillTokens int
-	SinceDecodeTokens  int
-	SinceKVTokens      int
+	RequestsSinceReport      int
+	PrefillTokensSinceReport int
+	DecodeTokensSinceReport  int
+	KVTokensSinceReport      int
 }
 
 // Fleet is the backend servers in order of id.
@@ -155,7 +155,7 @@
 	DataCentre string
 	// Entries is how many entries share the servers, at least 1.
 	Entries int
-	// PartsReported tells that entries report to each other which parts servers have read.
-	PartsReported bool
-	Servers       []Server
+	// PrefixReportsEnabled tells that entries report to each other which parts servers have read.
+	PrefixReportsEnabled bool
+	Servers              []Server
 }
--- a/internal/decision/others.go
+++ b/internal/decision/others.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Others estimates how many requests of other entries run and wait at one server
+// PeerLoadEstimator estimates how many requests of other entries run and wait at one server
 // that reports counts only, on the answers that it gives this entry.
 //
 // It answers many entries that share few servers: each sees a report now and
 // then, between them it knows only its own sends, and all choose the server that
 // looked idle last. The count of a report is believed less the older it is, and
 // the usual count takes its place.
-type Others struct {
+type PeerLoadEstimator struct {
 	// running and waiting are those of the last report, at when it came.
 	running, waiting float64
 	at               time.Duration
@@ -33,9 +33,9 @@
 	othersWeight = 0.05
 )
 
-// Reported takes in a report; own is how many of the requests in it are this
+// Observe takes in a report; own is how many of the requests in it are this
 // entry's.
-func (o *Others) Reported(now time.Duration, running, waiting, own int, fleet *Usual) {
+func (o *PeerLoadEstimator) Observe(now time.Duration, running, waiting, own int, fleet *FleetAverage) {
 	// Which of the own ones wait is not told: they count in proportion.
 	total := float64(running + waiting)
 	part := 0.0
@@ -50,12 +50,12 @@
 	o.usualWaiting += weight * (o.waiting - o.usualWaiting)
 }
 
-// Usual is what servers of one role have on average, by the reports of all of
+// FleetAverage is what servers of one role have on average, by the reports of all of
 // them: what is taken of one that has told nothing lately.
-type Usual struct{ running, waiting float64 }
+type FleetAverage struct{ running, waiting float64 }
 
 // add takes in a report; each of some hundred counts alike.
-func (u *Usual) add(running, waiting float64) {
+func (u *FleetAverage) add(running, waiting float64) {
 	u.running += fleetWeight * (running - u.running)
 	u.waiting += fleetWeight * (waiting - u.waiting)
 }
@@ -69,7 +69,7 @@
 // full gets nothing from this entry, so that no answer tells it of the server's
 // recovery: without the fading it would look full for ever. And one that was never
 // heard must not look empty: it is as full as the others.
-func (o *Others) Estimate(now time.Duration, fleet Usual) (running, waiting float64) {
+func (o *PeerLoadEstimator) Estimate(now time.Duration, fleet FleetAverage) (running, waiting float64) {
 	age := max(0, (now - o.at).Seconds())
 	fresh := math.Exp(-age / othersTime.Seconds())
 	known := (1 - fresh) * math.Exp(-age/usualTime.Seconds())
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -4,27 +4,27 @@
 
 // Backlog is what entries have running or waiting at one server.
 type Backlog struct {
-	Requests int
-	Unread   Unread
-	// KV is what the requests hold in the server's memory, or will, in tokens.
-	KV int
+	Requests       int
+	PrefillBacklog PrefillBacklog
+	// KVTokens is what the requests hold in the server's memory, or will, in tokens.
+	KVTokens int
 }
 
-// Add puts another entry's backlog to it.
-func (b *Backlog) Add(o Backlog) {
+// Merge puts another entry's backlog to it.
+func (b *Backlog) Merge(o Backlog) {
 	b.Requests += o.Requests
-	b.Unread.Add(&o.Unread)
-	b.KV += o.KV
+	b.PrefillBacklog.Merge(&o.PrefillBacklog)
+	b.KVTokens += o.KVTokens
 }
 
-// Peers holds what the other entries have reported of their own backlogs.
+// PeerReports holds what the other entries have reported of their own backlogs.
 //
 // It answers unequal prompts on servers that report counts only, before several entries:
 // one prompt of 40,000 tokens and one of 300 count alike, and a report is as old as the
 // last answer. Judged by such counts an urgent prompt met as many tokens as at an engine
 // taken by chance: 32,000 in one case of ten, beside an engine that had 5,600 (true
 // backlogs, from the lines of seven entries before nine engines).
-type Peers struct {
+type PeerReports struct {
 	reports map[string]*PeerReport
 	// sums are those of the peers that count, made anew when one tells or falls silent.
 	sums  map[string]Backlog
@@ -38,34 +38,34 @@
 	Sequence    uint64
 	// Entries is how many entries' backlogs it sums up, the sender's included.
 	Entries int
-	// Valid is how long it counts.
-	Valid   time.Duration
+	// TTL is how long it counts.
+	TTL     time.Duration
 	Servers map[string]Backlog
 	at      time.Duration
 }
 
 const (
-	// PeerReportFor is how long a peer's report counts. Peers with work report three times
+	// PeerReportTTL is how long a peer's report counts. Peers with work report three times
 	// or more in that time; one that is cut off must not look idle.
-	PeerReportFor = time.Second
-	// IdleReportFor is how long the report counts of a peer that has nothing: it repeats
+	PeerReportTTL = time.Second
+	// IdlePeerReportTTL is how long the report counts of a peer that has nothing: it repeats
 	// it seldom, and its next request is reported at once.
-	IdleReportFor = 5 * time.Second
+	IdlePeerReportTTL = 5 * time.Second
 )
 
-// NewPeers knows of none.
-func NewPeers() *Peers { return &Peers{reports: make(map[string]*PeerReport)} }
+// NewPeerReports knows of none.
+func NewPeerReports() *PeerReports { return &PeerReports{reports: make(map[string]*PeerReport)} }
 
-// Reported takes in a peer's report of its own backlog; one that a later one has overtaken
+// AddBacklog takes in a peer's report of its own backlog; one that a later one has overtaken
 // is dropped.
-func (p *Peers) Reported(now time.Duration, peer, incarnation string, sequence uint64, servers map[string]Backlog) {
-	p.Take(now, peer, PeerReport{
-		Incarnation: incarnation, Sequence: sequence, Entries: 1, Valid: PeerReportFor, Servers: servers,
+func (p *PeerReports) AddBacklog(now time.Duration, peer, incarnation string, sequence uint64, servers map[string]Backlog) {
+	p.Add(now, peer, PeerReport{
+		Incarnation: incarnation, Sequence: sequence, Entries: 1, TTL: PeerReportTTL, Servers: servers,
 	})
 }
 
-// Take takes in any report of a peer; one that a later one has overtaken is dropped.
-func (p *Peers) Take(now time.Duration, peer string, report PeerReport) {
+// Add takes in any report of a peer; one that a later one has overtaken is dropped.
+func (p *PeerReports) Add(now time.Duration, peer string, report PeerReport) {
 	last := p.reports[peer]
 	if last != nil && last.Incarnation == report.Incarnation && last.Sequence >= report.Sequence {
 		return
@@ -75,31 +75,31 @@
 	p.sums = nil
 }
 
-// Unread is how many tokens of prompts a peer has reported as not read yet.
-func (p *Peers) Unread(peer string) int {
+// PrefillTokens is how many tokens of prompts a peer has reported as not read yet.
+func (p *PeerReports) PrefillTokens(peer string) int {
 	sum := 0
 	if r := p.reports[peer]; r != nil {
 		for _, b := range r.Servers {
-			sum += b.Unread.Sum()
+			sum += b.PrefillBacklog.Total()
 		}
 	}
 	return sum
 }
 
 // Forget drops a peer that is gone.
-func (p *Peers) Forget(peer string) {
+func (p *PeerReports) Forget(peer string) {
 	delete(p.reports, peer)
 	p.sums = nil
 }
 
-// At gives what the peers have reported of a server.
-func (p *Peers) At(now time.Duration, server string) Backlog {
+// BacklogAt gives what the peers have reported of a server.
+func (p *PeerReports) BacklogAt(now time.Duration, server string) Backlog {
 	p.refresh(now)
 	return p.sums[server]
 }
 
-// Known is the part of that many peers whose backlog is known, 0 to 1.
-func (p *Peers) Known(now time.Duration, peers int) float64 {
+// Coverage is the part of that many peers whose backlog is known, 0 to 1.
+func (p *PeerReports) Coverage(now time.Duration, peers int) float64 {
 	if peers <= 0 {
 		return 0
 	}
@@ -107,8 +107,8 @@
 	return min(1, float64(p.known)/float64(peers))
 }
 
-// Age is how old the oldest report is that counts; false where none does.
-func (p *Peers) Age(now time.Duration) (time.Duration, bool) {
+// OldestAge is how old the oldest report is that counts; false where none does.
+func (p *PeerReports) OldestAge(now time.Duration) (time.Duration, bool) {
 	oldest, known := time.Duration(0), false
 	for _, r := range p.reports {
 		if r.counts(now) {
@@ -118,19 +118,19 @@
 	return oldest, known
 }
 
-// Except gives what all peers but one have reported, and of how many entries that is.
-func (p *Peers) Except(now time.Duration, peer string) (map[string]Backlog, int) {
+// SumExcept gives what all peers but one have reported, and of how many entries that is.
+func (p *PeerReports) SumExcept(now time.Duration, peer string) (map[string]Backlog, int) {
 	return p.sum(now, func(name string, _ *PeerReport) bool { return name != peer })
 }
 
-// Single gives what peers have reported of themselves alone, and of how many.
-func (p *Peers) Single(now time.Duration) (map[string]Backlog, int) {
+// SumSingleEntry gives what peers have reported of themselves alone, and of how many.
+func (p *PeerReports) SumSingleEntry(now time.Duration) (map[string]Backlog, int) {
 	return p.sum(now, func(_ string, r *PeerReport) bool { return r.Entries == 1 })
 }
 
-func (r *PeerReport) counts(now time.Duration) bool { return now < r.at+r.Valid }
+func (r *PeerReport) counts(now time.Duration) bool { return now < r.at+r.TTL }
 
-func (p *Peers) sum(now time.Duration, counts func(string, *PeerReport) bool) (map[string]Backlog, int) {
+func (p *PeerReports) sum(now time.Duration, counts func(string, *PeerReport) bool) (map[string]Backlog, int) {
 	sums, entries := make(map[string]Backlog), 0
 	for name, r := range p.reports {
 		if !r.counts(now) || !counts(name, r) {
@@ -139,7 +139,7 @@
 		entries += r.Entries
 		for server, b := range r.Servers {
 			sum := sums[server]
-			sum.Add(b)
+			sum.Merge(b)
 			sums[server] = sum
 		}
 	}
@@ -147,15 +147,15 @@
 }
 
 // refresh adds the reports up that still count. The order does not matter to whole numbers.
-func (p *Peers) refresh(now time.Duration) {
+func (p *PeerReports) refresh(now time.Duration) {
 	if p.sums != nil && now < p.until {
 		return
 	}
 	p.sums, p.known = p.sum(now, func(string, *PeerReport) bool { return true })
-	p.until = now + PeerReportFor
+	p.until = now + PeerReportTTL
 	for _, r := range p.reports {
 		if r.counts(now) {
-			p.until = min(p.until, r.at+r.Valid)
+			p.until = min(p.until, r.at+r.TTL)
 		}
 	}
 }
@@ -164,8 +164,8 @@
 // read in the time that a fetch takes beside its bytes.
 const minToldTokens = 512
 
-// PartsTold tells whether entries tell each other which servers have read the shared parts
+// ReportsPrefix tells whether entries tell each other which servers have read the shared parts
 // of the work's prompt.
-func PartsTold(w *Work) bool {
-	return w.Shared > 0 && w.Shared <= len(w.Prefix) && w.HeldTokens(w.Shared) >= minToldTokens
+func ReportsPrefix(w *Work) bool {
+	return w.SharedBlocks > 0 && w.SharedBlocks <= len(w.Prefix) && w.PrefixTokens(w.SharedBlocks) >= minToldTokens
 }
--- a/internal/decision/placement/burst_test.go
+++ b/internal/decision/placement/burst_test.go
@@ -55,12 +55,12 @@
 func (f *readingFleet) look(now time.Duration) {
 	for i := range f.fleet.Servers {
 		f.queue[i] = slices.DeleteFunc(f.queue[i], func(r reading) bool { return r.done <= now })
-		sent := decision.Sent{Requests: len(f.queue[i])}
+		sent := decision.InFlight{Requests: len(f.queue[i])}
 		for _, r := range f.queue[i] {
 			sent.PrefillTokens += r.tokens
-			sent.Unread.Put(0, r.tokens)
+			sent.PrefillBacklog.AddTokens(0, r.tokens)
 		}
-		f.fleet.Servers[i].Sent = sent
+		f.fleet.Servers[i].InFlight = sent
 	}
 }
 
--- a/internal/decision/placement/cost.go
+++ b/internal/decision/placement/cost.go
@@ -17,7 +17,7 @@
 
 // unread is how many tokens of the prompt a server must read that holds its first
 // parts.
-func unread(w *decision.Work, held int) int { return max(0, w.PromptTokens-w.HeldTokens(held)) }
+func unread(w *decision.Work, held int) int { return max(0, w.PromptTokens-w.PrefixTokens(held)) }
 
 // firstToken gives the tokens that a server reads before the prompt, the time that the
 // prompt itself takes there, and the time until it has read both, in seconds.
@@ -28,7 +28,7 @@
 		before = l.urgent
 	}
 	rate := max(1, server.PrefillRate())
-	own = server.FixedReading + float64(unread(w, held))/rate
+	own = server.PrefillOverheadSeconds + float64(unread(w, held))/rate
 	return before, own, own + before/rate
 }
 
@@ -36,10 +36,10 @@
 // the prompt's first parts, in seconds. Where parts are not told apart, all of it
 // moves.
 func moveTime(w *decision.Work, held int) float64 {
-	if w.PartTokens == nil {
+	if w.BlockTokens == nil {
 		held = 0
 	}
-	rate := w.Pace.MoveRate
+	rate := w.EngineSpeed.KVTransferRate
 	if rate <= 0 {
 		rate = kvTokenRate
 	}
@@ -82,10 +82,10 @@
 		wait = l.urgent / rate
 	}
 	reading := float64(unread(w, held)) / rate
-	if server.CountsOnly && w.Class == declaration.ClassBulk {
+	if server.ReportsCountsOnly && w.Class == declaration.ClassBulk {
 		reading *= readingPrice
 	}
-	if server.CountsOnly && server.Role == engineapi.RoleMixed {
+	if server.ReportsCountsOnly && server.Role == engineapi.RoleMixed {
 		reading *= 1 + besideReading*l.requests
 	}
 	return wait + reading
@@ -101,7 +101,7 @@
 	if server.Role == engineapi.RoleMixed {
 		slow *= interference
 	}
-	if server.CountsOnly {
+	if server.ReportsCountsOnly {
 		// Only such servers get more than they have places for.
 		slow *= max(1, (l.requests+1)/slots)
 	}
@@ -111,7 +111,7 @@
 // memoryFill is the part of the server's KV memory that is taken with the work;
 // 0 where its size is not known.
 func memoryFill(w *decision.Work, server *decision.Server, l load) float64 {
-	if server.Load.KVTokens == 0 || !server.CountsOnly {
+	if server.Load.KVTokens == 0 || !server.ReportsCountsOnly {
 		return 0
 	}
 	return (l.kv + float64(w.PromptTokens+w.OutputTokens)) / float64(server.Load.KVTokens)
--- a/internal/decision/placement/fetch.go
+++ b/internal/decision/placement/fetch.go
@@ -23,7 +23,7 @@
 // that don't report to each other what was read, each knows of few copies: fetched from those,
 // parts were read again three times as often, since no home got all requests for them.
 func fetches(w *decision.Work, fleet *decision.Fleet) bool {
-	return fleet.PartsReported && w.Pace.MoveRate > 0 && decision.PartsTold(w)
+	return fleet.PrefixReportsEnabled && w.EngineSpeed.KVTransferRate > 0 && decision.ReportsPrefix(w)
 }
 
 // source gives the engine to fetch from; index -1 for none. Only engines that have been
@@ -36,7 +36,7 @@
 		return best
 	}
 	var at time.Duration
-	for depth := w.Shared; depth > 0 && best.index < 0; depth-- {
+	for depth := w.SharedBlocks; depth > 0 && best.index < 0; depth-- {
 		b := p.cache.blocks[w.Prefix[depth-1]]
 		if b == nil {
 			continue
@@ -87,7 +87,7 @@
 	if server.Load.KVTokens == 0 {
 		return believeFetch
 	}
-	memory := max(0, float64(server.Load.KVTokens)-server.OthersKV()-float64(server.Sent.KVTokens))
+	memory := max(0, float64(server.Load.KVTokens)-server.PeerKVTokens()-float64(server.InFlight.KVTokens))
 	readers := 0
 	for i := range fleet.Servers {
 		if s := &fleet.Servers[i]; s.Usable && s.Model == server.Model && s.Role == server.Role {
@@ -133,6 +133,6 @@
 	if reach <= held {
 		return 0
 	}
-	tokens := float64(w.HeldTokens(reach) - w.HeldTokens(held))
-	return fetchOverhead + tokens/w.Pace.MoveRate + copyPrice*tokens/max(1, server.PrefillRate())
+	tokens := float64(w.PrefixTokens(reach) - w.PrefixTokens(held))
+	return fetchOverhead + tokens/w.EngineSpeed.KVTransferRate + copyPrice*tokens/max(1, server.PrefillRate())
 }
--- a/internal/decision/placement/fetch_test.go
+++ b/internal/decision/placement/fetch_test.go
@@ -14,7 +14,7 @@
 // fetchingFleet is three engines, the part of sharedWork(_, 1) read at its home.
 func fetchingFleet(t *testing.T) (*Picker, *decision.Fleet, *decision.Server) {
 	t.Helper()
-	fleet := &decision.Fleet{Entries: 7, PartsReported: true}
+	fleet := &decision.Fleet{Entries: 7, PrefixReportsEnabled: true}
 	for i := range 3 {
 		fleet.Servers = append(fleet.Servers, countingEngine(i, engineapi.RoleMixed))
 	}
@@ -29,7 +29,7 @@
 
 func fetched(n int) *decision.Work {
 	w := sharedWork(n, 1)
-	w.Pace.MoveRate = 2.5e6
+	w.EngineSpeed.KVTransferRate = 2.5e6
 	return w
 }
 
@@ -39,7 +39,7 @@
 // no source, nor one that was seen long ago, or that leaves.
 func TestPartIsFetchedPastABusyHolder(t *testing.T) {
 	p, fleet, home := fetchingFleet(t)
-	home.OthersWaiting, home.UsualUnread = 8, 4000
+	home.EstimatedPeerWaiting, home.MeanPrefillTokens = 8, 4000
 	if choice, _ := p.Pick(0, fetched(2), fleet); choice.Fetch != nil {
 		t.Fatal("fetches from a home that was not seen to read the part")
 	}
@@ -62,17 +62,17 @@
 func TestNothingIsFetchedOverUnknownLinksOrUnreported(t *testing.T) {
 	p, fleet, home := fetchingFleet(t)
 	p.HoldsParts(0, home.ID, fetched(1).Prefix[:1])
-	home.OthersWaiting, home.UsualUnread = 8, 4000
+	home.EstimatedPeerWaiting, home.MeanPrefillTokens = 8, 4000
 	if choice, _ := p.Pick(time.Second, sharedWork(2, 1), fleet); choice.Fetch != nil {
 		t.Errorf("unknown links: %+v", choice)
 	}
-	fleet.PartsReported = false
+	fleet.PrefixReportsEnabled = false
 	if choice, _ := p.Pick(time.Second, fetched(3), fleet); choice.Fetch != nil {
 		t.Errorf("not reported: %+v", choice)
 	}
 	other := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID != home.ID })
 	p.HoldsParts(time.Second, fleet.Servers[other].ID, fetched(1).Prefix[:1])
-	home.OthersWaiting = 0
+	home.EstimatedPeerWaiting = 0
 	if choice, _ := p.Pick(time.Minute, fetched(4), fleet); choice.Server.ID != home.ID {
 		t.Errorf("not reported, the home idles: %+v", choice)
 	}
@@ -89,7 +89,7 @@
 				const seconds, own = 20, 3700
 				f, p, draw := newReadingFleet(6), New(), rand.New(rand.NewPCG(1, 2))
 				f.rate, f.room = rate, 45
-				f.fleet.PartsReported = true
+				f.fleet.PrefixReportsEnabled = true
 				for i := range f.fleet.Servers {
 					f.fleet.Servers[i].Load.PrefillRate = rate
 					f.fleet.Servers[i].Load.KVTokens = 1_500_000
@@ -99,7 +99,7 @@
 				for n := range int(perSecond * seconds) {
 					now := time.Duration(float64(n) / perSecond * float64(time.Second))
 					w := sharedWork(n, int(float64(sharedKinds)*draw.Float64()*draw.Float64()))
-					w.Pace.MoveRate = moveRate
+					w.EngineSpeed.KVTransferRate = moveRate
 					f.look(now)
 					choice, ok := p.Pick(now, w, f.fleet)
 					if !ok {
--- a/internal/decision/placement/filter.go
+++ b/internal/decision/placement/filter.go
@@ -46,7 +46,7 @@
 	if bulk {
 		slots = max(1, slots*bulkSlotsOf(server))
 	}
-	if p == decodeEnd && server.CountsOnly {
+	if p == decodeEnd && server.ReportsCountsOnly {
 		slots *= queuedDecodes
 	}
 	if l.requests >= slots {
@@ -63,7 +63,7 @@
 }
 
 func bulkSlotsOf(server *decision.Server) float64 {
-	if server.CountsOnly {
+	if server.ReportsCountsOnly {
 		return bulkSlotsRanked
 	}
 	return bulkSlots
--- a/internal/decision/placement/groups_test.go
+++ b/internal/decision/placement/groups_test.go
@@ -39,7 +39,7 @@
 		for _, r := range list {
 			if r.entry >= from && r.entry < from+f.groupSize && r.entry != except {
 				b.Requests++
-				b.Unread.Put(0, r.tokens)
+				b.PrefillBacklog.AddTokens(0, r.tokens)
 			}
 		}
 		sums[engineName(i)] = b
@@ -61,12 +61,12 @@
 		}
 		for server, b := range told {
 			sum := sums[server]
-			sum.Add(b)
+			sum.Merge(b)
 			sums[server] = sum
 		}
 	}
-	f.entries[entry].peers.Take(now, "aggregator", decision.PeerReport{
-		Sequence: sequence, Entries: len(f.entries) - 1, Valid: decision.PeerReportFor, Servers: sums,
+	f.entries[entry].peers.Add(now, "aggregator", decision.PeerReport{
+		Sequence: sequence, Entries: len(f.entries) - 1, TTL: decision.PeerReportTTL, Servers: sums,
 	})
 }
 
--- a/internal/decision/placement/home.go
+++ b/internal/decision/placement/home.go
@@ -37,23 +37,23 @@
 // A server that takes few requests by its own word is the home of none while others are there:
 // its prompts would be read elsewhere whenever it is closed.
 func homesOf(w *decision.Work, fleet *decision.Fleet) homes {
-	if w.Shared == 0 || w.Shared > len(w.Prefix) {
+	if w.SharedBlocks == 0 || w.SharedBlocks > len(w.Prefix) {
 		return nil
 	}
-	serving := homesAmong(w, fleet, func(s *decision.Server) bool { return s.Rate == 0 && s.Serves(w) })
+	serving := homesAmong(w, fleet, func(s *decision.Server) bool { return s.RateLimit == 0 && s.Serves(w) })
 	if len(serving) > 0 {
 		return serving
 	}
-	return homesAmong(w, fleet, func(s *decision.Server) bool { return s.ServesInTime(w) })
+	return homesAmong(w, fleet, func(s *decision.Server) bool { return s.ServesNowOrLater(w) })
 }
 
 // homesAmong gives the homes among the servers that may be.
 func homesAmong(w *decision.Work, fleet *decision.Fleet, mayBe func(*decision.Server) bool) homes {
 	var prefill, whole [homesPerPrefix]home
-	key, ownOnly := w.Prefix[w.Shared-1], !decision.PartsTold(w)
+	key, ownOnly := w.Prefix[w.SharedBlocks-1], !decision.ReportsPrefix(w)
 	for i := range fleet.Servers {
 		s := &fleet.Servers[i]
-		if !mayBe(s) || ownOnly && s.OthersFirst {
+		if !mayBe(s) || ownOnly && s.PreferredByOtherGroup {
 			continue
 		}
 		h := home{index: i, score: mix(key, xxhash.Sum64String(s.ID)) | 1}
--- a/internal/decision/placement/home_test.go
+++ b/internal/decision/placement/home_test.go
@@ -14,7 +14,7 @@
 func countingEngine(i int, role engineapi.Role) decision.Server {
 	return decision.Server{
 		ID: fmt.Sprint("engine-", i), Kind: declaration.KindModel, Model: "m", Role: role, Usable: true, Slots: 64,
-		CountsOnly: true, Load: engineapi.Load{PrefillRate: 30000, DecodeRate: 5000, KVTokens: 460000},
+		ReportsCountsOnly: true, Load: engineapi.Load{PrefillRate: 30000, DecodeRate: 5000, KVTokens: 460000},
 	}
 }
 
@@ -23,7 +23,7 @@
 	return &decision.Work{
 		RequestID: fmt.Sprint("r", n), Kind: declaration.KindModel, Model: "m", Class: declaration.ClassBulk,
 		PromptTokens: 17000, OutputTokens: 80, Prefix: []uint64{uint64(1000 + kind), uint64(100000 + n)},
-		PartTokens: []int{13300, 3700}, Shared: 1,
+		BlockTokens: []int{13300, 3700}, SharedBlocks: 1,
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Fatal("no engine")
 	}
 	busy := home.Server
-	busy.OthersWaiting, busy.UsualUnread = 20, 4000
+	busy.EstimatedPeerWaiting, busy.MeanPrefillTokens = 20, 4000
 	again, ok := New().Pick(time.Second, w, fleet)
 	if !ok || again.Server.ID == busy.ID {
 		t.Fatalf("went to the engine with 80,000 tokens before it: %+v", again)
@@ -104,14 +104,14 @@
 	home, _ := p.Pick(time.Second, w, fleet)
 	i := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID == home.Server.ID })
 	busy := &fleet.Servers[i]
-	busy.OthersWaiting, busy.UsualUnread = 20, 4000
+	busy.EstimatedPeerWaiting, busy.MeanPrefillTokens = 20, 4000
 	copied, _ := p.Pick(time.Second, w, fleet)
 	p.Sent(time.Second, w, copied)
 	soon, _ := p.Pick(4*time.Second, sharedWork(2, 1), fleet)
 	if soon.Server.ID != copied.Server.ID || soon.Unread != 3700 {
 		t.Fatalf("3 s later the copy at %s is not used: %s reads %d", copied.Server.ID, soon.Server.ID, soon.Unread)
 	}
-	busy.OthersWaiting = 5
+	busy.EstimatedPeerWaiting = 5
 	later, _ := p.Pick(30*time.Second, sharedWork(3, 1), fleet)
 	if later.Server.ID != home.Server.ID {
 		t.Fatalf("half a minute later the copy at %s is taken for the part", later.Server.ID)
@@ -126,7 +126,7 @@
 	}}
 	p := New()
 	w := sharedWork(1, 1)
-	w.Shared = 0
+	w.SharedBlocks = 0
 	choice, ok := p.Pick(time.Second, w, fleet)
 	if !ok || choice.Prefill == nil {
 		t.Fatalf("not prefilled apart: %+v", choice)
@@ -159,21 +159,21 @@
 	for kind := range 20 {
 		w := sharedWork(1, kind)
 		home := homesOf(w, fleet)[0]
-		fleet.Servers[home].Rate = 5
+		fleet.Servers[home].RateLimit = 5
 		for _, closed := range []bool{false, true} {
-			fleet.Servers[home].Usable, fleet.Servers[home].Closed = !closed, closed
+			fleet.Servers[home].Usable, fleet.Servers[home].Throttled = !closed, closed
 			if next := homesOf(w, fleet)[0]; next == home {
 				t.Errorf("kind %d is kept at a server with a limit, closed: %v", kind, closed)
 			}
 		}
-		fleet.Servers[home].Rate, fleet.Servers[home].Usable, fleet.Servers[home].Closed = 0, true, false
+		fleet.Servers[home].RateLimit, fleet.Servers[home].Usable, fleet.Servers[home].Throttled = 0, true, false
 	}
 	for i := range fleet.Servers {
-		fleet.Servers[i].Rate = 5
+		fleet.Servers[i].RateLimit = 5
 	}
 	w := sharedWork(1, 1)
 	home := homesOf(w, fleet)[0]
-	fleet.Servers[home].Usable, fleet.Servers[home].Closed = false, true
+	fleet.Servers[home].Usable, fleet.Servers[home].Throttled = false, true
 	if next := homesOf(w, fleet)[0]; next != home {
 		t.Errorf("where all have limits, a home moves from %d to %d when it is closed", home, next)
 	}
--- a/internal/decision/placement/load.go
+++ b/internal/decision/placement/load.go
@@ -25,19 +25,19 @@
 // is taken away, what was sent since is added. Without that every request
 // between two reports goes to the same server.
 func loadOf(now time.Duration, w *decision.Work, server *decision.Server, entries int) load {
-	report, sent := &server.Load, &server.Sent
+	report, sent := &server.Load, &server.InFlight
 	age := max(0, (now - server.ReportedAt).Seconds())
 	scale := 1 + others*float64(max(1, entries)-1)
 	l := load{
-		requests: float64(report.Running+report.Queued) + scale*float64(sent.SinceRequests),
+		requests: float64(report.Running+report.Queued) + scale*float64(sent.RequestsSinceReport),
 		prefill: max(0, float64(report.QueuedPrefillTokens)-age*server.PrefillRate()) +
-			scale*float64(sent.SincePrefillTokens),
+			scale*float64(sent.PrefillTokensSinceReport),
 		decode: max(0, float64(report.RunningDecodeTokens)-age*server.DecodeRate()) +
-			scale*float64(sent.SinceDecodeTokens),
-		kv: float64(report.KVUsed) + scale*float64(sent.SinceKVTokens),
+			scale*float64(sent.DecodeTokensSinceReport),
+		kv: float64(report.KVUsed) + scale*float64(sent.KVTokensSinceReport),
 	}
 	l.urgent = scale * float64(sent.UrgentPrefillTokens)
-	if server.CountsOnly {
+	if server.ReportsCountsOnly {
 		return countedLoad(w, server)
 	}
 	l.requests = max(l.requests, float64(sent.Requests))
@@ -47,13 +47,13 @@
 // countedLoad is the load of a server that reports counts only; prefill and urgent are
 // what is read before the work.
 func countedLoad(w *decision.Work, server *decision.Server) load {
-	sent := &server.Sent
-	prefill := server.Backlog(w)
+	sent := &server.InFlight
+	prefill := server.PrefillTokensAhead(w)
 	return load{
-		requests: server.Others() + float64(sent.Requests),
+		requests: server.PeerRequests() + float64(sent.Requests),
 		prefill:  prefill,
 		urgent:   prefill,
 		decode:   float64(sent.DecodeTokens),
-		kv:       server.OthersKV() + float64(sent.KVTokens),
+		kv:       server.PeerKVTokens() + float64(sent.KVTokens),
 	}
 }
--- a/internal/decision/placement/peers_test.go
+++ b/internal/decision/placement/peers_test.go
@@ -36,9 +36,9 @@
 
 type sharingEntry struct {
 	picker *Picker
-	peers  *decision.Peers
-	others []decision.Others
-	usual  decision.Usual
+	peers  *decision.PeerReports
+	others []decision.PeerLoadEstimator
+	usual  decision.FleetAverage
 }
 
 const (
@@ -62,7 +62,7 @@
 	}
 	for range entries {
 		f.entries = append(f.entries, &sharingEntry{
-			picker: New(), peers: decision.NewPeers(), others: make([]decision.Others, engines),
+			picker: New(), peers: decision.NewPeerReports(), others: make([]decision.PeerLoadEstimator, engines),
 		})
 	}
 	return f
@@ -75,7 +75,7 @@
 			r := f.running[i][0]
 			f.running[i] = f.running[i][1:]
 			e := f.entries[r.entry]
-			e.others[i].Reported(r.done, len(f.running[i]), 0, f.own(r.entry, i).Requests, &e.usual)
+			e.others[i].Observe(r.done, len(f.running[i]), 0, f.own(r.entry, i).Requests, &e.usual)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	for _, r := range f.running[engine] {
 		if r.entry == entry {
 			b.Requests++
-			b.Unread.Put(0, r.tokens)
+			b.PrefillBacklog.AddTokens(0, r.tokens)
 		}
 	}
 	return b
@@ -100,7 +100,7 @@
 		}
 		for to, e := range f.entries {
 			if to != from {
-				e.peers.Reported(now, fmt.Sprint(from), "life", sequence, servers)
+				e.peers.AddBacklog(now, fmt.Sprint(from), "life", sequence, servers)
 			}
 		}
 	}
@@ -116,13 +116,13 @@
 		running, waiting := e.others[i].Estimate(now, e.usual)
 		s := decision.Server{
 			ID: engineName(i), Kind: declaration.KindModel, Model: "m", Role: engineapi.RoleMixed, Usable: true, Slots: 128,
-			CountsOnly: true, OthersRunning: running, OthersWaiting: waiting, UsualUnread: usual,
-			Load: engineapi.Load{PrefillRate: f.rate / f.slower[i], DecodeRate: 1e6},
-			Sent: decision.Sent{Requests: own.Requests, Unread: own.Unread},
+			ReportsCountsOnly: true, EstimatedPeerRunning: running, EstimatedPeerWaiting: waiting, MeanPrefillTokens: usual,
+			Load:     engineapi.Load{PrefillRate: f.rate / f.slower[i], DecodeRate: 1e6},
+			InFlight: decision.InFlight{Requests: own.Requests, PrefillBacklog: own.PrefillBacklog},
 		}
-		s.OthersFirst = f.othersFirst(entry, i)
+		s.PreferredByOtherGroup = f.othersFirst(entry, i)
 		if f.reports {
-			s.Peers, s.PeersKnown = e.peers.At(now, s.ID), e.peers.Known(now, len(f.entries)-1)
+			s.PeerBacklog, s.PeerCoverage = e.peers.BacklogAt(now, s.ID), e.peers.Coverage(now, len(f.entries)-1)
 		}
 		fleet.Servers = append(fleet.Servers, s)
 	}
@@ -160,7 +160,7 @@
 		entry := draw.IntN(len(f.entries))
 		w := &decision.Work{
 			RequestID: fmt.Sprint("r", n), Kind: declaration.KindModel, Model: "m", Class: declaration.ClassUrgent,
-			PromptTokens: tokens, OutputTokens: 1, Prefix: []uint64{uint64(n) + 1}, PartTokens: []int{tokens},
+			PromptTokens: tokens, OutputTokens: 1, Prefix: []uint64{uint64(n) + 1}, BlockTokens: []int{tokens},
 		}
 		f.askAggregator(now, entry, uint64(n)+1)
 		choice, ok := f.entries[entry].picker.Pick(now, w, f.fleet(now, entry, mean))
--- a/internal/decision/placement/placement.go
+++ b/internal/decision/placement/placement.go
@@ -124,9 +124,9 @@
 		{Name: "cost_seconds", Value: cost},
 		{Name: "cached_blocks", Value: float64(held)},
 		{Name: "limit", Value: p.limits.aligned[index].slots(server)},
-		{Name: "own_there", Value: float64(server.Sent.Requests)},
-		{Name: "others_running", Value: server.OthersRunning},
-		{Name: "others_waiting", Value: server.OthersWaiting},
+		{Name: "own_there", Value: float64(server.InFlight.Requests)},
+		{Name: "others_running", Value: server.EstimatedPeerRunning},
+		{Name: "others_waiting", Value: server.EstimatedPeerWaiting},
 	}
 }
 
@@ -138,7 +138,7 @@
 		reader = choice.Prefill
 	}
 	p.Holds(now, reader.ID, w)
-	if reader.CountsOnly {
+	if reader.ReportsCountsOnly {
 		p.inflow.add(now, float64(choice.Brought))
 	}
 }
--- a/internal/decision/placement/placement_test.go
+++ b/internal/decision/placement/placement_test.go
@@ -47,7 +47,7 @@
 }
 
 // send picks and accounts like an entry does, and gives the server's id.
-func send(t testing.TB, p *Picker, f *decision.Fleet, logs map[string]*decision.SentLog, w *decision.Work) string {
+func send(t testing.TB, p *Picker, f *decision.Fleet, logs map[string]*decision.InFlightTracker, w *decision.Work) string {
 	t.Helper()
 	c, ok := p.Pick(0, w, f)
 	if !ok {
@@ -56,18 +56,18 @@
 	p.Sent(0, w, c)
 	l := logs[c.Server.ID]
 	if l == nil {
-		l = &decision.SentLog{}
+		l = &decision.InFlightTracker{}
 		logs[c.Server.ID] = l
 	}
-	l.Add(0, decision.Tokens{Prefill: w.PromptTokens, Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens})
-	c.Server.Sent = l.Sent
+	l.Add(0, decision.RequestTokens{Prefill: w.PromptTokens, Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens})
+	c.Server.InFlight = l.InFlight
 	return c.Server.ID
 }
 
 // Ninety requests come between two load reports. By the reports alone all nine
 // servers look equally idle all the time, and one of them gets far too many.
 func TestRequestsBetweenTwoReportsSpreadOut(t *testing.T) {
-	p, f, logs := New(), mixed(9), map[string]*decision.SentLog{}
+	p, f, logs := New(), mixed(9), map[string]*decision.InFlightTracker{}
 	got := map[string]int{}
 	for i := range 90 {
 		got[send(t, p, f, logs, question(fmt.Sprint(i)))]++
@@ -163,7 +163,7 @@
 // the slots. A clerk's question must still find a place.
 func TestBulkLeavesRoomForUrgentWork(t *testing.T) {
 	for _, prompt := range []int{30000, 100} {
-		p, f, logs := New(), mixed(3), map[string]*decision.SentLog{}
+		p, f, logs := New(), mixed(3), map[string]*decision.InFlightTracker{}
 		bulk := func(id string) *decision.Work {
 			w := dossier(id)
 			w.PromptTokens = prompt
--- a/internal/decision/placement/prefix.go
+++ b/internal/decision/placement/prefix.go
@@ -156,7 +156,7 @@
 	}
 	p.seen = append(p.seen[:0], p.scratch...)
 	for _, i := range homes {
-		p.scratch[i] = max(p.scratch[i], w.Shared)
+		p.scratch[i] = max(p.scratch[i], w.SharedBlocks)
 	}
 	return p.scratch
 }
--- a/internal/decision/placement/scan.go
+++ b/internal/decision/placement/scan.go
@@ -119,7 +119,7 @@
 
 // importTime is how long the KV cache takes to get there, in seconds.
 func (s *scored) importTime() float64 {
-	if s.work.Pace.MoveRate > 0 {
+	if s.work.EngineSpeed.KVTransferRate > 0 {
 		return moveTime(s.work, s.held)
 	}
 	return float64(s.work.KVTokens) / kvTokenRate
@@ -129,7 +129,7 @@
 
 func (s *scored) prefill() float64 {
 	cost := prefillCost(s.work, s.server, s.load, s.reach) + fetchCost(s.work, s.server, s.held, s.reach)
-	if s.server.OthersFirst {
+	if s.server.PreferredByOtherGroup {
 		cost += othersFirstPenalty
 	}
 	return cost
@@ -137,7 +137,7 @@
 
 func (s *scored) decode() float64 {
 	cost := s.picker.decodeCost(s.index, s.work, s.server, s.load)
-	if s.server.OthersFirst {
+	if s.server.PreferredByOtherGroup {
 		cost += othersFirstDecode
 	}
 	return cost
--- a/internal/decision/queue/deadline.go
+++ b/internal/decision/queue/deadline.go
@@ -41,8 +41,8 @@
 const busyShare = busyPrefillRate / float64(quietPrefillRate)
 
 // quiet is the pace of the work on an idle engine, busy that on a busy one.
-func quiet(w *decision.Work) decision.Pace {
-	p := w.Pace
+func quiet(w *decision.Work) decision.EngineSpeed {
+	p := w.EngineSpeed
 	if p.PrefillRate <= 0 {
 		p.PrefillRate = quietPrefillRate
 	}
@@ -52,10 +52,10 @@
 	return p
 }
 
-func busy(w *decision.Work) decision.Pace {
+func busy(w *decision.Work) decision.EngineSpeed {
 	p := quiet(w)
 	p.PrefillRate *= busyShare
-	if w.Pace.TokenTime <= 0 {
+	if w.EngineSpeed.TokenTime <= 0 {
 		p.TokenTime = busyTokenTime
 		return p
 	}
@@ -75,7 +75,7 @@
 	}
 	_, whole := windows(w)
 	last := whole.to - refusalTime
-	if w.Class == declaration.ClassBulk || w.LateIsOfUse {
+	if w.Class == declaration.ClassBulk || w.SoftFirstTokenDeadline {
 		return last
 	}
 	return min(last, w.FirstTokenBy)
@@ -90,11 +90,11 @@
 // its caller holds a part of the answer.
 const neverExpires = 365 * 24 * time.Hour
 
-func serviceTime(w *decision.Work, p decision.Pace) time.Duration {
+func serviceTime(w *decision.Work, p decision.EngineSpeed) time.Duration {
 	if w.Kind == declaration.KindPlain {
-		return decision.PlainCall
+		return decision.PlainCallTime
 	}
-	if w.OutputGuessed {
+	if w.OutputUncertain {
 		return tokensAt(w, p.PrefillRate)
 	}
 	return tokensAt(w, p.PrefillRate) + time.Duration(w.OutputTokens)*p.TokenTime
--- a/internal/decision/queue/guess_test.go
+++ b/internal/decision/queue/guess_test.go
@@ -12,9 +12,9 @@
 // expires when its prompt can't be read in time any more, and not for the guess.
 func TestGuessedOutputDoesNotExpireWork(t *testing.T) {
 	w := decision.Work{
-		RequestID: "r", Kind: declaration.KindModel, Model: "m", Class: declaration.ClassUrgent, LateIsOfUse: true,
-		PromptTokens: 10000, OutputTokens: 5000, OutputGuessed: true,
-		Pace:         decision.Pace{PrefillRate: 25000, TokenTime: 9 * time.Millisecond},
+		RequestID: "r", Kind: declaration.KindModel, Model: "m", Class: declaration.ClassUrgent, SoftFirstTokenDeadline: true,
+		PromptTokens: 10000, OutputTokens: 5000, OutputUncertain: true,
+		EngineSpeed:  decision.EngineSpeed{PrefillRate: 25000, TokenTime: 9 * time.Millisecond},
 		FirstTokenBy: 400 * time.Millisecond, FinishBy: 4 * time.Second,
 	}
 	q := New()
--- a/internal/decision/queue/queue_test.go
+++ b/internal/decision/queue/queue_test.go
@@ -137,7 +137,7 @@
 	for i := range 40 {
 		q.Pop(time.Duration(i)*500*time.Millisecond, any1)
 	}
-	cost, secs := q.Summary().Drained(20*time.Second, KeyOf(&w))
+	cost, secs := q.Summary().Throughput(20*time.Second, KeyOf(&w))
 	if want := 2 * w.Cost(); secs == 0 || cost/secs < 0.8*want || cost/secs > 1.2*want {
 		t.Fatalf("%v in %v s, want about %v a second", cost, secs, want)
 	}
--- a/internal/decision/queue/summary.go
+++ b/internal/decision/queue/summary.go
@@ -15,7 +15,7 @@
 
 // Cost is the sum in tokens as Work.Cost weighs them.
 func (t Totals) Cost() float64 {
-	return float64(t.PrefillTokens) + decision.OutputCost*float64(t.DecodeTokens)
+	return float64(t.PrefillTokens) + decision.OutputTokenCost*float64(t.DecodeTokens)
 }
 
 // Key names a part of the queue. An empty Member stands for all members, an
@@ -62,16 +62,16 @@
 	return k
 }
 
-// Drained is how much of the profile's work, as Work.Cost weighs it, has left this
+// Throughput is how much of the profile's work, as Work.Cost weighs it, has left this
 // queue lately and in how many seconds, while some always waited; zero seconds
 // when nothing waits. The key's member counts as empty.
-func (s *Summary) Drained(now time.Duration, k Key) (cost, secs float64) {
+func (s *Summary) Throughput(now time.Duration, k Key) (cost, secs float64) {
 	k.Member = ""
 	return s.drains[k].drained(now)
 }
 
-// PoolDrained is Drained of all profiles of the work's pool together.
-func (s *Summary) PoolDrained(now time.Duration, w *decision.Work) (cost, secs float64) {
+// PoolThroughput is Drained of all profiles of the work's pool together.
+func (s *Summary) PoolThroughput(now time.Duration, w *decision.Work) (cost, secs float64) {
 	return s.pools[PoolKey(w)].drained(now)
 }
 
--- a/internal/decision/rates.go
+++ b/internal/decision/rates.go
@@ -17,29 +17,31 @@
 // there, a dossier's a third.
 const readingShare = 0.2
 
-// Backlog is the tokens that are read before new work at a server that reports counts
+// PrefillTokensAhead is the tokens that are read before new work at a server that reports counts
 // only.
-func (s *Server) Backlog(w *Work) float64 {
-	reading := s.OthersWaiting + readingShare*s.OthersRunning
+func (s *Server) PrefillTokensAhead(w *Work) float64 {
+	reading := s.EstimatedPeerWaiting + readingShare*s.EstimatedPeerRunning
 	if s.Role == engineapi.RolePrefill {
-		reading = s.OthersRunning + s.OthersWaiting
+		reading = s.EstimatedPeerRunning + s.EstimatedPeerWaiting
 	}
-	unknown := (1 - s.PeersKnown) * reading * s.UsualUnread
+	unknown := (1 - s.PeerCoverage) * reading * s.MeanPrefillTokens
 	if w.Class != declaration.ClassBulk {
 		unknown *= begunShare
 	}
-	return unknown + s.Peers.Unread.Ahead(w.Rank) + s.Sent.Unread.Ahead(w.Rank)
+	return unknown + s.PeerBacklog.PrefillBacklog.Ahead(w.Rank) + s.InFlight.PrefillBacklog.Ahead(w.Rank)
 }
 
-// Others is how many requests of other entries run or wait there.
-func (s *Server) Others() float64 { return float64(s.Peers.Requests) + s.unknown() }
+// PeerRequests is how many requests of other entries run or wait there.
+func (s *Server) PeerRequests() float64 { return float64(s.PeerBacklog.Requests) + s.unknown() }
 
-// OthersKV is what those requests hold in memory there, in tokens.
-func (s *Server) OthersKV() float64 { return float64(s.Peers.KV) + s.unknown()*s.UsualKV }
+// PeerKVTokens is what those requests hold in memory there, in tokens.
+func (s *Server) PeerKVTokens() float64 {
+	return float64(s.PeerBacklog.KVTokens) + s.unknown()*s.MeanKVTokens
+}
 
 // unknown is the estimate for the entries that have reported nothing.
 func (s *Server) unknown() float64 {
-	return (1 - s.PeersKnown) * (s.OthersRunning + s.OthersWaiting)
+	return (1 - s.PeerCoverage) * (s.EstimatedPeerRunning + s.EstimatedPeerWaiting)
 }
 
 // PrefillRate is the tokens/s that the server can prefill in its role.
--- a/internal/decision/speed/speed.go
+++ b/internal/decision/speed/speed.go
@@ -30,11 +30,11 @@
 // step is the log of the factor by which the n-th answer moves a figure.
 func step(n int) float64 { return max(minStep, firstStep/float64(n)) }
 
-// Reading follows how long engines of one role take from the sending of a prompt to its
+// PrefillModel follows how long engines of one role take from the sending of a prompt to its
 // last token read: a fixed time, and a time for each token that is read before it and of
 // its own. It also covers what the counted backlog misses, since it is held against whole
 // waits. Not safe for concurrent use.
-type Reading struct {
+type PrefillModel struct {
 	fixed, perToken float64 // seconds
 	answers         int
 }
@@ -42,20 +42,20 @@
 // priorFixed is the fixed time before any answer; some 50 ms were seen.
 const priorFixed = 20 * time.Millisecond
 
-// NewReading begins with what is assumed of such engines, in tokens a second.
-func NewReading(tokensPerSecond float64) *Reading {
-	return &Reading{fixed: priorFixed.Seconds(), perToken: 1 / max(1, tokensPerSecond)}
+// NewPrefillModel begins with what is assumed of such engines, in tokens a second.
+func NewPrefillModel(tokensPerSecond float64) *PrefillModel {
+	return &PrefillModel{fixed: priorFixed.Seconds(), perToken: 1 / max(1, tokensPerSecond)}
 }
 
 // Rate is the tokens a second beyond the fixed time.
-func (r *Reading) Rate() float64 { return 1 / r.perToken }
+func (r *PrefillModel) Rate() float64 { return 1 / r.perToken }
 
-// Fixed is the time that a prompt of no tokens takes, in seconds.
-func (r *Reading) Fixed() float64 { return r.fixed }
+// FixedSeconds is the time that a prompt of no tokens takes, in seconds.
+func (r *PrefillModel) FixedSeconds() float64 { return r.fixed }
 
 // Observe takes in that the tokens, those before the prompt and its own, took so long at
 // an engine of that factor.
-func (r *Reading) Observe(now time.Duration, tokens float64, took time.Duration, factor *Factor) {
+func (r *PrefillModel) Observe(now time.Duration, tokens float64, took time.Duration, factor *SlowdownFactor) {
 	variable := tokens * r.perToken
 	expected := (r.fixed + variable) * factor.Value(now)
 	if expected <= 0 || took <= 0 {
@@ -81,9 +81,9 @@
 	maxPerToken = 1e-3
 )
 
-// Factor is how much longer one engine takes than its role does; the zero value is 1. It
+// SlowdownFactor is how much longer one engine takes than its role does; the zero value is 1. It
 // fades while the engine answers nothing, so that one that was slow is tried again.
-type Factor struct {
+type SlowdownFactor struct {
 	log float64
 	// at is when it was learned.
 	at time.Duration
@@ -101,17 +101,17 @@
 	maxFactorLog = 1.8
 )
 
-func (f *Factor) move(now time.Duration, way float64) {
+func (f *SlowdownFactor) move(now time.Duration, way float64) {
 	f.log = clamp(f.faded(now)*(1-factorFade)+factorStep*way, -maxFactorLog, maxFactorLog)
 	f.at = now
 }
 
-func (f *Factor) faded(now time.Duration) float64 {
+func (f *SlowdownFactor) faded(now time.Duration) float64 {
 	return f.log * math.Exp(-max(0, now-f.at).Seconds()/factorMemory.Seconds())
 }
 
 // Value is the factor as it is believed now.
-func (f *Factor) Value(now time.Duration) float64 { return math.Exp(f.faded(now)) }
+func (f *SlowdownFactor) Value(now time.Duration) float64 { return math.Exp(f.faded(now)) }
 
 // factorMemory is how fast an unused engine's factor fades: slow spells last seconds.
 const factorMemory = 5 * time.Second
--- a/internal/decision/speed/speed_test.go
+++ b/internal/decision/speed/speed_test.go
@@ -14,7 +14,7 @@
 	rate     float64 // tokens a second
 	slower   float64 // a factor on both, 1 for as its role does
 	busyTill time.Duration
-	factor   Factor
+	factor   SlowdownFactor
 }
 
 // read gives how long a prompt takes that comes now, and how many tokens are before it.
@@ -28,7 +28,7 @@
 
 // play sends prompts of very unequal length to the engines in turn, at three fifths of
 // what they read, for the time.
-func play(r *Reading, engines []*engine, from, until time.Duration, draw *rand.Rand) {
+func play(r *PrefillModel, engines []*engine, from, until time.Duration, draw *rand.Rand) {
 	rate := 0.0
 	for _, e := range engines {
 		rate += e.rate / e.slower
@@ -52,14 +52,14 @@
 func TestRateIsLearnedAtAnySpeed(t *testing.T) {
 	for _, rate := range []float64{5000, 16000, 75000, 200000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			r := NewReading(30000)
+			r := NewPrefillModel(30000)
 			var engines []*engine
 			for range 6 {
 				engines = append(engines, &engine{fixed: 50 * time.Millisecond, rate: rate, slower: 1})
 			}
 			play(r, engines, 0, 10*time.Second, rand.New(rand.NewPCG(1, 2)))
 			if off := r.Rate() / rate; off < 0.75 || off > 1.33 {
-				t.Errorf("rate %.0f tokens/s after 10 s, fixed %.3f s", r.Rate(), r.Fixed())
+				t.Errorf("rate %.0f tokens/s after 10 s, fixed %.3f s", r.Rate(), r.FixedSeconds())
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 // One of six engines turns three times as slow for some seconds. It must be known to be
 // slow within three seconds, the others not to be, and be trusted again afterwards.
 func TestSlowEngineIsKnownAndTrustedAgain(t *testing.T) {
-	r, draw := NewReading(30000), rand.New(rand.NewPCG(3, 4))
+	r, draw := NewPrefillModel(30000), rand.New(rand.NewPCG(3, 4))
 	var engines []*engine
 	for range 6 {
 		engines = append(engines, &engine{fixed: 50 * time.Millisecond, rate: 60000, slower: 1})
@@ -90,7 +90,7 @@
 
 // An engine that was slow gets nothing, so that no answer tells of its recovery.
 func TestUnusedEngineIsTriedAgain(t *testing.T) {
-	var f Factor
+	var f SlowdownFactor
 	for range 100 {
 		f.move(0, 1)
 	}
@@ -105,8 +105,8 @@
 // One answer in ten takes thirty times as long as it should: a cut link, a pause. The
 // figures must hold.
 func TestOutliersTeachLittle(t *testing.T) {
-	r, draw := NewReading(30000), rand.New(rand.NewPCG(5, 6))
-	var f Factor
+	r, draw := NewPrefillModel(30000), rand.New(rand.NewPCG(5, 6))
+	var f SlowdownFactor
 	for n := range 2000 {
 		tokens := 500 + 10000*draw.Float64()
 		seconds := 0.05 + tokens/60000
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -81,8 +81,8 @@
 		switch {
 		case s.wants.Leaving:
 			closed[s.pb.Incarnation] = math.MaxInt64
-		case s.wants.Resting(r.now):
-			closed[s.pb.Incarnation] = s.wants.RestUntil()
+		case s.wants.BackingOff(r.now):
+			closed[s.pb.Incarnation] = s.wants.BackoffUntil()
 		}
 	}
 	return closed
--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -23,8 +23,8 @@
 		attempt: ev.Attempt, done: ev.Offset, waitsSince: r.now,
 		maxRuns: ev.MaxRuns, endsInTime: ev.EndsInTime, aim: ev.Work.FirstTokenBy,
 	}
-	q.work.Pace = r.speeds.paceOf(r.servers.sorted, &q.work)
-	r.extra.Arrived(r.now, ev.Work.Service)
+	q.work.EngineSpeed = r.speeds.paceOf(r.servers.sorted, &q.work)
+	r.extra.RecordArrival(r.now, ev.Work.Service)
 	r.miss(&q.work)
 	if ev.Attempt > 0 {
 		q.attempt = (ev.Attempt/attemptHop + 1) * attemptHop
@@ -37,7 +37,7 @@
 		return
 	}
 	r.requests[id] = q
-	if s := r.servers.life(ev.Server, ev.Incarnation); s != nil && s.wants.Take(r.now) {
+	if s := r.servers.life(ev.Server, ev.Incarnation); s != nil && s.wants.TrySend(r.now) {
 		r.dispatch(q, s, placement.Choice{Reason: "goes on where it runs"}, true)
 		return
 	}
@@ -84,5 +84,5 @@
 }
 
 func anyServesInTime(fleet *decision.Fleet, w *decision.Work) bool {
-	return slices.ContainsFunc(fleet.Servers, func(s decision.Server) bool { return s.ServesInTime(w) })
+	return slices.ContainsFunc(fleet.Servers, func(s decision.Server) bool { return s.ServesNowOrLater(w) })
 }
--- a/internal/entry/authorize_test.go
+++ b/internal/entry/authorize_test.go
@@ -114,7 +114,7 @@
 	w.declares(members, prefillers(2, 1)...)
 	w.relayed("r1", func(a *Arrived) {
 		a.Credential, a.MembersOnly = "key-1", true
-		a.Work.PromptTokens, a.Work.Pace.MoveRate = 17000, 2e6
+		a.Work.PromptTokens, a.Work.EngineSpeed.KVTransferRate = 17000, 2e6
 	})
 	d := w.dispatched()
 	w.declares(nil, prefillers(2, 1)...)
--- a/internal/entry/crowd_test.go
+++ b/internal/entry/crowd_test.go
@@ -29,7 +29,7 @@
 	worlds  []*world
 	dead    map[string]bool
 	later   []laterStep
-	says    func(server string) backpressure.Word
+	says    func(server string) backpressure.Signal
 	works   time.Duration
 	arrived map[string][]arrivalAt
 	// told is when each entry first passed on an answer with a limit, by server and entry.
@@ -61,7 +61,7 @@
 	message              string
 }
 
-func newCrowd(t *testing.T, entries int, servers []*pb.BackendServer, says func(string) backpressure.Word) *crowd {
+func newCrowd(t *testing.T, entries int, servers []*pb.BackendServer, says func(string) backpressure.Signal) *crowd {
 	c := &crowd{
 		t: t, now: second, dead: make(map[string]bool), says: says, works: 30 * time.Millisecond,
 		arrived: make(map[string][]arrivalAt), told: make(map[string]map[string]time.Duration),
@@ -129,7 +129,7 @@
 		c.arrived[server] = append(c.arrived[server], arrivalAt{c.now, known && c.now-told >= second/2})
 		c.at(c.works, func() {
 			word := c.says(server)
-			if word.Rate > 0 {
+			if word.RateLimit > 0 {
 				c.tell(server, w.r.cfg.Identity.Name)
 			}
 			c.step(w, ServerSaid{Server: server, Incarnation: "life-1", Answered: true, SentAt: sent, Word: word})
@@ -228,7 +228,7 @@
 	c.refreshSum(w)
 	a := w.arrival(fmt.Sprintf("r%d.%d", c.now, c.sent), "")
 	a.EndsInTime, a.MaxRuns = true, 2
-	a.Work.FirstTokenBy, a.Work.FinishBy, a.Work.LateIsOfUse = c.now+400*time.Millisecond, c.now+4*second, true
+	a.Work.FirstTokenBy, a.Work.FinishBy, a.Work.SoftFirstTokenDeadline = c.now+400*time.Millisecond, c.now+4*second, true
 	if c.change != nil {
 		c.change(&a)
 	}
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -87,7 +87,7 @@
 	if choice.Server != nil {
 		q.unread, q.before = choice.Unread+q.done, choice.Before
 	}
-	tokens := decision.Tokens{Prefill: q.unread, Decode: q.decodeLeft(), KV: context + q.decodeLeft()}
+	tokens := decision.RequestTokens{Prefill: q.unread, Decode: q.decodeLeft(), KV: context + q.decodeLeft()}
 	if choice.Prefill != nil {
 		tokens.Prefill = 0
 	}
@@ -122,7 +122,7 @@
 	q.prefill = p
 	p.running = append(p.running, q.work.RequestID)
 	p.cache.usedAt = r.now
-	reading := decision.Tokens{Prefill: q.unread, KV: q.work.PromptTokens + q.done}
+	reading := decision.RequestTokens{Prefill: q.unread, KV: q.work.PromptTokens + q.done}
 	p.since = append(p.since, sentWork{r.now, reading})
 	p.usual.add(reading)
 	p.sends.add(r.now)
@@ -157,7 +157,7 @@
 		source = SourceAnswers
 		ages = append(ages, Figure{Name: "report_age_ms", Value: float64((r.now - s.reportedAt).Milliseconds())})
 	}
-	age, known := r.peers.heard.Age(r.now)
+	age, known := r.peers.heard.OldestAge(r.now)
 	if !known || s.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL {
 		return source, ages
 	}
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -76,7 +76,7 @@
 func (r *Reducer) settle(q *request, s *server, ev AttemptEnded) {
 	switch {
 	case ev.Whole:
-		r.decide.admission.Served(q.work.Profile, q.retryBudget)
+		r.decide.admission.RecordServed(q.work.Profile, q.retryBudget)
 		r.suspects.cleared(q)
 		r.finish(q)
 	case ev.Invalid:
@@ -125,7 +125,7 @@
 	if ev.Outcome != outcome.Ran {
 		s.fail(r.now)
 	}
-	if q.attempts >= maxCallAttempts || !r.decide.admission.Retry(q.work.Profile) {
+	if q.attempts >= maxCallAttempts || !r.decide.admission.AllowRetry(q.work.Profile) {
 		r.refuse(q, refuseFailed())
 		return
 	}
@@ -137,7 +137,7 @@
 // either, or the engine is gone, another engine goes on from the tokens so far.
 func (r *Reducer) goOn(q *request, s *server, ev AttemptEnded) {
 	gone := ev.ServerDied || ev.StreamUnknown || ev.AtPrefill || r.cfg.BreakEnds
-	if !gone && q.reconnects < maxReconnects && s.wants.Take(r.now) {
+	if !gone && q.reconnects < maxReconnects && s.wants.TrySend(r.now) {
 		q.reconnects++
 		r.dispatch(q, s, placement.Choice{Reason: "fresh connection"}, true)
 		return
@@ -150,7 +150,7 @@
 		r.emit(Cancel{RequestID: q.work.RequestID, Attempt: q.engineAttempt, Address: s.pb.Address})
 	}
 	q.reconnects = 0
-	if !r.decide.admission.Retry(q.work.Profile) {
+	if !r.decide.admission.AllowRetry(q.work.Profile) {
 		q.notBefore = r.now + retryPause
 	}
 	r.waitAgain(q)
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -37,7 +37,7 @@
 	// that Word is what the server said with it of the work that it wants.
 	Answered bool
 	SentAt   time.Duration
-	Word     backpressure.Word
+	Word     backpressure.Signal
 }
 
 // PermitAsked is another entry's question for permits; it is answered with an AnswerPermit of
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -53,24 +53,24 @@
 // request holds none.
 func (r *Reducer) mayTake(q *request, s *server) bool {
 	return s.mayTakeWork(r.now, r.stale()) ||
-		q != nil && q.reserved == s && s.inUse(r.now, r.stale()) && !s.wants.Resting(r.now)
+		q != nil && q.reserved == s && s.inUse(r.now, r.stale()) && !s.wants.BackingOff(r.now)
 }
 
 func (r *Reducer) newFleet(q *request, allowed func(*server) bool) decision.Fleet {
 	f := decision.Fleet{
 		DataCentre: r.cfg.Identity.DataCentre, Entries: max(1, len(r.view.entries)),
-		PartsReported: r.peers.known(r) >= mostPeers,
+		PrefixReportsEnabled: r.peers.known(r) >= mostPeers,
 	}
 	f.Servers = make([]decision.Server, 0, len(r.servers.sorted))
 	stale, deal := r.stale(), r.peers.group.dealer(r.now)
 	for _, s := range r.servers.sorted {
 		usable := r.mayTake(q, s) && allowed(s)
 		server := r.decisionServer(s, usable)
-		if s.wants.Bounded(r.now) {
-			server.Rate, server.OpensIn = s.wants.Limit.Rate(), s.wants.OpensIn(r.now)
-			server.Closed = !usable && s.inUse(r.now, stale) && allowed(s)
+		if s.wants.Limited(r.now) {
+			server.RateLimit, server.AvailableIn = s.wants.Limit.Rate(), s.wants.AvailableIn(r.now)
+			server.Throttled = !usable && s.inUse(r.now, stale) && allowed(s)
 		}
-		server.OthersFirst = deal.othersFirst(s.pb)
+		server.PreferredByOtherGroup = deal.othersFirst(s.pb)
 		f.Servers = append(f.Servers, server)
 	}
 	return f
@@ -80,7 +80,7 @@
 	running, waiting := s.others.Estimate(r.now, *s.usualOfRole)
 	fixed := 0.0
 	if r.speeds.learns(s) {
-		fixed = r.speeds.reading(s).Fixed() * s.slowness.Value(r.now)
+		fixed = r.speeds.reading(s).FixedSeconds() * s.slowness.Value(r.now)
 	}
 	return decision.Server{
 		ID: s.pb.Id, Incarnation: s.pb.Incarnation, Address: s.pb.Address,
@@ -89,9 +89,9 @@
 		// A plain service does all of its work, as a mixed engine does.
 		Role:   cmp.Or(wire.Role(s.pb.Role), engineapi.RoleMixed),
 		Usable: usable, Slots: int(s.pb.Slots), Load: r.loadOf(s), ReportedAt: s.reportedAt,
-		CountsOnly: s.countsOnly(), OthersRunning: running, OthersWaiting: waiting,
-		Peers: r.peers.heard.At(r.now, s.pb.Id), PeersKnown: r.peers.known(r),
-		FixedReading: fixed, UsualUnread: s.usual.unread, UsualKV: s.usual.kv, Sent: r.sent(s),
+		ReportsCountsOnly: s.countsOnly(), EstimatedPeerRunning: running, EstimatedPeerWaiting: waiting,
+		PeerBacklog: r.peers.heard.BacklogAt(r.now, s.pb.Id), PeerCoverage: r.peers.known(r),
+		PrefillOverheadSeconds: fixed, MeanPrefillTokens: s.usual.unread, MeanKVTokens: s.usual.kv, InFlight: r.sent(s),
 	}
 }
 
@@ -118,13 +118,13 @@
 	return load
 }
 
-func (r *Reducer) sent(s *server) decision.Sent {
-	sent := decision.Sent{Requests: len(s.running)}
+func (r *Reducer) sent(s *server) decision.InFlight {
+	sent := decision.InFlight{Requests: len(s.running)}
 	for _, id := range s.running {
 		q := r.requests[id]
 		if s == q.prefiller() {
 			sent.PrefillTokens += q.prefillLeft()
-			sent.Unread.Put(q.work.Rank, q.prefillLeft())
+			sent.PrefillBacklog.AddTokens(q.work.Rank, q.prefillLeft())
 			if q.work.Class != declaration.ClassBulk {
 				sent.UrgentPrefillTokens += q.prefillLeft()
 			}
@@ -133,10 +133,10 @@
 		sent.KVTokens += q.work.PromptTokens + q.work.OutputTokens
 	}
 	for _, w := range s.since {
-		sent.SinceRequests++
-		sent.SincePrefillTokens += w.tokens.Prefill
-		sent.SinceDecodeTokens += w.tokens.Decode
-		sent.SinceKVTokens += w.tokens.KV
+		sent.RequestsSinceReport++
+		sent.PrefillTokensSinceReport += w.tokens.Prefill
+		sent.DecodeTokensSinceReport += w.tokens.Decode
+		sent.KVTokensSinceReport += w.tokens.KV
 	}
 	return sent
 }
--- a/internal/entry/full_test.go
+++ b/internal/entry/full_test.go
@@ -106,7 +106,7 @@
 func (s *fullServer) call(n int) Arrived {
 	id := fmt.Sprintf("call-%d", n)
 	a := s.arrival(id, "")
-	a.EndsInTime, a.Work.LateIsOfUse = true, true
+	a.EndsInTime, a.Work.SoftFirstTokenDeadline = true, true
 	a.Work.Kind, a.Work.Class, a.Work.Service, a.Work.Model = declaration.KindPlain, declaration.ClassLookup, "lookups", ""
 	a.Work.PromptTokens, a.Work.OutputTokens = 0, 0
 	a.Work.FirstTokenBy = s.now + 150*time.Millisecond
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -122,7 +122,7 @@
 	formed, aggregated := g.formed, g.aggregates
 	g.form(r.view.sortedEntries(), r.cfg.Identity)
 	if g.formed != formed || g.aggregates != aggregated {
-		r.peers.heard, g.from = decision.NewPeers(), ""
+		r.peers.heard, g.from = decision.NewPeerReports(), ""
 		r.peers.changed = true
 	}
 }
@@ -192,7 +192,7 @@
 // validFor is how long a report of these servers counts.
 func (g *group) validFor(servers []*pb.ServerBacklog) time.Duration {
 	if g.formed && len(servers) == 0 {
-		return decision.IdleReportFor
+		return decision.IdlePeerReportTTL
 	}
-	return decision.PeerReportFor
+	return decision.PeerReportTTL
 }
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -244,7 +244,7 @@
 	}
 	idle("idle")
 	idle("busy", &pb.ServerBacklog{Server: "engine-0", Requests: 1})
-	sums.after(idleReportAgain + decision.PeerReportFor)
+	sums.after(idleReportAgain + decision.PeerReportTTL)
 	if sum := sums.askedBy(member, 0); sum.Entries != 2 {
 		t.Errorf("%d entries known, want the idle one and the aggregator", sum.Entries)
 	}
--- a/internal/entry/late.go
+++ b/internal/entry/late.go
@@ -18,7 +18,7 @@
 	}
 	own := time.Duration(choice.Own * float64(time.Second))
 	first := time.Duration(choice.First * float64(time.Second))
-	after, late := admission.Late(&q.work, first-own, own)
+	after, late := admission.LateFromBacklog(&q.work, first-own, own)
 	if !late {
 		return nil
 	}
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -10,7 +10,7 @@
 )
 
 // answered lets engine-0 answer a request with that word.
-func (w *world) answered(word backpressure.Word) {
+func (w *world) answered(word backpressure.Signal) {
 	w.step(ServerSaid{
 		Server: "engine-0", Incarnation: "life-1", Answered: true, SentAt: w.now, Word: word,
 		State: engineapi.StateServing, HasLoad: true,
@@ -21,9 +21,9 @@
 func TestLeavingSaidInAnAnswerIsFinal(t *testing.T) {
 	w := relayedWorld(t)
 	w.view(serving(1)...)
-	w.answered(backpressure.Word{Leaving: true})
+	w.answered(backpressure.Signal{Leaving: true})
 	for _, then := range []func(){
-		func() { w.answered(backpressure.Word{}) },
+		func() { w.answered(backpressure.Signal{}) },
 		func() { w.said(0, engineapi.StateServing) },
 		func() { w.view(); w.view(serving(1)...) },
 		func() { w.after(maxLease) },
@@ -58,7 +58,7 @@
 	}
 	direct := relayedWorld(t)
 	direct.viewWithPeers(2, serving(2)...)
-	direct.answered(backpressure.Word{Leaving: true})
+	direct.answered(backpressure.Signal{Leaving: true})
 	direct.relayed("r1", nil)
 	direct.after(second)
 	for _, report := range pick[ReportToPeers](direct.renew()) {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -42,27 +42,27 @@
 
 // heardWord takes what a server said of the work that it wants, with an answer to a request
 // that was sent at that time.
-func (r *Reducer) heardWord(s *server, sent time.Duration, word backpressure.Word) {
-	if word.Unclear != "" && word.Unclear != s.wants.Unclear {
+func (r *Reducer) heardWord(s *server, sent time.Duration, word backpressure.Signal) {
+	if word.Malformed != "" && word.Malformed != s.wants.Malformed {
 		r.logLimit(s, "said what can't be read of the work that it wants", s.wants.Limit.Rate())
 	}
 	if word.Leaving {
 		r.heardLeaving(s, "says in an answer that it leaves")
 	}
-	if word.Rest > 0 {
-		r.heardRest(s, word.Rest)
+	if word.Backoff > 0 {
+		r.heardRest(s, word.Backoff)
 	}
-	s.wants.Unclear = word.Unclear
-	if word.Unclear != "" && word.Rate == 0 {
+	s.wants.Malformed = word.Malformed
+	if word.Malformed != "" && word.RateLimit == 0 {
 		return
 	}
-	r.heardLimit(s, r.now, sent, word.Rate)
+	r.heardLimit(s, r.now, sent, word.RateLimit)
 }
 
 // heardLimit takes the limit of an answer that came at that time to a request sent at sent.
 func (r *Reducer) heardLimit(s *server, at, sent time.Duration, rate float64) bool {
 	before := s.wants.Limit.Rate()
-	if !s.wants.Limit.Hear(at, sent, rate) {
+	if !s.wants.Limit.Update(at, sent, rate) {
 		return false
 	}
 	s.limitIsNew, s.limitSent = true, sent
@@ -86,7 +86,7 @@
 
 // heardRest leaves a server alone for as long as it asks for.
 func (r *Reducer) heardRest(s *server, rest time.Duration) {
-	s.wants.Rest(r.now, rest)
+	s.wants.BackOff(r.now, rest)
 	r.sharedFleet, r.dirty = nil, true
 	r.servers.findBounded(r.now)
 	r.logRest(s, rest)
@@ -145,7 +145,7 @@
 	l := &s.wants.Limit
 	return &pb.ServerWord{
 		Server: s.pb.Id, IncarnationHash: s.lifeHash(), Rate: l.Rate(),
-		AgeMs: uint32((r.now - l.HeardAt()).Milliseconds()), SentAgeMs: uint32((r.now - s.limitSent).Milliseconds()),
+		AgeMs: uint32((r.now - l.ReceivedAt()).Milliseconds()), SentAgeMs: uint32((r.now - s.limitSent).Milliseconds()),
 	}
 }
 
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -10,12 +10,12 @@
 )
 
 // limiting says that engine-0 takes so many requests a second.
-func limiting(rate float64) func(string) backpressure.Word {
-	return func(server string) backpressure.Word {
+func limiting(rate float64) func(string) backpressure.Signal {
+	return func(server string) backpressure.Signal {
 		if server == "engine-0" {
-			return backpressure.Word{Rate: rate}
+			return backpressure.Signal{RateLimit: rate}
 		}
-		return backpressure.Word{}
+		return backpressure.Signal{}
 	}
 }
 
@@ -88,13 +88,13 @@
 // Guards against an engine whose limit holds for what it runs, but not for what it reads for others.
 func TestReadingForOthersCountsAgainstALimit(t *testing.T) {
 	const rate = 4.0
-	c := newCrowd(t, 3, prefillers(2, 1), func(server string) backpressure.Word {
+	c := newCrowd(t, 3, prefillers(2, 1), func(server string) backpressure.Signal {
 		if server == "engine-2" {
-			return backpressure.Word{Rate: rate}
+			return backpressure.Signal{RateLimit: rate}
 		}
-		return backpressure.Word{}
+		return backpressure.Signal{}
 	})
-	c.change = func(a *Arrived) { a.Work.PromptTokens, a.Work.Pace.MoveRate = 17000, 2e6 }
+	c.change = func(a *Arrived) { a.Work.PromptTokens, a.Work.EngineSpeed.KVTransferRate = 17000, 2e6 }
 	c.play(10*second, 30)
 	if got := c.most("engine-2"); got > allowed(rate) || got < 4 {
 		t.Errorf("the engine that reads got %d requests in 4 s, at most %d", got, allowed(rate))
@@ -107,11 +107,11 @@
 // Guards against work that waits, unheard, for engines in need because others, which only read
 // prompts, are free.
 func TestEnginesThatOnlyReadOpenNothing(t *testing.T) {
-	c := newCrowd(t, 6, prefillers(2, 2), func(server string) backpressure.Word {
+	c := newCrowd(t, 6, prefillers(2, 2), func(server string) backpressure.Signal {
 		if server == "engine-0" || server == "engine-1" {
-			return backpressure.Word{Rate: 2}
+			return backpressure.Signal{RateLimit: 2}
 		}
-		return backpressure.Word{}
+		return backpressure.Signal{}
 	})
 	c.play(9*second, 60)
 	if len(c.refused) == 0 || c.longest > second {
@@ -122,7 +122,7 @@
 // limited tells an entry of a limit by an answer.
 func (w *world) limited(i int, sent time.Duration, rate float64) {
 	w.step(ServerSaid{
-		Server: fmt.Sprintf("engine-%d", i), Incarnation: "life-1", Answered: true, SentAt: sent, Word: backpressure.Word{Rate: rate},
+		Server: fmt.Sprintf("engine-%d", i), Incarnation: "life-1", Answered: true, SentAt: sent, Word: backpressure.Signal{RateLimit: rate},
 	})
 }
 
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -195,7 +195,7 @@
 	g := &r.peers.group
 	own := deal.groupOf(s.pb) == deal.own
 	switch {
-	case s.wants.Leaving, s.wants.Resting(r.now):
+	case s.wants.Leaving, s.wants.BackingOff(r.now):
 		return false
 	case s.failures > 0:
 		return true
--- a/internal/entry/lives.go
+++ b/internal/entry/lives.go
@@ -10,17 +10,17 @@
 // Failure: a late heartbeat, or a control replica that has fallen behind, brings a server back
 // that the view had dropped. It is the same life, and what it said counts on.
 type livesEnded struct {
-	wants map[string]*backpressure.State
+	wants map[string]*backpressure.ServerState
 	order []string
 }
 
 // keep keeps the word of a server that is dropped; nil and those without a word are passed over.
 func (l *livesEnded) keep(s *server) {
-	if s == nil || !s.wants.Known() {
+	if s == nil || !s.wants.HasSignal() {
 		return
 	}
 	if l.wants == nil {
-		l.wants = make(map[string]*backpressure.State)
+		l.wants = make(map[string]*backpressure.ServerState)
 	}
 	life := s.pb.Incarnation
 	if l.wants[life] == nil {
@@ -34,11 +34,11 @@
 }
 
 // take gives what a life of a server is known to want.
-func (l *livesEnded) take(life string) *backpressure.State {
+func (l *livesEnded) take(life string) *backpressure.ServerState {
 	if known := l.wants[life]; known != nil {
 		return known
 	}
-	return &backpressure.State{}
+	return &backpressure.ServerState{}
 }
 
 // keepEnded keeps the words of all servers that a whole view may leave out.
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -44,7 +44,7 @@
 
 // peerBacklogs is what entries report to each other of their work at backend servers.
 type peerBacklogs struct {
-	heard *decision.Peers
+	heard *decision.PeerReports
 	group group
 	live  liveness
 	// news is how much reading at engines has begun or ended for this entry since its last report;
@@ -68,8 +68,8 @@
 
 // read notes that a server has read a prompt, for the next report.
 func (p *peerBacklogs) read(server string, w *decision.Work) {
-	if decision.PartsTold(w) {
-		p.noteRead(&pb.PartsRead{Server: server, Chain: w.Prefix[:w.Shared]})
+	if decision.ReportsPrefix(w) {
+		p.noteRead(&pb.PartsRead{Server: server, Chain: w.Prefix[:w.SharedBlocks]})
 	}
 }
 
@@ -82,11 +82,11 @@
 	p.group.reads.add(read)
 }
 
-func newPeerBacklogs() peerBacklogs { return peerBacklogs{heard: decision.NewPeers()} }
+func newPeerBacklogs() peerBacklogs { return peerBacklogs{heard: decision.NewPeerReports()} }
 
 // known is the part of the other entries whose backlogs are known.
 func (p *peerBacklogs) known(r *Reducer) float64 {
-	return p.heard.Known(r.now, len(r.view.entries)-1)
+	return p.heard.Coverage(r.now, len(r.view.entries)-1)
 }
 
 // notePeers writes a line when most of the other entries begin or cease to report.
@@ -141,10 +141,10 @@
 			p.noteRead(read)
 		}
 	}
-	before := p.heard.Unread(req.GetEntry())
-	p.heard.Take(r.now, req.GetEntry(), decision.PeerReport{
+	before := p.heard.PrefillTokens(req.GetEntry())
+	p.heard.Add(r.now, req.GetEntry(), decision.PeerReport{
 		Incarnation: req.GetIncarnation(), Sequence: req.GetSequence(), Entries: 1 + int(req.GetSummed()),
-		Valid: p.group.validFor(req.GetServers()), Servers: backlogsOf(req.GetServers()),
+		TTL: p.group.validFor(req.GetServers()), Servers: backlogsOf(req.GetServers()),
 	})
 	fromMember := p.group.aggregates && req.GetSummed() == 0
 	r.heardDied(req.GetDied(), fromMember)
@@ -153,7 +153,7 @@
 	r.heardOthersLeaving(req.GetLeaving(), fromMember)
 	// What one aggregator tells another goes no further.
 	p.changed = p.changed || fromMember
-	if more := p.heard.Unread(req.GetEntry()) - before; fromMember && more > 0 && r.speeds.assumed.PrefillRate > 0 {
+	if more := p.heard.PrefillTokens(req.GetEntry()) - before; fromMember && more > 0 && r.speeds.assumed.PrefillRate > 0 {
 		p.news += time.Duration(float64(more) / r.speeds.assumed.PrefillRate * float64(time.Second))
 	}
 	r.sharedFleet = nil
@@ -162,9 +162,9 @@
 func backlogsOf(list []*pb.ServerBacklog) map[string]decision.Backlog {
 	servers := make(map[string]decision.Backlog, len(list))
 	for _, s := range list {
-		b := decision.Backlog{Requests: int(s.GetRequests()), KV: int(s.GetCacheTokens())}
+		b := decision.Backlog{Requests: int(s.GetRequests()), KVTokens: int(s.GetCacheTokens())}
 		for rank, tokens := range s.GetUnreadTokens() {
-			b.Unread.Put(rank, int(tokens))
+			b.PrefillBacklog.AddTokens(rank, int(tokens))
 		}
 		servers[s.GetServer()] = b
 	}
@@ -247,17 +247,17 @@
 
 func (r *Reducer) backlogAt(s *server) decision.Backlog {
 	sent := r.sent(s)
-	return decision.Backlog{Requests: sent.Requests, Unread: sent.Unread, KV: sent.KVTokens}
+	return decision.Backlog{Requests: sent.Requests, PrefillBacklog: sent.PrefillBacklog, KVTokens: sent.KVTokens}
 }
 
 func backlogProto(server string, b decision.Backlog) *pb.ServerBacklog {
 	return &pb.ServerBacklog{
-		Server: server, Requests: uint32(b.Requests), UnreadTokens: unreadByRank(&b.Unread), CacheTokens: uint64(b.KV),
+		Server: server, Requests: uint32(b.Requests), UnreadTokens: unreadByRank(&b.PrefillBacklog), CacheTokens: uint64(b.KVTokens),
 	}
 }
 
 // unreadByRank leaves out the ranks after the last that has any.
-func unreadByRank(u *decision.Unread) []uint64 {
+func unreadByRank(u *decision.PrefillBacklog) []uint64 {
 	var list []uint64
 	for rank, tokens := range u {
 		if tokens > 0 {
--- a/internal/entry/permits.go
+++ b/internal/entry/permits.go
@@ -32,14 +32,14 @@
 // permits is what the entry keeps for the limits of servers.
 type permits struct {
 	// schedules are those that it keeps for all entries.
-	schedules map[lifeKey]*backpressure.Schedule
+	schedules map[lifeKey]*backpressure.PermitSchedule
 	// silentUntil is until when entries that gave no answers are passed by, by address.
 	silentUntil map[string]time.Duration
 }
 
 func newPermits() permits {
 	return permits{
-		schedules: make(map[lifeKey]*backpressure.Schedule), silentUntil: make(map[string]time.Duration),
+		schedules: make(map[lifeKey]*backpressure.PermitSchedule), silentUntil: make(map[string]time.Duration),
 	}
 }
 
@@ -76,7 +76,7 @@
 // seek notes that a request finds servers closed that could run it.
 func (r *Reducer) seek(w *decision.Work) {
 	r.closedFor(w, func(s *server) {
-		if s.wants.Limit.Wants(r.now) {
+		if s.wants.Limit.ShouldRequest(r.now) {
 			s.sought++
 		}
 	})
@@ -88,7 +88,7 @@
 // closedFor calls f for each server that could run the work, were it not closed.
 func (r *Reducer) closedFor(w *decision.Work, f func(*server)) {
 	for _, s := range r.servers.bounded {
-		if s.wants.Limit.Open(r.now) || s.wants.Resting(r.now) || !s.inUse(r.now, r.stale()) {
+		if s.wants.Limit.CanSend(r.now) || s.wants.BackingOff(r.now) || !s.inUse(r.now, r.stale()) {
 			continue
 		}
 		if d := r.decisionServer(s, true); d.Serves(w) {
@@ -101,10 +101,10 @@
 func (r *Reducer) askPermits() {
 	opened := false
 	for _, s := range r.servers.bounded {
-		if s.sought > 0 && s.wants.Limit.Wants(r.now) {
+		if s.sought > 0 && s.wants.Limit.ShouldRequest(r.now) {
 			r.askPermit(s, min(max(s.sought, s.missed), maxSought(s.wants.Limit.Rate())))
 			s.missed = 0
-			opened = opened || s.wants.Open(r.now)
+			opened = opened || s.wants.CanSend(r.now)
 		}
 		s.sought = 0
 	}
@@ -117,13 +117,13 @@
 func (r *Reducer) askPermit(s *server, wanted int) {
 	l := &s.wants.Limit
 	hash := s.lifeHash()
-	ask := backpressure.Ask{Entry: r.cfg.Identity.GetName(), Rate: l.Rate(), WordAt: l.HeardAt(), Wanted: wanted}
+	ask := backpressure.GrantRequest{Entry: r.cfg.Identity.GetName(), Rate: l.Rate(), SignalAt: l.ReceivedAt(), Wanted: wanted}
 	name, address := r.keeper(s.pb.Id)
 	if name != "" && name != r.cfg.Identity.GetName() {
-		l.Asked()
+		l.MarkRequested()
 		r.emit(AskPermit{Address: address, Server: s.pb.Id, Incarnation: s.pb.Incarnation, Request: &pb.PermitRequest{
 			ClusterId: r.cfg.Cluster, Entry: ask.Entry, Server: s.pb.Id, IncarnationHash: hash, Rate: ask.Rate,
-			AgeMs: uint32((r.now - ask.WordAt).Milliseconds()), Wanted: uint32(wanted),
+			AgeMs: uint32((r.now - ask.SignalAt).Milliseconds()), Wanted: uint32(wanted),
 		}})
 		return
 	}
@@ -131,13 +131,13 @@
 		ask.Rate /= float64(max(1, len(r.view.entries)))
 	}
 	a := r.schedule(lifeKey{s.pb.Id, hash}).Grant(r.now, ask)
-	l.Granted(r.now, a.In, a.Again)
+	l.ApplyGrant(r.now, a.Delays, a.NextRequestIn)
 }
 
-func (r *Reducer) schedule(key lifeKey) *backpressure.Schedule {
+func (r *Reducer) schedule(key lifeKey) *backpressure.PermitSchedule {
 	s := r.permits.schedules[key]
 	if s == nil {
-		s = &backpressure.Schedule{}
+		s = &backpressure.PermitSchedule{}
 		r.permits.schedules[key] = s
 	}
 	return s
@@ -165,11 +165,11 @@
 		r.emit(AnswerPermit{Key: ev.Key})
 		return
 	}
-	a := r.schedule(lifeKey{req.GetServer(), req.GetIncarnationHash()}).Grant(r.now, backpressure.Ask{
-		Entry: req.GetEntry(), Rate: req.GetRate(), WordAt: r.now - ageOf(req.GetAgeMs()), Wanted: min(int(req.GetWanted()), maxSought(req.GetRate())),
+	a := r.schedule(lifeKey{req.GetServer(), req.GetIncarnationHash()}).Grant(r.now, backpressure.GrantRequest{
+		Entry: req.GetEntry(), Rate: req.GetRate(), SignalAt: r.now - ageOf(req.GetAgeMs()), Wanted: min(int(req.GetWanted()), maxSought(req.GetRate())),
 	})
-	answer := &pb.PermitAnswer{AgainMs: uint32(a.Again.Milliseconds())}
-	for _, in := range a.In {
+	answer := &pb.PermitAnswer{AgainMs: uint32(a.NextRequestIn.Milliseconds())}
+	for _, in := range a.Delays {
 		answer.InMs = append(answer.InMs, uint32(in.Milliseconds()))
 	}
 	r.emit(AnswerPermit{Key: ev.Key, Answer: answer})
@@ -185,7 +185,7 @@
 	for _, ms := range ev.Answer.GetInMs() {
 		in = append(in, ageOf(ms))
 	}
-	s.wants.Limit.Granted(r.now, in, ageOf(ev.Answer.GetAgainMs()))
+	s.wants.Limit.ApplyGrant(r.now, in, ageOf(ev.Answer.GetAgainMs()))
 	r.sharedFleet = nil
 	r.startWaiting()
 	r.refuseClosed()
@@ -198,7 +198,7 @@
 	if s == nil {
 		return
 	}
-	s.wants.Limit.Unanswered()
+	s.wants.Limit.RequestFailed()
 	s.sought++
 	r.emit(LogDecision{Kind: LogPeers, Reason: "no answer to a question for permits; another entry is asked", Server: ev.Address})
 }
@@ -208,13 +208,13 @@
 func (r *Reducer) pass(q *request, choice *placement.Choice) bool {
 	first := r.servers.byID[choice.Server.ID]
 	if choice.Prefill != nil {
-		if !first.wants.Take(r.now) {
+		if !first.wants.TrySend(r.now) {
 			return false
 		}
 		q.reserved = first
 		first = r.servers.byID[choice.Prefill.ID]
 	}
-	return first.wants.Take(r.now)
+	return first.wants.TrySend(r.now)
 }
 
 // passDecode takes the permit of the server that decodes a request; false if there is none.
@@ -222,9 +222,9 @@
 	reserved := q.reserved == s
 	q.reserved = nil
 	if reserved {
-		return !s.wants.Resting(r.now)
+		return !s.wants.BackingOff(r.now)
 	}
-	return s.wants.Take(r.now)
+	return s.wants.TrySend(r.now)
 }
 
 // refuseClosed refuses what waits for servers that take no more work until it is too late.
@@ -247,7 +247,7 @@
 	}
 	fleet, w := r.fleet(q), q.work
 	w.FirstTokenBy = q.aim
-	after, closed := admission.ClosedTooLong(r.now, &w, &fleet)
+	after, closed := admission.ThrottledPastDeadline(r.now, &w, &fleet)
 	if closed {
 		r.refuse(q, refuseClosed(after))
 	}
--- a/internal/entry/places_test.go
+++ b/internal/entry/places_test.go
@@ -28,7 +28,7 @@
 	for _, rate := range []float64{25000, 112000, 250000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			w := relayedWorld(t)
-			w.r.cfg.MaxStreams, w.r.cfg.Engines = 1000, decision.Pace{PrefillRate: rate, TokenTime: 5 * time.Millisecond}
+			w.r.cfg.MaxStreams, w.r.cfg.Engines = 1000, decision.EngineSpeed{PrefillRate: rate, TokenTime: 5 * time.Millisecond}
 			w.r.speeds = newSpeeds(w.r.cfg.Engines)
 			servers := prefillers(decoders, readers)
 			for _, s := range servers {
@@ -69,7 +69,7 @@
 			id := fmt.Sprint("r", len(arrived))
 			arrived[id] = w.now
 			take(w.relayed(id, func(a *Arrived) {
-				a.Work.PromptTokens, a.Work.Pace.MoveRate, a.Work.FinishBy = tokens, 1e8, w.now+8*second
+				a.Work.PromptTokens, a.Work.EngineSpeed.KVTransferRate, a.Work.FinishBy = tokens, 1e8, w.now+8*second
 			}))
 			next += every
 		}
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -41,10 +41,10 @@
 	// they go on, and a fresh connection can take it up.
 	BreakEnds bool
 	// Engines is what is assumed of engines that report no rates.
-	Engines decision.Pace
+	Engines decision.EngineSpeed
 	// Extra bounds what is sent beyond the first send of each request, over all
 	// entries; nil: only the profiles' retry budgets count.
-	Extra *admission.ExtraLimit
+	Extra *admission.ResendLimit
 	// Usage says how members' requests are counted.
 	Usage UsageConfig
 	// Credentials says how long callers' credentials count without control's word.
@@ -67,7 +67,7 @@
 	// held is accepted work that does not wait in the queue.
 	held []*request
 	// extra is nil where Config.Extra is.
-	extra   *admission.Extra
+	extra   *admission.ResendLimiter
 	report  reportBuffer
 	usage   usageBook
 	leaving bool
@@ -106,7 +106,7 @@
 		permits:  newPermits(),
 		report:   newReportBuffer(),
 		usage:    newUsageBook(cfg.Usage, cfg.Identity.GetName()),
-		extra:    admission.NewExtra(cfg.Extra),
+		extra:    admission.NewResendLimiter(cfg.Extra),
 	}
 }
 
--- a/internal/entry/relayed_test.go
+++ b/internal/entry/relayed_test.go
@@ -17,9 +17,9 @@
 func relayedWorld(t fataler) *world {
 	w := newWorld(t)
 	w.r.cfg.BreakEnds = true
-	w.r.cfg.Engines = decision.Pace{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
+	w.r.cfg.Engines = decision.EngineSpeed{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
 	w.r.speeds = newSpeeds(w.r.cfg.Engines)
-	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
+	w.r.extra = admission.NewResendLimiter(&admission.ResendLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
 	return w
 }
 
@@ -27,7 +27,7 @@
 func (w *world) relayed(id string, change func(*Arrived)) []Effect {
 	a := w.arrival(id, "")
 	a.EndsInTime, a.MaxRuns = true, 2
-	a.Work.FinishBy, a.Work.LateIsOfUse = w.now+4*second, true
+	a.Work.FinishBy, a.Work.SoftFirstTokenDeadline = w.now+4*second, true
 	if change != nil {
 		change(&a)
 	}
@@ -50,7 +50,7 @@
 	w.t.Helper()
 	w.relayed(id, func(a *Arrived) {
 		a.Work.PromptTokens = 17000
-		a.Work.Pace.MoveRate = 2e6
+		a.Work.EngineSpeed.KVTransferRate = 2e6
 	})
 	d := w.dispatched()
 	if d.PrefillServer == "" {
@@ -200,7 +200,7 @@
 // other server, and its clerk is not sent away.
 func TestUnsentRequestIsNoRepeat(t *testing.T) {
 	w := relayedWorld(t)
-	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Window: 10 * second})
+	w.r.extra = admission.NewResendLimiter(&admission.ResendLimit{Window: 10 * second})
 	w.view(serving(2)...)
 	w.relayed("r1", nil)
 	first := w.dispatched()
@@ -245,10 +245,10 @@
 func TestRepeatThatIsPrefilledApartCountsTwice(t *testing.T) {
 	w := relayedWorld(t)
 	// 0.8 of 4 is the allowance of the only entry, and 0.8 of 0.2 for the request.
-	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 4, Window: 10 * second})
+	w.r.extra = admission.NewResendLimiter(&admission.ResendLimit{Ratio: 0.2, Constant: 4, Window: 10 * second})
 	w.view(prefillers(3, 3)...)
 	w.relayed("r1", func(a *Arrived) {
-		a.Work.PromptTokens, a.Work.Pace.MoveRate, a.MaxRuns, a.Work.FinishBy = 17000, 2e6, 10, w.now+60*second
+		a.Work.PromptTokens, a.Work.EngineSpeed.KVTransferRate, a.MaxRuns, a.Work.FinishBy = 17000, 2e6, 10, w.now+60*second
 	})
 	arrivals, beyond := 0, 0
 	for range 8 {
--- a/internal/entry/repeats.go
+++ b/internal/entry/repeats.go
@@ -51,7 +51,7 @@
 	if q.arrivals.paid > 0 {
 		return true
 	}
-	if !r.extra.Take(r.now, q.work.Service, len(r.view.entries)) {
+	if !r.extra.AllowResend(r.now, q.work.Service, len(r.view.entries)) {
 		return false
 	}
 	q.arrivals.paid++
@@ -63,7 +63,7 @@
 func (r *Reducer) payRepeats(q *request, choice *placement.Choice) bool {
 	a := &q.arrivals
 	for a.paid < a.repeats(choice.Prefill != nil) {
-		if r.extra.Take(r.now, q.work.Service, len(r.view.entries)) {
+		if r.extra.AllowResend(r.now, q.work.Service, len(r.view.entries)) {
 			a.paid++
 			continue
 		}
--- a/internal/entry/rest_test.go
+++ b/internal/entry/rest_test.go
@@ -12,7 +12,7 @@
 // rests lets a server turn a request away and ask for rest.
 func (w *world) rests(server string, rest time.Duration) {
 	w.step(ServerSaid{
-		Server: server, Incarnation: "life-1", Answered: true, SentAt: w.now, Word: backpressure.Word{Rest: rest},
+		Server: server, Incarnation: "life-1", Answered: true, SentAt: w.now, Word: backpressure.Signal{Backoff: rest},
 		State: engineapi.StateServing, HasLoad: true,
 	})
 }
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -44,18 +44,18 @@
 	cache   cacheFollower
 	// others estimates other entries' requests there; usual is what a request has
 	// to read and hold there.
-	others decision.Others
+	others decision.PeerLoadEstimator
 	usual  usualWork
 	// usualOfRole is shared by all servers of the role.
-	usualOfRole *decision.Usual
+	usualOfRole *decision.FleetAverage
 	// since sums what was sent after the load was measured.
 	since []sentWork
 	// slowness is how much longer it takes to read than engines of its role do.
-	slowness speed.Factor
+	slowness speed.SlowdownFactor
 	// slow is set while it was last logged as slower than others.
 	slow bool
 	// wants is what it has said of the work that it wants, sends what it was sent lately.
-	wants *backpressure.State
+	wants *backpressure.ServerState
 	sends sendCount
 	// sought counts the requests of this step for which it was closed, missed those that came
 	// since permits were last asked for.
@@ -70,7 +70,7 @@
 
 type sentWork struct {
 	at     time.Duration
-	tokens decision.Tokens
+	tokens decision.RequestTokens
 }
 
 // roleKey names servers that do the same work.
@@ -87,10 +87,10 @@
 	return key
 }
 
-func (t *serverTable) usualOf(p *pb.BackendServer) *decision.Usual {
+func (t *serverTable) usualOf(p *pb.BackendServer) *decision.FleetAverage {
 	key := roleOf(p)
 	if t.usual[key] == nil {
-		t.usual[key] = &decision.Usual{}
+		t.usual[key] = &decision.FleetAverage{}
 	}
 	return t.usual[key]
 }
@@ -100,7 +100,7 @@
 	// sorted holds them in order of id.
 	sorted []*server
 	// usual is what servers have on average, by role and pool.
-	usual map[roleKey]*decision.Usual
+	usual map[roleKey]*decision.FleetAverage
 	// early keeps the own word of servers that the view does not name yet.
 	early map[string]engineapi.Announcement
 	// bounded are those that take less than they have places for, in order of id.
@@ -110,7 +110,7 @@
 
 func newServerTable() serverTable {
 	return serverTable{
-		byID: make(map[string]*server), usual: make(map[roleKey]*decision.Usual), early: make(map[string]engineapi.Announcement),
+		byID: make(map[string]*server), usual: make(map[roleKey]*decision.FleetAverage), early: make(map[string]engineapi.Announcement),
 	}
 }
 
@@ -164,7 +164,7 @@
 func (t *serverTable) findBounded(now time.Duration) {
 	t.bounded = t.bounded[:0]
 	for _, s := range t.sorted {
-		if s.wants.Bounded(now) {
+		if s.wants.Limited(now) {
 			t.bounded = append(t.bounded, s)
 		}
 	}
@@ -206,7 +206,7 @@
 	}
 	s.load, s.reportedAt = load, at
 	s.forgetSent(at)
-	s.others.Reported(now, int(load.Running), int(load.Queued), len(s.running), s.usualOfRole)
+	s.others.Observe(now, int(load.Running), int(load.Queued), len(s.running), s.usualOfRole)
 }
 
 // usualWork averages what this entry's requests had to do at a server.
@@ -218,7 +218,7 @@
 // usualWeight is the weight of a request in the averages.
 const usualWeight = 0.05
 
-func (u *usualWork) add(t decision.Tokens) {
+func (u *usualWork) add(t decision.RequestTokens) {
 	u.count++
 	weight := max(usualWeight, 1/float64(u.count))
 	u.unread += weight * (float64(t.Prefill) - u.unread)
@@ -237,7 +237,7 @@
 
 // mayTakeWork tells whether new work may go to the server: it is in use, and wants more.
 func (s *server) mayTakeWork(now time.Duration, stale bool) bool {
-	return s.inUse(now, stale) && s.wants.Open(now)
+	return s.inUse(now, stale) && s.wants.CanSend(now)
 }
 
 // inUse tells whether new work may go to the server, as far as it wants any.
--- a/internal/entry/speeds.go
+++ b/internal/entry/speeds.go
@@ -12,8 +12,8 @@
 // speeds is what this entry has seen of engines that report no rates, by role.
 type speeds struct {
 	// assumed is what counts before any answer.
-	assumed  decision.Pace
-	readings map[roleKey]*speed.Reading
+	assumed  decision.EngineSpeed
+	readings map[roleKey]*speed.PrefillModel
 	// tokenTimes are for each token of the output that the caller expected, in seconds:
 	// so they need no word on how many tokens one event of a stream holds.
 	tokenTimes map[roleKey]*speed.Median
@@ -27,9 +27,9 @@
 	return min(most, max(least, usual))
 }
 
-func newSpeeds(assumed decision.Pace) speeds {
+func newSpeeds(assumed decision.EngineSpeed) speeds {
 	return speeds{
-		assumed: assumed, readings: make(map[roleKey]*speed.Reading), tokenTimes: make(map[roleKey]*speed.Median),
+		assumed: assumed, readings: make(map[roleKey]*speed.PrefillModel), tokenTimes: make(map[roleKey]*speed.Median),
 	}
 }
 
@@ -43,7 +43,7 @@
 	return s.assumed.PrefillRate > 0 && of.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL && of.countsOnly()
 }
 
-func (s *speeds) reading(of *server) *speed.Reading {
+func (s *speeds) reading(of *server) *speed.PrefillModel {
 	key := roleOf(of.pb)
 	known := s.readings[key]
 	if known == nil {
@@ -51,7 +51,7 @@
 		if of.pb.Role == pb.EngineRole_ENGINE_ROLE_PREFILL {
 			rate *= prefillOnlyGain
 		}
-		known = speed.NewReading(rate)
+		known = speed.NewPrefillModel(rate)
 		s.readings[key] = known
 	}
 	return known
@@ -109,7 +109,7 @@
 	r.emit(LogDecision{Kind: LogServer, Server: s.pb.Id, Reason: reason, Figures: []Figure{
 		{Name: "slowness", Value: factor},
 		{Name: "role_tokens_per_second", Value: r.speeds.reading(s).Rate()},
-		{Name: "role_fixed_seconds", Value: r.speeds.reading(s).Fixed()},
+		{Name: "role_fixed_seconds", Value: r.speeds.reading(s).FixedSeconds()},
 	}})
 }
 
@@ -130,7 +130,7 @@
 
 func (q *request) expectedReading(r *Reducer) time.Duration {
 	reading := r.speeds.reading(q.prefiller())
-	seconds := reading.Fixed() + (q.before+float64(q.unread))/reading.Rate()
+	seconds := reading.FixedSeconds() + (q.before+float64(q.unread))/reading.Rate()
 	return time.Duration(seconds * float64(time.Second))
 }
 
@@ -143,8 +143,8 @@
 }
 
 // paceOf is how fast the engines of the work's pool were seen to work, the fastest role.
-func (s *speeds) paceOf(servers []*server, w *decision.Work) decision.Pace {
-	pace := w.Pace
+func (s *speeds) paceOf(servers []*server, w *decision.Work) decision.EngineSpeed {
+	pace := w.EngineSpeed
 	if pace.PrefillRate <= 0 {
 		return pace
 	}
--- a/internal/entry/sums.go
+++ b/internal/entry/sums.go
@@ -13,7 +13,7 @@
 // groupBacklogs adds what members have reported to this aggregator's own backlogs, and
 // counts the members.
 func (r *Reducer) groupBacklogs(own []*pb.ServerBacklog) ([]*pb.ServerBacklog, int) {
-	sums, members := r.peers.heard.Single(r.now)
+	sums, members := r.peers.heard.SumSingleEntry(r.now)
 	return withOwn(sums, own), members
 }
 
@@ -21,7 +21,7 @@
 func withOwn(sums map[string]decision.Backlog, own []*pb.ServerBacklog) []*pb.ServerBacklog {
 	for server, b := range backlogsOf(own) {
 		sum := sums[server]
-		sum.Add(b)
+		sum.Merge(b)
 		sums[server] = sum
 	}
 	list := make([]*pb.ServerBacklog, 0, len(sums))
@@ -39,7 +39,7 @@
 		r.emit(AnswerSum{Key: ev.Key})
 		return
 	}
-	sums, entries := p.heard.Except(r.now, ev.Request.GetEntry())
+	sums, entries := p.heard.SumExcept(r.now, ev.Request.GetEntry())
 	from := ev.Request.GetReadsFrom()
 	if ev.Request.GetAggregator() != r.cfg.Identity.GetIncarnation() {
 		from = 0
@@ -64,13 +64,13 @@
 		return
 	}
 	if g.from != sum.GetAggregator() {
-		r.peers.heard = decision.NewPeers()
+		r.peers.heard = decision.NewPeerReports()
 		g.from = sum.GetAggregator()
 	}
 	g.sums++
 	g.silences = 0
-	r.peers.heard.Take(r.now, sum.GetAggregator(), decision.PeerReport{
-		Sequence: g.sums, Entries: int(sum.GetEntries()), Valid: decision.PeerReportFor,
+	r.peers.heard.Add(r.now, sum.GetAggregator(), decision.PeerReport{
+		Sequence: g.sums, Entries: int(sum.GetEntries()), TTL: decision.PeerReportTTL,
 		Servers: backlogsOf(sum.GetServers()),
 	})
 	for _, read := range sum.GetReads() {
--- a/internal/httpconn/word.go
+++ b/internal/httpconn/word.go
@@ -8,14 +8,14 @@
 
 // ReadWord reads what a server says of the work that it wants: the limit that the header named
 // so holds, and the rest that it asks for where it turns a request away.
-func ReadWord(h *fasthttp.ResponseHeader, limit string) backpressure.Word {
-	var w backpressure.Word
+func ReadWord(h *fasthttp.ResponseHeader, limit string) backpressure.Signal {
+	var w backpressure.Signal
 	for _, value := range h.PeekAll(limit) {
-		w.ReadRate(string(value))
+		w.ParseRateLimit(string(value))
 	}
 	if status := h.StatusCode(); status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests {
 		for _, value := range h.PeekAll(fasthttp.HeaderRetryAfter) {
-			w.ReadRest(string(value))
+			w.ParseBackoff(string(value))
 		}
 	}
 	return w
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -20,14 +20,14 @@
 	queue     *queue.Queue
 	picker    *placement.Picker
 	fleet     decision.Fleet
-	sent      []decision.SentLog
+	sent      []decision.InFlightTracker
 	byID      map[string]*request
 }
 
 func newEntry(m *sim, index int) *entry {
 	e := &entry{
 		sim: m, admission: admission.New(), queue: queue.New(), picker: placement.New(),
-		byID: make(map[string]*request), sent: make([]decision.SentLog, len(m.nodes)),
+		byID: make(map[string]*request), sent: make([]decision.InFlightTracker, len(m.nodes)),
 	}
 	e.fleet = decision.Fleet{Entries: m.scenario.Entries}
 	for _, n := range m.nodes {
@@ -50,8 +50,8 @@
 		}
 		s.Load = n.model.Load(e.sim.now)
 		s.ReportedAt = e.sim.now - time.Duration(s.Load.AgeMS)*time.Millisecond
-		e.sent[i].Reported(s.ReportedAt)
-		s.Sent = e.sent[i].Sent
+		e.sent[i].ApplyReport(s.ReportedAt)
+		s.InFlight = e.sent[i].InFlight
 	}
 }
 
@@ -106,13 +106,13 @@
 	r.handed = r.got
 	r.server, r.prefill = e.index(c.Server), -1
 	r.stage = running
-	r.onServer = decision.Tokens{Prefill: ownPrefill(w, c), Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens}
+	r.onServer = decision.RequestTokens{Prefill: ownPrefill(w, c), Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens}
 	e.add(r.server, r.onServer)
 	e.waitsForPrefill(r, w, c)
 	req := e.modelRequest(r)
 	if c.Prefill != nil {
 		r.stage, r.prefill = prefilling, e.index(c.Prefill)
-		r.onPrefill = decision.Tokens{Prefill: w.PromptTokens, KV: w.PromptTokens}
+		r.onPrefill = decision.RequestTokens{Prefill: w.PromptTokens, KV: w.PromptTokens}
 		e.add(r.prefill, r.onPrefill)
 		req.PrefillOnly = true
 		e.submit(r.prefill, r, req)
@@ -148,27 +148,27 @@
 	if c.Prefill != nil {
 		r.urgentAt = e.index(c.Prefill)
 	}
-	e.sent[r.urgentAt].Urgent(r.urgent)
-	e.fleet.Servers[r.urgentAt].Sent = e.sent[r.urgentAt].Sent
+	e.sent[r.urgentAt].AddUrgentPrefill(r.urgent)
+	e.fleet.Servers[r.urgentAt].InFlight = e.sent[r.urgentAt].InFlight
 }
 
 func (e *entry) prefillOver(r *request) {
 	if r.urgent > 0 {
-		e.sent[r.urgentAt].Urgent(-r.urgent)
-		e.fleet.Servers[r.urgentAt].Sent = e.sent[r.urgentAt].Sent
+		e.sent[r.urgentAt].AddUrgentPrefill(-r.urgent)
+		e.fleet.Servers[r.urgentAt].InFlight = e.sent[r.urgentAt].InFlight
 		r.urgent = 0
 	}
 }
 
-// add and done keep Sent of a server up to date.
-func (e *entry) add(i int, t decision.Tokens) {
+// add and done keep InFlight of a server up to date.
+func (e *entry) add(i int, t decision.RequestTokens) {
 	e.sent[i].Add(e.sim.now, t)
-	e.fleet.Servers[i].Sent = e.sent[i].Sent
+	e.fleet.Servers[i].InFlight = e.sent[i].InFlight
 }
 
-func (e *entry) done(i int, t decision.Tokens) {
+func (e *entry) done(i int, t decision.RequestTokens) {
 	e.sent[i].Done(t)
-	e.fleet.Servers[i].Sent = e.sent[i].Sent
+	e.fleet.Servers[i].InFlight = e.sent[i].InFlight
 }
 
 func (e *entry) modelRequest(r *request) enginemodel.Request {
--- a/internal/policy/sim.go
+++ b/internal/policy/sim.go
@@ -48,7 +48,7 @@
 	prefill int // node, -1 for none
 	server  int // node
 	// onPrefill and onServer are what is accounted there.
-	onPrefill, onServer decision.Tokens
+	onPrefill, onServer decision.RequestTokens
 	// urgent is the prefill that it waits for at a server, as noted there.
 	urgent   int
 	urgentAt int
@@ -218,7 +218,7 @@
 		l := n.model.Load(m.now)
 		o.Engines = append(o.Engines, roles.Engine{
 			ID: n.id, Role: n.model.Role(), Target: n.target, Changing: n.leaving, Usable: !n.leaving,
-			Busy: float64(l.QueuedPrefillTokens) + decision.OutputCost*float64(l.RunningDecodeTokens),
+			Busy: float64(l.QueuedPrefillTokens) + decision.OutputTokenCost*float64(l.RunningDecodeTokens),
 		})
 	}
 	return o
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -129,7 +129,7 @@
 	Running, Queued int
 	HasLoad         bool
 	// Word is what it says of the work that it wants.
-	Word backpressure.Word
+	Word backpressure.Signal
 	// NotRun tells that the server did not run the request and never will.
 	NotRun bool
 	// OtherLife tells that another life of a server answered at the address.
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -13,12 +13,12 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-func pace(set *settings.Entry) decision.Pace {
-	return decision.Pace{PrefillRate: set.Engines.PrefillRate, TokenTime: set.Engines.TokenTime}
+func pace(set *settings.Entry) decision.EngineSpeed {
+	return decision.EngineSpeed{PrefillRate: set.Engines.PrefillRate, TokenTime: set.Engines.TokenTime}
 }
 
-func extraLimit(r settings.Repeats) *admission.ExtraLimit {
-	return &admission.ExtraLimit{Ratio: r.Ratio, Constant: r.Extra, Window: r.Window}
+func extraLimit(r settings.Repeats) *admission.ResendLimit {
+	return &admission.ResendLimit{Ratio: r.Ratio, Constant: r.Extra, Window: r.Window}
 }
 
 func credentialLimits(c settings.Credentials) entry.CredentialLimits {
@@ -37,9 +37,9 @@
 		RequestID: host.NewJobKey(r.ID), MemberWeight: 1, Service: service.Name, Profile: profile.Name,
 		ProfileShare: profile.Share, Class: profile.Class, Kind: service.Kind, Model: service.Model,
 		Arrived: at, FirstTokenBy: at + profile.FirstToken, FinishBy: at + limit,
-		LateIsOfUse: true, Pace: pace(s.host.Settings), Rank: route.Rank,
+		SoftFirstTokenDeadline: true, EngineSpeed: pace(s.host.Settings), Rank: route.Rank,
 	}
-	w.Pace.MoveRate = service.MoveRate
+	w.EngineSpeed.KVTransferRate = service.MoveRate
 	if r.Prompt != nil {
 		r.Prompt.describe(&w)
 	}
@@ -57,7 +57,7 @@
 }
 
 func (p *Prompt) describe(w *decision.Work) {
-	w.PromptTokens, w.OutputTokens, w.OutputGuessed = p.Tokens, p.MaxOutput, true
+	w.PromptTokens, w.OutputTokens, w.OutputUncertain = p.Tokens, p.MaxOutput, true
 	if p.LikelyOutput > 0 && (p.MaxOutput == 0 || p.LikelyOutput < p.MaxOutput) {
 		w.OutputTokens = p.LikelyOutput
 	}
@@ -66,11 +66,11 @@
 	chain := xxhash.New()
 	_, _ = chain.WriteString(p.Model)
 	// The last part is the request's own.
-	w.Shared = max(0, len(p.Parts)-1)
+	w.SharedBlocks = max(0, len(p.Parts)-1)
 	for _, part := range p.Parts {
 		_, _ = chain.WriteString("\x00" + part.ID)
 		w.Prefix = append(w.Prefix, chain.Sum64())
-		w.PartTokens = append(w.PartTokens, part.Tokens)
+		w.BlockTokens = append(w.BlockTokens, part.Tokens)
 	}
 }
 
--- a/internal/traffic/engine.go
+++ b/internal/traffic/engine.go
@@ -88,7 +88,7 @@
 	notStarted  bool
 	// word is what it says of the work that it wants, sentAt when the request was sent that
 	// it answers.
-	word   backpressure.Word
+	word   backpressure.Signal
 	sentAt time.Duration
 }
 
--- a/internal/traffic/said_test.go
+++ b/internal/traffic/said_test.go
@@ -13,7 +13,7 @@
 	var h fasthttp.ResponseHeader
 	h.Add(engineapi.HeaderRateLimit, "8.5")
 	h.Add(engineapi.HeaderRateLimit, "4")
-	if s := readSaid(&h, testSent); s.word.Rate != 4 || s.sentAt != testSent {
+	if s := readSaid(&h, testSent); s.word.RateLimit != 4 || s.sentAt != testSent {
 		t.Errorf("read %+v", s)
 	}
 }
