--- a/internal/control/mending.go
+++ b/internal/control/mending.go
@@ -45,7 +45,7 @@
 		return
 	}
 	maps.DeleteFunc(r.lead.joiners, func(_ string, j *joiner) bool { return r.now-j.at > joinerKept })
-	c, ok := replicas.Next(r.group())
+	c, ok := replicas.NextChange(r.group())
 	if !ok {
 		return
 	}
@@ -76,7 +76,7 @@
 
 // group is what the decision on the member list sees.
 func (r *Reducer) group() replicas.Group {
-	g := replicas.Group{Voters: r.cfg.Voters}
+	g := replicas.Group{TargetVoters: r.cfg.Voters}
 	silent := make(map[uint64]time.Duration)
 	for _, s := range r.node.Status().Replicas {
 		silent[s.ID] = s.SilentFor
@@ -85,7 +85,7 @@
 		id := m.GetIdentity().GetId()
 		g.Members = append(g.Members, replicas.Member{
 			ID: id, Address: m.GetAddress(), Voter: m.GetRole() == pb.ReplicaRole_REPLICA_ROLE_VOTER,
-			Self: id == r.cfg.ID, Silent: silent[id],
+			Leader: id == r.cfg.ID, SilentFor: silent[id],
 		})
 	}
 	for _, address := range slices.Sorted(maps.Keys(r.lead.joiners)) {
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -54,7 +54,7 @@
 // at prefill.
 func (r *Reducer) keepShare(model string, share float64) {
 	o := roles.Observation{Engines: r.engines(model, &modelPlan{}), Bounds: r.roleBounds()}
-	for _, c := range roles.Keep(&o, share) {
+	for _, c := range roles.KeepPrefillShare(&o, share) {
 		r.orderChange(&o, c)
 	}
 }
@@ -95,14 +95,14 @@
 		}
 		plan.note(sv.told.GetRole(), load)
 		e := roles.Engine{
-			ID: id, Role: wire.Role(sv.told.GetRole()), Target: wire.Role(sv.told.GetRole()),
-			Age:  age,
-			Busy: float64(load.GetQueuedPrefillTokens()) + decision.OutputCost*float64(load.GetRunningDecodeTokens()),
+			ID: id, Role: wire.Role(sv.told.GetRole()), TargetRole: wire.Role(sv.told.GetRole()),
+			Age:           age,
+			PendingTokens: float64(load.GetQueuedPrefillTokens()) + decision.OutputCost*float64(load.GetRunningDecodeTokens()),
 		}
 		if o := r.state.unresolved(id); o != nil && sv.goneMS == 0 {
 			e.Changing = true
 			if o.GetKind() == pb.OrderKind_ORDER_KIND_SET_ROLE {
-				e.Target = wire.Role(o.GetRole())
+				e.TargetRole = wire.Role(o.GetRole())
 			}
 		}
 		e.Usable = !e.Changing && !r.state.drained[id] && sv.told.GetState() == pb.ServerState_SERVER_STATE_SERVING
@@ -140,13 +140,13 @@
 		}
 		away = min(away, idle)
 	}
-	return roles.Bounds{MaxAway: away, MinMixedShare: d.MinMixedShare, ChangeTime: d.ChangeTime}
+	return roles.Bounds{MaxUnavailable: away, MinMixedShare: d.MinMixedShare, ChangeTime: d.ChangeTime}
 }
 
 // rolePrice weighs the profiles' prices of a change by their part of the work.
-func (r *Reducer) rolePrice(work *offered) roles.Price {
+func (r *Reducer) rolePrice(work *offered) roles.ChangePrice {
 	d := r.state.declared.parsed
-	price := roles.Price{GoodputWeight: d.Roles.GoodputWeight, ChangeWeight: d.Roles.ChangeWeight}
+	price := roles.ChangePrice{GoodputWeight: d.Roles.GoodputWeight, ChangeWeight: d.Roles.ChangeWeight}
 	total, sum := 0.0, 0.0
 	for _, name := range slices.Sorted(maps.Keys(work.byProfile)) {
 		if p := d.Profile(name); p != nil {
--- a/internal/control/scale.go
+++ b/internal/control/scale.go
@@ -86,7 +86,7 @@
 		key := scaleKey{s.Name, c.Name}
 		target := r.state.scale[key]
 		if target == nil {
-			r.learnTarget(key, c.Steady+c.Spot)
+			r.learnTarget(key, c.OnDemand+c.Spot)
 			continue
 		}
 		c.Target = int(target.GetEngines())
@@ -97,7 +97,7 @@
 		p = autoscaling.NewPlanner()
 		r.lead.scale.planners[s.Name] = p
 	}
-	bounds := autoscaling.Bounds{Min: s.Scale.Min, Max: s.Scale.Max, Boot: s.Scale.Boot, SpotPrice: s.Scale.SpotPrice}
+	bounds := autoscaling.Bounds{Min: s.Scale.Min, Max: s.Scale.Max, BootTime: s.Scale.Boot, SpotPrice: s.Scale.SpotPrice}
 	for _, o := range p.Plan(r.now, bounds, wanted) {
 		r.callDuty(scaleCall(s.Name, o))
 	}
@@ -129,7 +129,7 @@
 		case told.GetSpot():
 			list[i].Spot++
 		default:
-			list[i].Steady++
+			list[i].OnDemand++
 		}
 	}
 	for _, target := range r.state.scale.sorted() {
@@ -174,12 +174,12 @@
 
 func (r *Reducer) scaleTaken(c *DutyCall) {
 	if p := r.lead.scale.planners[c.Scale.Service]; p != nil {
-		p.Taken(r.now, orderOf(c))
+		p.OrderAccepted(r.now, orderOf(c))
 	}
 }
 
 func (r *Reducer) scaleUnavailable(c *DutyCall) {
 	if p := r.lead.scale.planners[c.Scale.Service]; p != nil {
-		p.Unavailable(r.now, orderOf(c))
+		p.OrderUnavailable(r.now, orderOf(c))
 	}
 }
--- a/internal/decision/autoscaling/autoscaling.go
+++ b/internal/decision/autoscaling/autoscaling.go
@@ -38,15 +38,15 @@
 
 // The kinds.
 const (
-	Steady Kind = false
-	Spot   Kind = true
+	OnDemand Kind = false
+	Spot     Kind = true
 )
 
 // Bounds are what is declared of a service.
 type Bounds struct {
 	// Min and Max bound the servers of one data centre, of both kinds together.
 	Min, Max int
-	Boot     time.Duration
+	BootTime time.Duration
 	// SpotPrice is the price of a spot server as a part of another one's; 0: there are none.
 	SpotPrice float64
 }
@@ -56,8 +56,8 @@
 	Name string
 	// Target is how many there should be, of both kinds together.
 	Target int
-	// Steady and Spot are those that serve.
-	Steady, Spot int
+	// OnDemand and Spot are those that serve.
+	OnDemand, Spot int
 }
 
 // Order says how many servers of a kind a data centre is to have.
@@ -100,13 +100,13 @@
 	return c
 }
 
-// Taken notes that an order was taken.
-func (p *Planner) Taken(now time.Duration, o Order) {
+// OrderAccepted notes that an order was taken.
+func (p *Planner) OrderAccepted(now time.Duration, o Order) {
 	p.of(o.DataCentre).orders[o.Kind] = &ordered{servers: o.Servers, since: now}
 }
 
-// Unavailable notes that there are no servers to be had for an order.
-func (p *Planner) Unavailable(now time.Duration, o Order) {
+// OrderUnavailable notes that there are no servers to be had for an order.
+func (p *Planner) OrderUnavailable(now time.Duration, o Order) {
 	c := p.of(o.DataCentre)
 	c.scarceUntil[o.Kind] = now + scarceFor
 	delete(c.orders, o.Kind)
@@ -141,9 +141,9 @@
 	size := sizeOf(b, d)
 	spot := spotFor(b, size)
 	steady := c.giveBack(now, d, max(steadyFor(b, d), size-d.Spot))
-	spot = min(spot, b.Max-max(steady, d.Steady))
+	spot = min(spot, b.Max-max(steady, d.OnDemand))
 	var out []Order
-	if o, due := c.order(now, b, d.Name, Steady, steady, d.Steady); due {
+	if o, due := c.order(now, b, d.Name, OnDemand, steady, d.OnDemand); due {
 		out = append(out, o)
 	}
 	if o, due := c.order(now, b, d.Name, Spot, spot, d.Spot); due && spot+d.Spot > 0 {
@@ -166,7 +166,7 @@
 // giveBack is how many servers that are no spot servers there should be: fewer than there are
 // only after giveBackAfter.
 func (c *centre) giveBack(now time.Duration, d *DataCentre, steady int) int {
-	if steady >= d.Steady {
+	if steady >= d.OnDemand {
 		c.coveredAt = 0
 		return steady
 	}
@@ -174,7 +174,7 @@
 		c.coveredAt = now
 	}
 	if now-c.coveredAt < giveBackAfter {
-		return d.Steady
+		return d.OnDemand
 	}
 	return steady
 }
@@ -187,7 +187,7 @@
 	switch {
 	case now < c.scarceUntil[kind]:
 		return o, false
-	case last == nil && servers == serve && kind == Steady:
+	case last == nil && servers == serve && kind == OnDemand:
 		return o, false
 	case last == nil || last.servers != servers:
 		return o, true
@@ -196,5 +196,5 @@
 		return o, false
 	}
 	o.Reason = "the servers are not those that were ordered"
-	return o, now-last.since >= b.Boot+orderAgainAfter
+	return o, now-last.since >= b.BootTime+orderAgainAfter
 }
--- a/internal/decision/autoscaling/autoscaling_test.go
+++ b/internal/decision/autoscaling/autoscaling_test.go
@@ -28,10 +28,10 @@
 func (m *market) order(now time.Duration, p *Planner, o Order) {
 	m.orders++
 	if o.Kind == Spot && m.scarce(now) && o.Servers > m.serve[Spot] {
-		p.Unavailable(now, o)
+		p.OrderUnavailable(now, o)
 		return
 	}
-	p.Taken(now, o)
+	p.OrderAccepted(now, o)
 	booting := 0
 	for _, c := range m.coming {
 		if c.kind == o.Kind {
@@ -54,7 +54,7 @@
 		}
 	}
 	m.coming = left
-	m.paid += tick.Seconds() * (float64(m.serve[Steady]) + m.price*float64(m.serve[Spot]))
+	m.paid += tick.Seconds() * (float64(m.serve[OnDemand]) + m.price*float64(m.serve[Spot]))
 }
 
 // play lets a planner keep a data centre at 30 servers; at is called each tick.
@@ -64,10 +64,10 @@
 	for now := tick; now < length; now += tick {
 		at(now)
 		m.step(now, tick)
-		for _, o := range p.Plan(now, b, []DataCentre{{Name: "a", Target: 30, Steady: m.serve[Steady], Spot: m.serve[Spot]}}) {
+		for _, o := range p.Plan(now, b, []DataCentre{{Name: "a", Target: 30, OnDemand: m.serve[OnDemand], Spot: m.serve[Spot]}}) {
 			m.order(now, p, o)
 		}
-		if all := m.serve[Steady] + m.serve[Spot]; all > b.Max {
+		if all := m.serve[OnDemand] + m.serve[Spot]; all > b.Max {
 			t.Fatalf("%v: %d servers, %d are allowed", now, all, b.Max)
 		}
 	}
@@ -75,12 +75,12 @@
 
 // settled tells whether the servers are those that are to be there in the end.
 func (m *market) settled() bool {
-	return m.serve[Steady] == part(steadyShare, 30) && m.serve[Spot] == part(spotShare, 30)
+	return m.serve[OnDemand] == part(steadyShare, 30) && m.serve[Spot] == part(spotShare, 30)
 }
 
 func newMarket(boot time.Duration) *market {
 	return &market{
-		boot: boot, price: 0.25, serve: map[Kind]int{Steady: 30}, scarce: func(time.Duration) bool { return false },
+		boot: boot, price: 0.25, serve: map[Kind]int{OnDemand: 30}, scarce: func(time.Duration) bool { return false },
 	}
 }
 
@@ -90,8 +90,8 @@
 	for _, boot := range []time.Duration{time.Second, 4 * time.Second, 30 * time.Second} {
 		t.Run(fmt.Sprint(boot), func(t *testing.T) {
 			m := newMarket(boot)
-			play(t, m, Bounds{Min: 1, Max: 60, Boot: boot, SpotPrice: 0.25}, 10*time.Minute, func(now time.Duration) {
-				if all := m.serve[Steady] + m.serve[Spot]; all < 30 {
+			play(t, m, Bounds{Min: 1, Max: 60, BootTime: boot, SpotPrice: 0.25}, 10*time.Minute, func(now time.Duration) {
+				if all := m.serve[OnDemand] + m.serve[Spot]; all < 30 {
 					t.Fatalf("%v: %d servers, 30 are aimed at", now, all)
 				}
 			})
@@ -114,16 +114,16 @@
 		t.Run(fmt.Sprint(boot), func(t *testing.T) {
 			m := newMarket(boot)
 			m.scarce = func(now time.Duration) bool { return now >= time.Minute && now < 2*time.Minute }
-			play(t, m, Bounds{Min: 1, Max: 60, Boot: boot, SpotPrice: 0.25}, 5*time.Minute, func(now time.Duration) {
+			play(t, m, Bounds{Min: 1, Max: 60, BootTime: boot, SpotPrice: 0.25}, 5*time.Minute, func(now time.Duration) {
 				if m.scarce(now) {
 					m.serve[Spot] = 0
 				}
-				all := m.serve[Steady] + m.serve[Spot]
+				all := m.serve[OnDemand] + m.serve[Spot]
 				if late := time.Minute + boot + time.Second; all < 30 && (now < time.Minute || now > late) {
 					t.Fatalf("%v: %d servers, 30 are aimed at", now, all)
 				}
-				if m.serve[Steady] < part(steadyShare, 30) {
-					t.Fatalf("%v: %d servers are no spot servers", now, m.serve[Steady])
+				if m.serve[OnDemand] < part(steadyShare, 30) {
+					t.Fatalf("%v: %d servers are no spot servers", now, m.serve[OnDemand])
 				}
 			})
 			if !m.settled() {
@@ -140,13 +140,13 @@
 // while both kinds are there.
 func TestBoundsAreKept(t *testing.T) {
 	m := newMarket(4 * time.Second)
-	play(t, m, Bounds{Min: 1, Max: 60, Boot: 4 * time.Second}, time.Minute, func(time.Duration) {})
-	if m.orders != 0 || m.serve[Steady] != 30 {
+	play(t, m, Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second}, time.Minute, func(time.Duration) {})
+	if m.orders != 0 || m.serve[OnDemand] != 30 {
 		t.Errorf("without spot servers: %v after %d orders", m.serve, m.orders)
 	}
 	m = newMarket(4 * time.Second)
-	play(t, m, Bounds{Min: 1, Max: 40, Boot: 4 * time.Second, SpotPrice: 0.25}, 3*time.Minute, func(time.Duration) {})
-	if m.serve[Steady] != part(steadyShare, 30) || m.serve[Steady]+m.serve[Spot] != 40 {
+	play(t, m, Bounds{Min: 1, Max: 40, BootTime: 4 * time.Second, SpotPrice: 0.25}, 3*time.Minute, func(time.Duration) {})
+	if m.serve[OnDemand] != part(steadyShare, 30) || m.serve[OnDemand]+m.serve[Spot] != 40 {
 		t.Errorf("with room for ten more: %v", m.serve)
 	}
 }
@@ -154,7 +154,7 @@
 // Guards against a late order that undoes a newer one for good.
 func TestOtherNumberThanOrderedIsOrderedAgain(t *testing.T) {
 	m := newMarket(4 * time.Second)
-	play(t, m, Bounds{Min: 1, Max: 60, Boot: 4 * time.Second, SpotPrice: 0.25}, 2*time.Minute, func(now time.Duration) {
+	play(t, m, Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second, SpotPrice: 0.25}, 2*time.Minute, func(now time.Duration) {
 		if now == time.Minute {
 			m.serve[Spot] = 3
 		}
@@ -167,18 +167,18 @@
 // Guards against an order that is made again in each moment while what it asks for is not to be
 // had, whichever kind that is.
 func TestUnavailableServersAreNotAskedForAtOnceAgain(t *testing.T) {
-	b := Bounds{Min: 1, Max: 60, Boot: 4 * time.Second, SpotPrice: 0.25}
-	for _, kind := range []Kind{Steady, Spot} {
+	b := Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second, SpotPrice: 0.25}
+	for _, kind := range []Kind{OnDemand, Spot} {
 		p, asked := NewPlanner(), 0
-		list := []DataCentre{{Name: "a", Target: 30, Steady: 1, Spot: 1}}
+		list := []DataCentre{{Name: "a", Target: 30, OnDemand: 1, Spot: 1}}
 		for now := time.Duration(0); now < 10*time.Second; now += 200 * time.Millisecond {
 			for _, o := range p.Plan(now, b, list) {
 				if o.Kind != kind {
-					p.Taken(now, o)
+					p.OrderAccepted(now, o)
 					continue
 				}
 				asked++
-				p.Unavailable(now, o)
+				p.OrderUnavailable(now, o)
 			}
 		}
 		if most := int(10*time.Second/scarceFor) + 1; asked > most {
--- a/internal/decision/placement/burst_test.go
+++ b/internal/decision/placement/burst_test.go
@@ -108,7 +108,7 @@
 		if !ok {
 			continue
 		}
-		p.Sent(now, w, choice)
+		p.RecordSent(now, w, choice)
 		i := slices.IndexFunc(f.fleet.Servers, func(s decision.Server) bool { return s.ID == choice.Server.ID })
 		took = append(took, f.read(now, i, w))
 	}
--- a/internal/decision/placement/fetch_test.go
+++ b/internal/decision/placement/fetch_test.go
@@ -20,7 +20,7 @@
 	}
 	p := New()
 	home, ok := p.Pick(0, fetched(1), fleet)
-	if !ok || home.Fetch != nil {
+	if !ok || home.FetchFrom != nil {
 		t.Fatalf("the first prompt: %+v", home)
 	}
 	i := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID == home.Server.ID })
@@ -40,19 +40,19 @@
 func TestPartIsFetchedPastABusyHolder(t *testing.T) {
 	p, fleet, home := fetchingFleet(t)
 	home.OthersWaiting, home.UsualUnread = 8, 4000
-	if choice, _ := p.Pick(0, fetched(2), fleet); choice.Fetch != nil {
+	if choice, _ := p.Pick(0, fetched(2), fleet); choice.FetchFrom != nil {
 		t.Fatal("fetches from a home that was not seen to read the part")
 	}
-	p.HoldsParts(0, home.ID, fetched(1).Prefix[:1])
+	p.RecordCachedBlocks(0, home.ID, fetched(1).Prefix[:1])
 	choice, ok := p.Pick(time.Second, fetched(3), fleet)
-	if !ok || choice.Fetch == nil || choice.Fetch.ID != home.ID || choice.Server.ID == home.ID || choice.Unread != 3700 {
+	if !ok || choice.FetchFrom == nil || choice.FetchFrom.ID != home.ID || choice.Server.ID == home.ID || choice.UncachedTokens != 3700 {
 		t.Fatalf("choice %+v", choice)
 	}
-	if late, _ := p.Pick(believeFetch, fetched(4), fleet); late.Fetch != nil {
+	if late, _ := p.Pick(believeFetch, fetched(4), fleet); late.FetchFrom != nil {
 		t.Errorf("fetches what was seen %v ago", believeFetch)
 	}
 	home.Usable = false
-	if gone, _ := p.Pick(time.Second, fetched(5), fleet); gone.Fetch != nil {
+	if gone, _ := p.Pick(time.Second, fetched(5), fleet); gone.FetchFrom != nil {
 		t.Error("fetches from an engine that leaves")
 	}
 }
@@ -61,17 +61,17 @@
 // to each other what was read: there all requests for a part go to its home.
 func TestNothingIsFetchedOverUnknownLinksOrUnreported(t *testing.T) {
 	p, fleet, home := fetchingFleet(t)
-	p.HoldsParts(0, home.ID, fetched(1).Prefix[:1])
+	p.RecordCachedBlocks(0, home.ID, fetched(1).Prefix[:1])
 	home.OthersWaiting, home.UsualUnread = 8, 4000
-	if choice, _ := p.Pick(time.Second, sharedWork(2, 1), fleet); choice.Fetch != nil {
+	if choice, _ := p.Pick(time.Second, sharedWork(2, 1), fleet); choice.FetchFrom != nil {
 		t.Errorf("unknown links: %+v", choice)
 	}
 	fleet.PartsReported = false
-	if choice, _ := p.Pick(time.Second, fetched(3), fleet); choice.Fetch != nil {
+	if choice, _ := p.Pick(time.Second, fetched(3), fleet); choice.FetchFrom != nil {
 		t.Errorf("not reported: %+v", choice)
 	}
 	other := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID != home.ID })
-	p.HoldsParts(time.Second, fleet.Servers[other].ID, fetched(1).Prefix[:1])
+	p.RecordCachedBlocks(time.Second, fleet.Servers[other].ID, fetched(1).Prefix[:1])
 	home.OthersWaiting = 0
 	if choice, _ := p.Pick(time.Minute, fetched(4), fleet); choice.Server.ID != home.ID {
 		t.Errorf("not reported, the home idles: %+v", choice)
@@ -105,9 +105,9 @@
 					if !ok {
 						continue
 					}
-					p.Sent(now, w, choice)
+					p.RecordSent(now, w, choice)
 					i := slices.IndexFunc(f.fleet.Servers, func(s decision.Server) bool { return s.ID == choice.Server.ID })
-					if choice.Fetch != nil {
+					if choice.FetchFrom != nil {
 						f.fetch(i, w)
 					}
 					took = append(took, f.read(now, i, w))
--- a/internal/decision/placement/home_test.go
+++ b/internal/decision/placement/home_test.go
@@ -52,7 +52,7 @@
 			if !ok {
 				t.Fatal("no engine")
 			}
-			p.Sent(time.Duration(n)*time.Second, w, choice)
+			p.RecordSent(time.Duration(n)*time.Second, w, choice)
 			if readAt[choice.Server.ID] == nil {
 				readAt[choice.Server.ID] = make(map[int]bool)
 			}
@@ -106,10 +106,10 @@
 	busy := &fleet.Servers[i]
 	busy.OthersWaiting, busy.UsualUnread = 20, 4000
 	copied, _ := p.Pick(time.Second, w, fleet)
-	p.Sent(time.Second, w, copied)
+	p.RecordSent(time.Second, w, copied)
 	soon, _ := p.Pick(4*time.Second, sharedWork(2, 1), fleet)
-	if soon.Server.ID != copied.Server.ID || soon.Unread != 3700 {
-		t.Fatalf("3 s later the copy at %s is not used: %s reads %d", copied.Server.ID, soon.Server.ID, soon.Unread)
+	if soon.Server.ID != copied.Server.ID || soon.UncachedTokens != 3700 {
+		t.Fatalf("3 s later the copy at %s is not used: %s reads %d", copied.Server.ID, soon.Server.ID, soon.UncachedTokens)
 	}
 	busy.OthersWaiting = 5
 	later, _ := p.Pick(30*time.Second, sharedWork(3, 1), fleet)
@@ -131,12 +131,12 @@
 	if !ok || choice.Prefill == nil {
 		t.Fatalf("not prefilled apart: %+v", choice)
 	}
-	p.Sent(time.Second, w, choice)
+	p.RecordSent(time.Second, w, choice)
 	other := fleet.Servers[1].ID
 	if choice.Server.ID == other {
 		other = fleet.Servers[2].ID
 	}
-	p.Holds(time.Second, other, w)
+	p.RecordCached(time.Second, other, w)
 	held := p.held(time.Second, w, fleet, p.source(time.Second, w, fleet))
 	for i, s := range fleet.Servers {
 		want := 0
--- a/internal/decision/placement/limit.go
+++ b/internal/decision/placement/limit.go
@@ -142,9 +142,9 @@
 // tokenTime is the time per token in seconds, or per call of a plain service.
 func tokenTime(r Result) float64 {
 	if r.Tokens > 1 {
-		return r.Decode.Seconds() / float64(r.Tokens-1)
+		return r.DecodeTime.Seconds() / float64(r.Tokens-1)
 	}
-	return r.Took.Seconds()
+	return r.TotalTime.Seconds()
 }
 
 // usual is the median of the present times of the servers that do the same work, which
--- a/internal/decision/placement/limit_test.go
+++ b/internal/decision/placement/limit_test.go
@@ -35,8 +35,8 @@
 				now += 20 * time.Millisecond
 				fill := min(1, float64(n)/200)
 				event := time.Duration(float64(step) * (1 + 2*fill))
-				p.Observe(now, fleet.Servers[n%3].ID, Result{Decode: 20 * event, Tokens: 21})
-				p.Observe(now, fleet.Servers[3+n%5].ID, Result{Took: 20 * time.Millisecond})
+				p.Observe(now, fleet.Servers[n%3].ID, Result{DecodeTime: 20 * event, Tokens: 21})
+				p.Observe(now, fleet.Servers[3+n%5].ID, Result{TotalTime: 20 * time.Millisecond})
 				for i := range 3 {
 					if got := p.limits.of(fleet.Servers[i].ID).slots(&fleet.Servers[i]); got < 128 {
 						t.Fatalf("after %v %s may have %.0f of 128", now, fleet.Servers[i].ID, got)
--- a/internal/decision/placement/placement.go
+++ b/internal/decision/placement/placement.go
@@ -30,22 +30,22 @@
 	Server *decision.Server
 	// Prefill is the engine that prefills first, nil when Server does.
 	Prefill *decision.Server
-	// Fetch is the engine from which the reader fetches the parts that it lacks, nil
+	// FetchFrom is the engine from which the reader fetches the parts that it lacks, nil
 	// where it reads all that it does not hold.
-	Fetch *decision.Server
-	// Unread is how many tokens of the prompt are to be read there, as far as is
+	FetchFrom *decision.Server
+	// UncachedTokens is how many tokens of the prompt are to be read there, as far as is
 	// known: the others are in the server's cache.
-	Unread int
-	// Brought is how many tokens come into the reader's memory: those that it reads, and
+	UncachedTokens int
+	// NewKVTokens is how many tokens come into the reader's memory: those that it reads, and
 	// those that it fetches.
-	Brought int
-	// Before is how many tokens are read before it there.
-	Before float64
-	// First is the time to the first token that is to be expected, Own the part of it
-	// that its own prompt takes, in seconds.
-	First, Own float64
-	Reason     string
-	Figures    []decision.Figure
+	NewKVTokens int
+	// TokensAhead is how many tokens are read before it there.
+	TokensAhead float64
+	// FirstTokenSeconds is the time to the first token that is to be expected,
+	// PrefillSeconds the part of it that its own prompt takes, in seconds.
+	FirstTokenSeconds, PrefillSeconds float64
+	Reason                            string
+	Figures                           []decision.Figure
 }
 
 // Result is how an attempt at a server went.
@@ -54,14 +54,14 @@
 	Failed bool
 	// FirstToken is the time to the first token; zero when not known.
 	FirstToken time.Duration
-	// Expected is the time to the first token that the choice reckoned with;
+	// ExpectedFirstToken is the time to the first token that the choice reckoned with;
 	// zero when not known.
-	Expected time.Duration
-	// Decode is the time from the first token to the last, for Tokens tokens.
-	Decode time.Duration
-	Tokens int
-	// Took is the whole time, for plain services.
-	Took time.Duration
+	ExpectedFirstToken time.Duration
+	// DecodeTime is the time from the first token to the last, for Tokens tokens.
+	DecodeTime time.Duration
+	Tokens     int
+	// TotalTime is the whole time, for plain services.
+	TotalTime time.Duration
 }
 
 // Picker is not safe for concurrent use; the reducer's goroutine owns it.
@@ -98,10 +98,10 @@
 		has := p.firstHeld(w, fleet, from, reach, pair.prefill)
 		before, own, first := firstToken(now, w, &fleet.Servers[pair.prefill], fleet, has)
 		return Choice{
-			Server: server, Prefill: &fleet.Servers[pair.prefill], Unread: unread(w, has),
-			Brought: unread(w, held[pair.prefill]),
-			Fetch:   from.server(fleet, held, reach, pair.prefill),
-			Before:  before, First: first, Own: own,
+			Server: server, Prefill: &fleet.Servers[pair.prefill], UncachedTokens: unread(w, has),
+			NewKVTokens: unread(w, held[pair.prefill]),
+			FetchFrom:   from.server(fleet, held, reach, pair.prefill),
+			TokensAhead: before, FirstTokenSeconds: first, PrefillSeconds: own,
 			Reason:  "lowest cost: prefill and decode apart",
 			Figures: p.figures(pair.cost, reach[pair.prefill], pair.decode, server),
 		}, true
@@ -110,10 +110,10 @@
 		has := p.firstHeld(w, fleet, from, reach, b.whole.index)
 		before, own, first := firstToken(now, w, server, fleet, has)
 		return Choice{
-			Server: server, Reason: "lowest cost", Unread: unread(w, has),
-			Brought: unread(w, held[b.whole.index]),
-			Fetch:   from.server(fleet, held, reach, b.whole.index),
-			Before:  before, First: first, Own: own,
+			Server: server, Reason: "lowest cost", UncachedTokens: unread(w, has),
+			NewKVTokens: unread(w, held[b.whole.index]),
+			FetchFrom:   from.server(fleet, held, reach, b.whole.index),
+			TokensAhead: before, FirstTokenSeconds: first, PrefillSeconds: own,
 			Figures: p.figures(b.whole.cost, reach[b.whole.index], b.whole.index, server),
 		}, true
 	}
@@ -130,26 +130,26 @@
 	}
 }
 
-// Sent notes that the choice was carried out: the server that reads the prompt will
-// hold it. One that only decodes does so once it has the KV cache: call Holds then.
-func (p *Picker) Sent(now time.Duration, w *decision.Work, choice Choice) {
+// RecordSent notes that the choice was carried out: the server that reads the prompt will
+// hold it. One that only decodes does so once it has the KV cache: call RecordCached then.
+func (p *Picker) RecordSent(now time.Duration, w *decision.Work, choice Choice) {
 	reader := choice.Server
 	if choice.Prefill != nil {
 		reader = choice.Prefill
 	}
-	p.Holds(now, reader.ID, w)
+	p.RecordCached(now, reader.ID, w)
 	if reader.CountsOnly {
-		p.inflow.add(now, float64(choice.Brought))
+		p.inflow.add(now, float64(choice.NewKVTokens))
 	}
 }
 
-// Holds notes that a server has, or is about to have, the prompt's KV cache.
-func (p *Picker) Holds(now time.Duration, server string, w *decision.Work) {
-	p.HoldsParts(now, server, w.Prefix)
+// RecordCached notes that a server has, or is about to have, the prompt's KV cache.
+func (p *Picker) RecordCached(now time.Duration, server string, w *decision.Work) {
+	p.RecordCachedBlocks(now, server, w.Prefix)
 }
 
-// HoldsParts notes that a server is known to have read these first parts of a prompt.
-func (p *Picker) HoldsParts(now time.Duration, server string, chain []uint64) {
+// RecordCachedBlocks notes that a server is known to have read these first parts of a prompt.
+func (p *Picker) RecordCachedBlocks(now time.Duration, server string, chain []uint64) {
 	p.cache.add(now, server, chain)
 }
 
@@ -158,10 +158,10 @@
 	p.limits.observe(now, server, result)
 }
 
-// CacheChanged takes in a server's cache events. They come late and with gaps;
+// ApplyCacheEvents takes in a server's cache events. They come late and with gaps;
 // with a gap nothing more is done than what the events say, since a block that
 // is wrongly believed to be there costs its prefill and no error.
-func (p *Picker) CacheChanged(now time.Duration, server string, events []engineapi.CacheEvent) {
+func (p *Picker) ApplyCacheEvents(now time.Duration, server string, events []engineapi.CacheEvent) {
 	for _, e := range events {
 		if e.Dropped {
 			p.cache.drop(server, e.Hash)
--- a/internal/decision/placement/placement_test.go
+++ b/internal/decision/placement/placement_test.go
@@ -53,7 +53,7 @@
 	if !ok {
 		return ""
 	}
-	p.Sent(0, w, c)
+	p.RecordSent(0, w, c)
 	l := logs[c.Server.ID]
 	if l == nil {
 		l = &decision.SentLog{}
@@ -109,7 +109,7 @@
 				if f.Servers[i].ID == slow {
 					took = time.Duration(float64(took) * times)
 				}
-				p.Observe(at, f.Servers[i].ID, Result{Tokens: 101, Decode: took})
+				p.Observe(at, f.Servers[i].ID, Result{Tokens: 101, DecodeTime: took})
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 		w.Prefix = append(w.Prefix, uint64(i+1))
 	}
 	first, _ := p.Pick(0, w, f)
-	p.Sent(0, w, first)
+	p.RecordSent(0, w, first)
 	w.RequestID = "b"
 	again, _ := p.Pick(time.Minute, w, f)
 	if again.Server.ID != first.Server.ID {
@@ -153,7 +153,7 @@
 		t.Fatal("ten seconds of queue for six seconds of prefill")
 	}
 	first.Server.Load.QueuedPrefillTokens = 0
-	p.CacheChanged(time.Minute, first.Server.ID, []engineapi.CacheEvent{{Hash: 1, Dropped: true}})
+	p.ApplyCacheEvents(time.Minute, first.Server.ID, []engineapi.CacheEvent{{Hash: 1, Dropped: true}})
 	if c, _ := p.Pick(time.Minute, w, f); c.Figures[1].Value != 0 {
 		t.Fatal("counts on blocks whose first one was dropped")
 	}
--- a/internal/decision/replicas/replicas.go
+++ b/internal/decision/replicas/replicas.go
@@ -31,10 +31,10 @@
 	ID      uint64
 	Address string
 	Voter   bool
-	// Self is the leader, which decides.
-	Self bool
-	// Silent is how long the leader has not heard it.
-	Silent time.Duration
+	// Leader is the leader, which decides.
+	Leader bool
+	// SilentFor is how long the leader has not heard it.
+	SilentFor time.Duration
 }
 
 // Joiner is a replica that waits to be added.
@@ -45,10 +45,10 @@
 
 // Group is what the leader knows.
 type Group struct {
-	// Voters is how many the group is to have.
-	Voters  int
-	Members []Member
-	Joiners []Joiner
+	// TargetVoters is how many the group is to have.
+	TargetVoters int
+	Members      []Member
+	Joiners      []Joiner
 }
 
 // Change is the next change of the list: Add, if it is set, or Remove.
@@ -58,16 +58,16 @@
 	Reason string
 }
 
-// Next gives the next change, false for none. The same group gives the same change.
-func Next(g Group) (Change, bool) {
+// NextChange gives the next change, false for none. The same group gives the same change.
+func NextChange(g Group) (Change, bool) {
 	if m := g.lostLearner(); m != nil {
 		return Change{Remove: m.ID, Reason: "the learner is lost"}, true
 	}
 	lost := g.lostVoter()
-	if lost != nil && g.voters() > g.Voters {
+	if lost != nil && g.voters() > g.TargetVoters {
 		return Change{Remove: lost.ID, Reason: "another voter has taken the lost one's place"}, true
 	}
-	if g.learners() > 0 || lost == nil && g.voters() >= g.Voters {
+	if g.learners() > 0 || lost == nil && g.voters() >= g.TargetVoters {
 		return Change{}, false
 	}
 	j := g.joiner()
@@ -90,7 +90,7 @@
 func (g *Group) lostLearner() *Member {
 	for i := range g.Members {
 		m := &g.Members[i]
-		if !m.Voter && (g.replaced(m) || m.Silent >= learnerLostAfter) {
+		if !m.Voter && (g.replaced(m) || m.SilentFor >= learnerLostAfter) {
 			return m
 		}
 	}
@@ -104,10 +104,10 @@
 	for i := range g.Members {
 		m := &g.Members[i]
 		switch {
-		case !m.Voter || m.Self:
+		case !m.Voter || m.Leader:
 		case g.replaced(m):
 			return m
-		case m.Silent >= lostAfter && (lost == nil || m.Silent > lost.Silent):
+		case m.SilentFor >= lostAfter && (lost == nil || m.SilentFor > lost.SilentFor):
 			lost = m
 		}
 	}
--- a/internal/decision/replicas/replicas_test.go
+++ b/internal/decision/replicas/replicas_test.go
@@ -19,7 +19,7 @@
 func voters(n int) []Member {
 	var list []Member
 	for i := range n {
-		list = append(list, Member{ID: uint64(i + 1), Address: fmt.Sprintf("10.0.0.%d:1", i+1), Voter: true, Self: i == 0})
+		list = append(list, Member{ID: uint64(i + 1), Address: fmt.Sprintf("10.0.0.%d:1", i+1), Voter: true, Leader: i == 0})
 	}
 	return list
 }
@@ -27,18 +27,18 @@
 // A VM is lost for good and an empty one comes at another address. The new replica
 // is added first; the lost one goes only once the new one votes.
 func TestLostVoterIsReplacedOnlyByAVoter(t *testing.T) {
-	g := Group{Voters: 3, Members: voters(3), Joiners: []Joiner{{ID: 9, Address: "10.0.0.9:1"}}}
-	g.Members[2].Silent = lostAfter
-	c, ok := Next(g)
+	g := Group{TargetVoters: 3, Members: voters(3), Joiners: []Joiner{{ID: 9, Address: "10.0.0.9:1"}}}
+	g.Members[2].SilentFor = lostAfter
+	c, ok := NextChange(g)
 	if !ok || c.Add == nil || c.Add.ID != 9 {
 		t.Fatalf("first change %+v, %v; want the new one added", c, ok)
 	}
 	g.Members = append(g.Members, Member{ID: 9, Address: "10.0.0.9:1"})
-	if c, ok := Next(g); ok {
+	if c, ok := NextChange(g); ok {
 		t.Fatalf("while it learns: %+v; want no change", c)
 	}
 	g.Members[3].Voter = true
-	if c, ok := Next(g); !ok || c.Remove != 3 {
+	if c, ok := NextChange(g); !ok || c.Remove != 3 {
 		t.Fatalf("once it votes: %+v, %v; want 3 removed", c, ok)
 	}
 }
@@ -46,8 +46,8 @@
 // A replica comes back at its address with an empty disk, and asks under a new
 // life: the old one is known to be lost, however short its silence was.
 func TestWipedReplicaIsLostAtOnce(t *testing.T) {
-	g := Group{Voters: 3, Members: voters(3), Joiners: []Joiner{{ID: 9, Address: "10.0.0.2:1"}}}
-	if c, ok := Next(g); !ok || c.Add == nil || c.Add.ID != 9 {
+	g := Group{TargetVoters: 3, Members: voters(3), Joiners: []Joiner{{ID: 9, Address: "10.0.0.2:1"}}}
+	if c, ok := NextChange(g); !ok || c.Add == nil || c.Add.ID != 9 {
 		t.Fatalf("change %+v, %v; want the new life added", c, ok)
 	}
 }
@@ -56,14 +56,14 @@
 // place, or somebody waits while all are there: the list stays as it is.
 func TestSoundGroupIsLeftAlone(t *testing.T) {
 	for name, g := range map[string]Group{
-		"one silent, nobody waits": {Voters: 3, Members: func() []Member { m := voters(3); m[1].Silent = time.Minute; return m }()},
-		"one waits, all are there": {Voters: 3, Members: voters(3), Joiners: []Joiner{{ID: 9, Address: "10.0.0.9:1"}}},
+		"one silent, nobody waits": {TargetVoters: 3, Members: func() []Member { m := voters(3); m[1].SilentFor = time.Minute; return m }()},
+		"one waits, all are there": {TargetVoters: 3, Members: voters(3), Joiners: []Joiner{{ID: 9, Address: "10.0.0.9:1"}}},
 		"silent for a moment": {
-			Voters: 3, Members: func() []Member { m := voters(3); m[1].Silent = lostAfter - 1; return m }(),
+			TargetVoters: 3, Members: func() []Member { m := voters(3); m[1].SilentFor = lostAfter - 1; return m }(),
 			Joiners: []Joiner{{ID: 9, Address: "10.0.0.9:1"}},
 		},
 	} {
-		if c, ok := Next(g); ok {
+		if c, ok := NextChange(g); ok {
 			t.Errorf("%s: %+v", name, c)
 		}
 	}
@@ -75,7 +75,7 @@
 func TestGroupOutlivesLossesOneAfterTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := rapid.IntRange(1, 2).Draw(t, "bears")
-		s := &sim{t: t, f: f, g: Group{Voters: 2*f + 1, Members: voters(2*f + 1)}, nextID: 100, alive: map[uint64]bool{}}
+		s := &sim{t: t, f: f, g: Group{TargetVoters: 2*f + 1, Members: voters(2*f + 1)}, nextID: 100, alive: map[uint64]bool{}}
 		for _, m := range s.g.Members {
 			s.alive[m.ID] = true
 		}
@@ -86,8 +86,8 @@
 			s.settle()
 		}
 		s.check()
-		if n := s.liveVoters(); n != s.g.Voters || s.g.voters() != s.g.Voters {
-			t.Fatalf("in the end %d of %d voters live, the list has %d", n, s.g.Voters, s.g.voters())
+		if n := s.liveVoters(); n != s.g.TargetVoters || s.g.voters() != s.g.TargetVoters {
+			t.Fatalf("in the end %d of %d voters live, the list has %d", n, s.g.TargetVoters, s.g.voters())
 		}
 	})
 }
@@ -113,7 +113,7 @@
 // is never drawn: another one would lead then.
 func (s *sim) lose(i int, sameAddress bool) {
 	m := &s.g.Members[i]
-	if m.Self || !s.alive[m.ID] || !m.Voter {
+	if m.Leader || !s.alive[m.ID] || !m.Voter {
 		return
 	}
 	s.alive[m.ID] = false
@@ -130,13 +130,13 @@
 func (s *sim) settle() {
 	for i := range s.g.Members {
 		m := &s.g.Members[i]
-		m.Silent = 0
+		m.SilentFor = 0
 		if !s.alive[m.ID] {
-			m.Silent = time.Minute
+			m.SilentFor = time.Minute
 		}
 		m.Voter = m.Voter || s.alive[m.ID]
 	}
-	c, ok := Next(s.g)
+	c, ok := NextChange(s.g)
 	switch {
 	case !ok:
 	case c.Add != nil:
--- a/internal/decision/roles/keep_test.go
+++ b/internal/decision/roles/keep_test.go
@@ -9,11 +9,11 @@
 )
 
 func observed(prefill, whole, away int) *Observation {
-	o := &Observation{Bounds: Bounds{MaxAway: 9}}
+	o := &Observation{Bounds: Bounds{MaxUnavailable: 9}}
 	add := func(n int, role engineapi.Role, usable bool) {
 		for range n {
 			o.Engines = append(o.Engines, Engine{
-				ID: fmt.Sprint(len(o.Engines)), Role: role, Target: role, Usable: usable,
+				ID: fmt.Sprint(len(o.Engines)), Role: role, TargetRole: role, Usable: usable,
 			})
 		}
 	}
@@ -39,7 +39,7 @@
 		{2, 0, 0, 1, 1, engineapi.RoleMixed},
 		{5, 3, 1, 0.67, 0, ""},
 	} {
-		changes := Keep(observed(c.prefill, c.whole, c.away), c.share)
+		changes := KeepPrefillShare(observed(c.prefill, c.whole, c.away), c.share)
 		if len(changes) != c.changes {
 			t.Errorf("%+v: %d changes %+v", c, len(changes), changes)
 			continue
@@ -59,7 +59,7 @@
 	for i := range o.Engines {
 		o.Engines[i].Age = time.Duration(10-i) * time.Minute
 	}
-	for _, c := range Keep(o, 0.34) {
+	for _, c := range KeepPrefillShare(o, 0.34) {
 		if c.Engine != "5" && c.Engine != "4" {
 			t.Errorf("engine %s changes", c.Engine)
 		}
--- a/internal/decision/roles/plan.go
+++ b/internal/decision/roles/plan.go
@@ -13,8 +13,8 @@
 	o.Rates = o.Rates.withDefaults()
 	f := survey(&o)
 	p.regrets.reset(f.split, o.Bounds.MinMixedShare)
-	p.regrets.add(demandOf(&o), o.Rates.Mixed, o.Interval)
-	if f.away >= max(1, o.Bounds.MaxAway) {
+	p.regrets.add(demandOf(&o), o.Rates.MixedEfficiency, o.Interval)
+	if f.away >= max(1, o.Bounds.MaxUnavailable) {
 		return nil
 	}
 	c := changeCost(&o)
@@ -22,7 +22,7 @@
 	if !ok {
 		return nil
 	}
-	changes := Towards(&o, best.split, "offered mix", figures(best, c))
+	changes := ChangesTowards(&o, best.split, "offered mix", figures(best, c))
 	p.regrets.spend(best.regret * float64(len(changes)) / float64(best.changes))
 	return changes
 }
@@ -39,7 +39,7 @@
 		e := &o.Engines[i]
 		if e.Changing {
 			f.away++
-			f.split.count(e.Target, 1)
+			f.split.count(e.TargetRole, 1)
 		} else if e.Usable {
 			f.split.count(e.Role, 1)
 		}
@@ -67,7 +67,7 @@
 	}
 	busy := 0.0
 	for i := range o.Engines {
-		busy += o.Engines[i].Busy
+		busy += o.Engines[i].PendingTokens
 	}
 	moved := movePart * busy / o.Rates.Prefill / float64(max(1, len(o.Engines)))
 	return cost{
@@ -76,12 +76,12 @@
 	}
 }
 
-// Towards gives the changes that lead from the present split towards target, no
+// ChangesTowards gives the changes that lead from the present split towards target, no
 // more than may be away at once, the engines with the least to move first.
-func Towards(o *Observation, target Split, reason string, figures []decision.Figure) []Change {
+func ChangesTowards(o *Observation, target Split, reason string, figures []decision.Figure) []Change {
 	var changes []Change
 	f := survey(o)
-	for range max(1, o.Bounds.MaxAway) - f.away {
+	for range max(1, o.Bounds.MaxUnavailable) - f.away {
 		from, to, ok := step(f.split, target)
 		if !ok {
 			break
@@ -133,7 +133,7 @@
 		if e.Changing || !e.Usable || !sameRole(e.Role, role) || isTaken(taken, e.ID) {
 			continue
 		}
-		if best == nil || e.Busy < best.Busy || e.Busy == best.Busy && e.Age < best.Age {
+		if best == nil || e.PendingTokens < best.PendingTokens || e.PendingTokens == best.PendingTokens && e.Age < best.Age {
 			best = e
 		}
 	}
@@ -167,8 +167,8 @@
 	if r.Decode <= 0 {
 		r.Decode = defaultDecodeRate
 	}
-	if r.Mixed <= 0 {
-		r.Mixed = defaultMixed
+	if r.MixedEfficiency <= 0 {
+		r.MixedEfficiency = defaultMixed
 	}
 	return r
 }
--- a/internal/decision/roles/regret.go
+++ b/internal/decision/roles/regret.go
@@ -36,7 +36,7 @@
 func (r *regrets) reset(current Split, minMixedShare float64) {
 	if r.size != current.Size() || r.share != minMixedShare {
 		r.size, r.share = current.Size(), minMixedShare
-		r.options = Splits(r.size, minMixedShare)
+		r.options = CandidateSplits(r.size, minMixedShare)
 		r.sums = make([]float64, len(r.options))
 		r.rates = make([]float64, len(r.options))
 		r.backlogs = make([]backlog, len(r.options))
@@ -92,7 +92,7 @@
 	var best candidate
 	bestNet := 0.0
 	for i, s := range r.options {
-		changes := r.current.Changes(s)
+		changes := r.current.ChangesTo(s)
 		n := float64(changes)
 		expected := r.sums[i] + max(0, r.rates[i])*horizon.Seconds()
 		net := expected - n*(c.away+c.price)
--- a/internal/decision/roles/roles.go
+++ b/internal/decision/roles/roles.go
@@ -23,8 +23,8 @@
 type Engine struct {
 	ID   string
 	Role engineapi.Role
-	// Target is the role that it changes to; Role when it does not change.
-	Target engineapi.Role
+	// TargetRole is the role that it changes to; Role when it does not change.
+	TargetRole engineapi.Role
 	// Changing: away for a change of role, version or adapter.
 	Changing bool
 	// Usable is false while it is leaving, gone or changing.
@@ -32,9 +32,9 @@
 	// Age is how long its life is known; of engines that are known as long as the planner all
 	// count alike.
 	Age time.Duration
-	// Busy is the tokens that it has to move or finish before it can change,
+	// PendingTokens is the tokens that it has to move or finish before it can change,
 	// as Work.Cost weighs them.
-	Busy float64
+	PendingTokens float64
 }
 
 // Rates are what one engine does in each role, in tokens/s. Zero fields take
@@ -42,22 +42,22 @@
 type Rates struct {
 	// Prefill and Decode are of engines with that role.
 	Prefill, Decode float64
-	// Mixed is the part of both that a mixed engine does, 0 to 1.
-	Mixed float64
+	// MixedEfficiency is the part of both that a mixed engine does, 0 to 1.
+	MixedEfficiency float64
 }
 
 // Bounds are what the operators allow.
 type Bounds struct {
-	// MaxAway is how many engines may be away at once.
-	MaxAway int
+	// MaxUnavailable is how many engines may be away at once.
+	MaxUnavailable int
 	// MinMixedShare is the smallest share of mixed engines, 0 to 1.
 	MinMixedShare float64
 	// ChangeTime is how long a change takes an engine away.
 	ChangeTime time.Duration
 }
 
-// Price is what a change must win beyond its own cost.
-type Price struct {
+// ChangePrice is what a change must win beyond its own cost.
+type ChangePrice struct {
 	// PerChange is in engine-seconds (Profile.RoleChangePrice, weighed over the
 	// profiles by their part of the work).
 	PerChange time.Duration
@@ -77,7 +77,7 @@
 	Engines []Engine
 	Rates   Rates
 	Bounds  Bounds
-	Price   Price
+	Price   ChangePrice
 }
 
 // Change is a role change to be ordered.
--- a/internal/decision/roles/roles_test.go
+++ b/internal/decision/roles/roles_test.go
@@ -21,9 +21,9 @@
 func newFleet(prefill, mixed, decode int) *fleet {
 	f := &fleet{planner: NewPlanner()}
 	f.o = Observation{
-		Interval: time.Second, Rates: Rates{Prefill: 10000, Decode: 889, Mixed: 0.8},
-		Bounds: Bounds{MaxAway: 1, MinMixedShare: 0.34, ChangeTime: 5 * time.Second},
-		Price:  Price{PerChange: 7 * time.Second, GoodputWeight: 3, ChangeWeight: 1},
+		Interval: time.Second, Rates: Rates{Prefill: 10000, Decode: 889, MixedEfficiency: 0.8},
+		Bounds: Bounds{MaxUnavailable: 1, MinMixedShare: 0.34, ChangeTime: 5 * time.Second},
+		Price:  ChangePrice{PerChange: 7 * time.Second, GoodputWeight: 3, ChangeWeight: 1},
 	}
 	for i := range prefill + mixed + decode {
 		role := engineapi.RoleMixed
@@ -32,7 +32,7 @@
 		} else if i >= prefill+mixed {
 			role = engineapi.RoleDecode
 		}
-		f.o.Engines = append(f.o.Engines, Engine{ID: fmt.Sprint("engine-", i), Role: role, Target: role, Usable: true})
+		f.o.Engines = append(f.o.Engines, Engine{ID: fmt.Sprint("engine-", i), Role: role, TargetRole: role, Usable: true})
 	}
 	f.done = make([]time.Duration, len(f.o.Engines))
 	return f
@@ -55,7 +55,7 @@
 	for i := range f.o.Engines {
 		e := &f.o.Engines[i]
 		if e.Changing && f.now >= f.done[i] {
-			e.Role, e.Changing, e.Usable = e.Target, false, true
+			e.Role, e.Changing, e.Usable = e.TargetRole, false, true
 		}
 		if e.Changing {
 			away++
@@ -68,7 +68,7 @@
 	for i := range f.o.Engines {
 		e := &f.o.Engines[i]
 		if e.ID == c.Engine {
-			e.Target, e.Changing, e.Usable = c.To, true, false
+			e.TargetRole, e.Changing, e.Usable = c.To, true, false
 			f.done[i] = f.now + f.o.Bounds.ChangeTime
 			f.changes = append(f.changes, c)
 		}
@@ -97,8 +97,8 @@
 		t.Fatalf("changes without need: %v", f.changes)
 	}
 	f.run(5*time.Minute, 7.5, always(0.85))
-	s := Present(&f.o)
-	if Served(s, Demand{Prefill: 7.5 * 0.85, Decode: 7.5 * 0.15}, 0.8) < 7.3 {
+	s := CurrentSplit(&f.o)
+	if ServedDemand(s, Demand{Prefill: 7.5 * 0.85, Decode: 7.5 * 0.15}, 0.8) < 7.3 {
 		t.Fatalf("still %+v after %d changes", s, len(f.changes))
 	}
 	if f.maxAway > 1 || len(f.changes) > 4 || s.Mixed < 4 {
@@ -149,22 +149,22 @@
 	f.run(2*time.Minute, 6, always(0.6))
 	f.o.Engines[0].Usable, f.o.Engines[1].Usable = false, false
 	f.run(5*time.Minute, 6, always(0.6))
-	s := Present(&f.o)
-	if served := Served(s, Demand{Prefill: 3.6, Decode: 2.4}, 0.8); s.Size() != 7 || served < 5.9 {
+	s := CurrentSplit(&f.o)
+	if served := ServedDemand(s, Demand{Prefill: 3.6, Decode: 2.4}, 0.8); s.Size() != 7 || served < 5.9 {
 		t.Fatalf("%+v serves %.2f of 6 after %v", s, served, f.changes)
 	}
-	if before := Served(Split{0, 4, 3}, Demand{Prefill: 3.6, Decode: 2.4}, 0.8); before > 5.5 {
+	if before := ServedDemand(Split{0, 4, 3}, Demand{Prefill: 3.6, Decode: 2.4}, 0.8); before > 5.5 {
 		t.Fatalf("%.2f of 6 without a change: the test asks for none", before)
 	}
 }
 
 func TestSplitsKeepTheBand(t *testing.T) {
-	for _, s := range Splits(9, 1.0/3) {
+	for _, s := range CandidateSplits(9, 1.0/3) {
 		if s.Size() != 9 || s.Mixed < 3 {
 			t.Fatalf("%+v", s)
 		}
 	}
-	if got := len(Splits(9, 1.0/3)); got != 28 {
+	if got := len(CandidateSplits(9, 1.0/3)); got != 28 {
 		t.Fatalf("%d splits", got)
 	}
 }
--- a/internal/decision/roles/split.go
+++ b/internal/decision/roles/split.go
@@ -12,8 +12,8 @@
 // Size is the number of engines.
 func (s Split) Size() int { return s.Prefill + s.Mixed + s.Decode }
 
-// Changes is how many engines must change to get from s to o of the same size.
-func (s Split) Changes(o Split) int {
+// ChangesTo is how many engines must change to get from s to o of the same size.
+func (s Split) ChangesTo(o Split) int {
 	return max(0, o.Prefill-s.Prefill) + max(0, o.Mixed-s.Mixed) + max(0, o.Decode-s.Decode)
 }
 
@@ -35,10 +35,10 @@
 // Total is the engines' worth of both.
 func (d Demand) Total() float64 { return d.Prefill + d.Decode }
 
-// Served is how many engines' worth of d the split can serve, prefill and
+// ServedDemand is how many engines' worth of d the split can serve, prefill and
 // decode in the proportion of d: a request needs both. mixed is the efficiency of
 // mixed engines.
-func Served(s Split, d Demand, mixed float64) float64 {
+func ServedDemand(s Split, d Demand, mixed float64) float64 {
 	if d.Total() <= 0 {
 		return 0
 	}
@@ -63,10 +63,10 @@
 // which are 6 ms a plan, and one engine more or less of a role matters to none.
 const steps = 32
 
-// Splits lists the splits of size engines with the smallest share of mixed ones
+// CandidateSplits lists the splits of size engines with the smallest share of mixed ones
 // and that can serve both parts at all: all of them up to 63 engines, of larger
 // fleets those in steps of a thirty-second.
-func Splits(size int, minMixedShare float64) []Split {
+func CandidateSplits(size int, minMixedShare float64) []Split {
 	minMixed := min(size, int(math.Ceil(minMixedShare*float64(size)-rounding)))
 	step := max(1, size/steps)
 	var out []Split
@@ -84,5 +84,5 @@
 // rounding keeps a share of 1/3 of nine engines at three.
 const rounding = 1e-9
 
-// Present is the split of the engines; those that change count with their target.
-func Present(o *Observation) Split { return survey(o).split }
+// CurrentSplit is the split of the engines; those that change count with their target.
+func CurrentSplit(o *Observation) Split { return survey(o).split }
--- a/internal/entry/cachepoll.go
+++ b/internal/entry/cachepoll.go
@@ -90,6 +90,6 @@
 	if s == nil || ev.Events.Next <= s.cache.after {
 		return
 	}
-	r.decide.picker.CacheChanged(r.now, ev.Server, ev.Events.Events)
+	r.decide.picker.ApplyCacheEvents(r.now, ev.Server, ev.Events.Events)
 	s.cache.after = ev.Events.Next - 1
 }
--- a/internal/entry/decide.go
+++ b/internal/entry/decide.go
@@ -48,6 +48,6 @@
 	}
 	d.picker.Observe(now, s.pb.Id, placement.Result{
 		Failed: !ev.Whole && !ev.Invalid, FirstToken: ev.FirstToken,
-		Decode: ev.Decode, Tokens: ev.Tokens, Took: ev.Took,
+		DecodeTime: ev.Decode, Tokens: ev.Tokens, TotalTime: ev.Took,
 	})
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -23,7 +23,7 @@
 		}
 		q := r.requests[w.RequestID]
 		if refusal := r.turnLateAway(q, choice); refusal != nil {
-			r.refuse(q, refusal, append(choice.Figures, Figure{Name: "first_seconds", Value: choice.First})...)
+			r.refuse(q, refusal, append(choice.Figures, Figure{Name: "first_seconds", Value: choice.FirstTokenSeconds})...)
 			continue
 		}
 		r.start(q, choice)
@@ -46,9 +46,9 @@
 		r.waitAgain(q)
 		return
 	}
-	r.decide.picker.Sent(r.now, &q.work, choice)
+	r.decide.picker.RecordSent(r.now, &q.work, choice)
 	if !r.cfg.BreakEnds {
-		r.decide.picker.Holds(r.now, choice.Server.ID, &q.work)
+		r.decide.picker.RecordCached(r.now, choice.Server.ID, &q.work)
 	}
 	r.dispatch(q, r.servers.byID[choice.Server.ID], choice, false)
 }
@@ -85,7 +85,7 @@
 	q.unread = context
 	q.reading = choice.Server != nil
 	if choice.Server != nil {
-		q.unread, q.before = choice.Unread+q.done, choice.Before
+		q.unread, q.before = choice.UncachedTokens+q.done, choice.TokensAhead
 	}
 	tokens := decision.Tokens{Prefill: q.unread, Decode: q.decodeLeft(), KV: context + q.decodeLeft()}
 	if choice.Prefill != nil {
@@ -101,8 +101,8 @@
 		Incarnation: s.pb.Incarnation, Address: s.pb.Address, Reconnect: reconnect,
 		Member: q.work.Member, Rank: q.work.Rank,
 	}
-	if choice.Fetch != nil {
-		d.FetchAddress = choice.Fetch.Address
+	if choice.FetchFrom != nil {
+		d.FetchAddress = choice.FetchFrom.Address
 	}
 	if choice.Prefill != nil {
 		p := r.sendPrefill(q, choice)
@@ -137,9 +137,9 @@
 		Figure{Name: "attempt", Value: float64(q.attempt)},
 		Figure{Name: "prompt_tokens", Value: float64(q.work.PromptTokens)},
 		Figure{Name: "unread_tokens", Value: float64(q.unread)},
-		Figure{Name: "fetches", Value: yesNo(choice.Fetch != nil)},
-		Figure{Name: "tokens_before", Value: choice.Before},
-		Figure{Name: "first_seconds", Value: choice.First},
+		Figure{Name: "fetches", Value: yesNo(choice.FetchFrom != nil)},
+		Figure{Name: "tokens_before", Value: choice.TokensAhead},
+		Figure{Name: "first_seconds", Value: choice.FirstTokenSeconds},
 		Figure{Name: "peers_known", Value: r.peers.known(r)},
 		Figure{Name: "output_tokens", Value: float64(q.work.OutputTokens)},
 		Figure{Name: "reported_running", Value: float64(s.load.Running)},
--- a/internal/entry/late.go
+++ b/internal/entry/late.go
@@ -16,8 +16,8 @@
 	if !q.endsInTime || q.attempts > 0 || q.work.Class != declaration.ClassBulk {
 		return nil
 	}
-	own := time.Duration(choice.Own * float64(time.Second))
-	first := time.Duration(choice.First * float64(time.Second))
+	own := time.Duration(choice.PrefillSeconds * float64(time.Second))
+	first := time.Duration(choice.FirstTokenSeconds * float64(time.Second))
 	after, late := admission.Late(&q.work, first-own, own)
 	if !late {
 		return nil
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -132,7 +132,7 @@
 		return
 	}
 	for _, read := range req.GetReads() {
-		r.decide.picker.HoldsParts(r.now, read.GetServer(), read.GetChain())
+		r.decide.picker.RecordCachedBlocks(r.now, read.GetServer(), read.GetChain())
 		if req.GetSummed() > 0 {
 			p.group.reads.add(read)
 			continue
--- a/internal/entry/prefilled.go
+++ b/internal/entry/prefilled.go
@@ -38,7 +38,7 @@
 		return
 	}
 	q.server = s
-	r.decide.picker.Holds(r.now, s.pb.Id, &q.work)
+	r.decide.picker.RecordCached(r.now, s.pb.Id, &q.work)
 	s.running = append(s.running, q.work.RequestID)
 	s.sends.add(r.now)
 	r.noteSent(s)
--- a/internal/entry/repeats.go
+++ b/internal/entry/repeats.go
@@ -71,7 +71,7 @@
 			return false
 		}
 		*choice = placement.Choice{
-			Server: choice.Server, Unread: q.work.PromptTokens, Brought: q.work.PromptTokens,
+			Server: choice.Server, UncachedTokens: q.work.PromptTokens, NewKVTokens: q.work.PromptTokens,
 			Reason: "too much is being sent again to prefill apart", Figures: choice.Figures,
 		}
 	}
--- a/internal/entry/sums.go
+++ b/internal/entry/sums.go
@@ -74,7 +74,7 @@
 		Servers: backlogsOf(sum.GetServers()),
 	})
 	for _, read := range sum.GetReads() {
-		r.decide.picker.HoldsParts(r.now, read.GetServer(), read.GetChain())
+		r.decide.picker.RecordCachedBlocks(r.now, read.GetServer(), read.GetChain())
 	}
 	r.heardDied(sum.GetDied(), false)
 	r.heardAlive(sum.GetAlive(), ev.SentAt, false)
--- a/internal/policy/baseline.go
+++ b/internal/policy/baseline.go
@@ -35,7 +35,7 @@
 func (p *follow) plan(_ time.Duration, o roles.Observation) []roles.Change {
 	d := p.window.add(&o, followWindow)
 	target := bestSplit(&o, d)
-	return roles.Towards(&o, target, "follow", nil)
+	return roles.ChangesTowards(&o, target, "follow", nil)
 }
 
 // window is a mean of demand over the last plans.
@@ -70,11 +70,11 @@
 // bestSplit is the split that serves most of d; of several that do, the one
 // nearest to the present split.
 func bestSplit(o *roles.Observation, d roles.Demand) roles.Split {
-	now := roles.Present(o)
-	best, bestValue := now, roles.Served(now, d, o.Rates.Mixed)
-	for _, s := range roles.Splits(now.Size(), o.Bounds.MinMixedShare) {
-		v := roles.Served(s, d, o.Rates.Mixed)
-		if v > bestValue+1e-9 || (v > bestValue-1e-9 && now.Changes(s) < now.Changes(best)) {
+	now := roles.CurrentSplit(o)
+	best, bestValue := now, roles.ServedDemand(now, d, o.Rates.MixedEfficiency)
+	for _, s := range roles.CandidateSplits(now.Size(), o.Bounds.MinMixedShare) {
+		v := roles.ServedDemand(s, d, o.Rates.MixedEfficiency)
+		if v > bestValue+1e-9 || (v > bestValue-1e-9 && now.ChangesTo(s) < now.ChangesTo(best)) {
 			best, bestValue = s, v
 		}
 	}
@@ -103,8 +103,8 @@
 	if now-p.last < thresholdPause {
 		return nil
 	}
-	s := roles.Present(&o)
-	band := float64(s.Mixed) * o.Rates.Mixed / 2
+	s := roles.CurrentSplit(&o)
+	band := float64(s.Mixed) * o.Rates.MixedEfficiency / 2
 	prefill := d.Prefill / (float64(s.Prefill) + band)
 	decode := d.Decode / (float64(s.Decode) + band)
 	target := s
@@ -117,5 +117,5 @@
 		return nil
 	}
 	p.last = now
-	return roles.Towards(&o, target, "thresholds", nil)
+	return roles.ChangesTowards(&o, target, "thresholds", nil)
 }
--- a/internal/policy/clairvoyant.go
+++ b/internal/policy/clairvoyant.go
@@ -17,10 +17,10 @@
 func (p *scheduled) plan(now time.Duration, o roles.Observation) []roles.Change {
 	i := min(int(now/slot), len(p.targets)-1)
 	target := p.targets[i]
-	for target.Size() > roles.Present(&o).Size() {
+	for target.Size() > roles.CurrentSplit(&o).Size() {
 		target = shrink(target)
 	}
-	return roles.Towards(&o, target, "schedule", nil)
+	return roles.ChangesTowards(&o, target, "schedule", nil)
 }
 
 // shrink takes an engine out of the largest part, for one that was lost.
@@ -39,8 +39,8 @@
 // trueDemand is the offered demand per slot, in engines' worth.
 func trueDemand(t *Trace) []roles.Demand {
 	demands := make([]roles.Demand, int(t.Length/slot)+1)
-	for i := range t.Works {
-		w := &t.Works[i]
+	for i := range t.Requests {
+		w := &t.Requests[i]
 		d := &demands[int(w.Arrived/slot)]
 		d.Prefill += float64(w.PromptTokens) / enginemodel.DefaultPrefillRate / slot.Seconds()
 		d.Decode += float64(w.OutputTokens) / (enginemodel.Config{}).FullDecodeRate() / slot.Seconds()
@@ -61,11 +61,11 @@
 // bestPlan is the sequence of splits that serves most of the demands at cost
 // engine-seconds a change, by dynamic programming over all splits.
 func bestPlan(s *Scenario, demands []roles.Demand, cost float64) []roles.Split {
-	options := roles.Splits(s.Engines, s.Roles.MinMixedShare)
+	options := roles.CandidateSplits(s.Engines, s.Roles.MinMixedShare)
 	start := initialSplit(s)
 	values := make([]float64, len(options))
 	for i, o := range options {
-		values[i] = -cost * float64(start.Changes(o))
+		values[i] = -cost * float64(start.ChangesTo(o))
 	}
 	from := make([][]int, len(demands))
 	for t, d := range demands {
@@ -90,12 +90,12 @@
 	for i, o := range options {
 		best := -1
 		for j, p := range options {
-			if n := p.Changes(o); n <= 1 && (best < 0 || before[j]-cost*float64(n) > after[i]) {
+			if n := p.ChangesTo(o); n <= 1 && (best < 0 || before[j]-cost*float64(n) > after[i]) {
 				best, after[i] = j, before[j]-cost*float64(n)
 			}
 		}
 		from[i] = best
-		after[i] += roles.Served(o, d, enginemodel.MixedEfficiency) * slot.Seconds()
+		after[i] += roles.ServedDemand(o, d, enginemodel.MixedEfficiency) * slot.Seconds()
 	}
 	return after, from
 }
@@ -135,8 +135,8 @@
 func upperBound(s *Scenario, t *Trace) float64 {
 	var urgent, bulk float64
 	last := time.Duration(0)
-	for i := range t.Works {
-		w := &t.Works[i]
+	for i := range t.Requests {
+		w := &t.Requests[i]
 		last = max(last, w.FinishBy)
 		if w.ProfileShare == s.Urgent.Share && w.Profile == s.Urgent.Name {
 			urgent += engineSeconds(w)
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -99,8 +99,8 @@
 
 // send begins an attempt.
 func (e *entry) send(r *request, w *decision.Work, c placement.Choice) {
-	e.picker.Sent(e.sim.now, w, c)
-	e.picker.Holds(e.sim.now, c.Server.ID, w)
+	e.picker.RecordSent(e.sim.now, w, c)
+	e.picker.RecordCached(e.sim.now, c.Server.ID, w)
 	r.attempt++
 	r.sentAt = e.sim.now
 	r.handed = r.got
@@ -225,7 +225,7 @@
 	}
 	e.release(r)
 	e.picker.Observe(e.sim.now, e.fleet.Servers[i].ID, placement.Result{
-		Decode: p.LastAt - p.FirstAt, Tokens: r.got - r.handed, Took: p.LastAt - r.sentAt,
+		DecodeTime: p.LastAt - p.FirstAt, Tokens: r.got - r.handed, TotalTime: p.LastAt - r.sentAt,
 	})
 	e.sim.tally.answered(r, p.LastAt)
 	e.end(r)
--- a/internal/policy/load_test.go
+++ b/internal/policy/load_test.go
@@ -162,7 +162,7 @@
 		if r.UpperBoundRatio > 1 {
 			t.Errorf("%s exceeds the upper bound", r.Policy)
 		}
-		if r.Policy == Ours {
+		if r.Policy == PolicyProduction {
 			atLeast(t, "goodput", r.GoodputRatio, 0.92)
 		}
 	}
--- a/internal/policy/measure.go
+++ b/internal/policy/measure.go
@@ -33,11 +33,11 @@
 
 // Names of the policies.
 const (
-	Ours        = "ours"
-	Never       = "never_change"
-	Follow      = "follow_at_once"
-	Thresholds  = "fixed_thresholds"
-	Clairvoyant = "clairvoyant"
+	PolicyProduction  = "ours"
+	PolicyStatic      = "never_change"
+	PolicyFollow      = "follow_at_once"
+	PolicyThresholds  = "fixed_thresholds"
+	PolicyClairvoyant = "clairvoyant"
 )
 
 // online lists the policies that don't know the future.
@@ -45,10 +45,10 @@
 	name string
 	make func() rolePolicy
 }{
-	{Ours, newOurs},
-	{Never, func() rolePolicy { return never{} }},
-	{Follow, func() rolePolicy { return &follow{} }},
-	{Thresholds, func() rolePolicy { return &thresholds{} }},
+	{PolicyProduction, newOurs},
+	{PolicyStatic, func() rolePolicy { return never{} }},
+	{PolicyFollow, func() rolePolicy { return &follow{} }},
+	{PolicyThresholds, func() rolePolicy { return &thresholds{} }},
 }
 
 // Options say what Measure runs.
@@ -95,7 +95,7 @@
 func compare(s *Scenario, t *Trace, seed uint64) []Result {
 	bound := clairvoyant(s, t)
 	upper := upperBound(s, t)
-	out := []Result{result(s, t, seed, Clairvoyant, bound, bound, upper)}
+	out := []Result{result(s, t, seed, PolicyClairvoyant, bound, bound, upper)}
 	for _, p := range online {
 		run := newSim(s, t, p.make(), initialSplit(s)).run()
 		out = append(out, result(s, t, seed, p.name, run, bound, upper))
--- a/internal/policy/sim.go
+++ b/internal/policy/sim.go
@@ -112,10 +112,10 @@
 func (m *sim) run() *tally {
 	arrival := 0
 	nextTick := time.Duration(0)
-	for arrival < len(m.trace.Works) || (m.requests > 0 && m.now < m.trace.Length+maxTail) {
+	for arrival < len(m.trace.Requests) || (m.requests > 0 && m.now < m.trace.Length+maxTail) {
 		at := nextTick
-		if arrival < len(m.trace.Works) {
-			at = min(at, m.trace.Works[arrival].Arrived)
+		if arrival < len(m.trace.Requests) {
+			at = min(at, m.trace.Requests[arrival].Arrived)
 		}
 		for _, n := range m.nodes {
 			at = min(at, n.next)
@@ -126,8 +126,8 @@
 			m.tick()
 			nextTick = m.now + reportEvery
 		}
-		for arrival < len(m.trace.Works) && m.trace.Works[arrival].Arrived <= m.now {
-			m.arrive(&m.trace.Works[arrival], arrival)
+		for arrival < len(m.trace.Requests) && m.trace.Requests[arrival].Arrived <= m.now {
+			m.arrive(&m.trace.Requests[arrival], arrival)
 			arrival++
 		}
 	}
@@ -201,12 +201,12 @@
 func (m *sim) observation() roles.Observation {
 	o := roles.Observation{
 		Interval: planEvery, PrefillTokens: m.offeredPrefill, DecodeTokens: m.offeredDecode,
-		Rates: roles.Rates{Mixed: enginemodel.MixedEfficiency},
+		Rates: roles.Rates{MixedEfficiency: enginemodel.MixedEfficiency},
 		Bounds: roles.Bounds{
-			MaxAway: m.scenario.Roles.MaxAway, MinMixedShare: m.scenario.Roles.MinMixedShare,
+			MaxUnavailable: m.scenario.Roles.MaxAway, MinMixedShare: m.scenario.Roles.MinMixedShare,
 			ChangeTime: m.scenario.Roles.ChangeTime,
 		},
-		Price: roles.Price{
+		Price: roles.ChangePrice{
 			PerChange:     m.scenario.price(),
 			GoodputWeight: m.scenario.Roles.GoodputWeight, ChangeWeight: m.scenario.Roles.ChangeWeight,
 		},
@@ -217,8 +217,8 @@
 		}
 		l := n.model.Load(m.now)
 		o.Engines = append(o.Engines, roles.Engine{
-			ID: n.id, Role: n.model.Role(), Target: n.target, Changing: n.leaving, Usable: !n.leaving,
-			Busy: float64(l.QueuedPrefillTokens) + decision.OutputCost*float64(l.RunningDecodeTokens),
+			ID: n.id, Role: n.model.Role(), TargetRole: n.target, Changing: n.leaving, Usable: !n.leaving,
+			PendingTokens: float64(l.QueuedPrefillTokens) + decision.OutputCost*float64(l.RunningDecodeTokens),
 		})
 	}
 	return o
--- a/internal/policy/trace.go
+++ b/internal/policy/trace.go
@@ -14,10 +14,10 @@
 
 // Trace is offered work, in order of arrival, and the engines that are lost.
 type Trace struct {
-	Name   string
-	Length time.Duration
-	Works  []decision.Work
-	Losses []Loss
+	Name     string
+	Length   time.Duration
+	Requests []decision.Work
+	Losses   []Loss
 }
 
 // Loss is an engine that is gone for good at some time.
@@ -181,7 +181,7 @@
 		g.arrivals(t, urgentLoad/urgentSize, g.question)
 		g.arrivals(t, (load-urgentLoad)/bulkSize, g.dossier)
 	}
-	return Trace{Name: g.shape.name, Length: traceLength, Works: g.works, Losses: g.shape.losses}
+	return Trace{Name: g.shape.name, Length: traceLength, Requests: g.works, Losses: g.shape.losses}
 }
 
 // arrivals draws whether one comes within the step; rates are well below one a
