--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -73,10 +73,10 @@
 	}})
 }
 
-func (b *entryBench) work() entry.Arrived {
+func (b *entryBench) work() entry.RequestArrived {
 	b.seq++
 	id := fmt.Sprintf("request-%d", b.seq)
-	return entry.Arrived{Fingerprint: uint64(b.seq), RetryBudget: 0.1, Work: decision.Work{
+	return entry.RequestArrived{Fingerprint: uint64(b.seq), RetryBudget: 0.1, Work: decision.Work{
 		RequestID: id, Member: fmt.Sprintf("team-%04d", b.seq%16), MemberWeight: 1,
 		Service: sampleModel + "-urgent", Profile: "urgent", ProfileShare: 1,
 		Class: declaration.ClassUrgent, Kind: declaration.KindModel, Model: sampleModel,
@@ -92,9 +92,9 @@
 	for _, eff := range b.reducer.Step(b.now, arrived) {
 		if d, ok := eff.(entry.Dispatch); ok {
 			b.reducer.Step(b.now, entry.AttemptEnded{
-				RequestID: d.RequestID, Attempt: d.Attempt, Whole: true, Outcome: outcome.Ran,
+				RequestID: d.RequestID, Attempt: d.Attempt, Complete: true, Outcome: outcome.Ran,
 				Tokens: smallAnswer, FirstToken: 100 * time.Millisecond,
-				Decode: time.Second, Took: 1100 * time.Millisecond,
+				Decode: time.Second, Elapsed: 1100 * time.Millisecond,
 			})
 		}
 	}
@@ -211,7 +211,7 @@
 					b.now += step
 					arrived := b.work()
 					b.reducer.Step(b.now, arrived)
-					b.reducer.Step(b.now, entry.CallerGone{RequestID: arrived.Work.RequestID})
+					b.reducer.Step(b.now, entry.CallerDisconnected{RequestID: arrived.Work.RequestID})
 				}), nil
 			},
 		},
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -36,8 +36,8 @@
 	PeerAddress string
 	DataCentre  string
 	Leaving     bool
-	// Aggregates tells that it sums up the reports of others.
-	Aggregates bool
+	// IsAggregator tells that it sums up the reports of others.
+	IsAggregator bool
 	// Weight is its share of callers against others of its data centre.
 	Weight float64
 }
@@ -59,8 +59,8 @@
 		Declaration: v.declaration, Members: v.members, Routes: v.routes, ViewVersion: v.version,
 		Revision: v.revision, Control: v.control,
 		Leaving: r.leaving, Drained: make(map[string]bool), Servers: len(r.servers.sorted), Load: r.loadShare(),
-		Aggregator: r.peers.group.aggregatorAddress(r.now), AskFrom: r.peers.group.pauseUntil,
-		Unsure: r.unsure(),
+		Aggregator: r.peers.group.aggregatorAddress(r.now), AskAggregatorFrom: r.peers.group.pauseUntil,
+		LeaseExpiring: r.unsure(),
 	}
 	for _, e := range v.sortedEntries() {
 		s.Entries = append(s.Entries, r.weigh(e))
@@ -70,7 +70,7 @@
 			s.Drained[server.pb.Id] = true
 		}
 	}
-	s.Closed = r.closedLives()
+	s.UnavailableUntil = r.closedLives()
 	r.emit(Publish{Snapshot: s})
 }
 
@@ -105,8 +105,8 @@
 	return EntryWeight{
 		Name: id.Name, Incarnation: id.Incarnation, Address: id.CallerAddress,
 		PeerAddress: id.PeerAddress, DataCentre: id.DataCentre, Leaving: leaving,
-		Aggregates: r.peers.group.aggregators[id.Name],
-		Weight:     max(minWeight, (1-load)*ramp),
+		IsAggregator: r.peers.group.aggregators[id.Name],
+		Weight:       max(minWeight, (1-load)*ramp),
 	}
 }
 
@@ -114,7 +114,7 @@
 // own by weight, then the others as a fallback. Leaving entries are left out, and those that
 // sum up others' reports where there are others: each choice of twenty entries waits for one.
 func (s *Snapshot) AddressesFor(dataCentre string) []EntryWeight {
-	list := s.entriesWhere(func(e EntryWeight) bool { return !e.Leaving && !e.Aggregates })
+	list := s.entriesWhere(func(e EntryWeight) bool { return !e.Leaving && !e.IsAggregator })
 	if len(list) == 0 {
 		list = s.entriesWhere(func(e EntryWeight) bool { return !e.Leaving })
 	}
@@ -151,7 +151,7 @@
 	answer := engineapi.AnnounceAnswer{
 		IntervalMS: uint32(s.announceInterval().Milliseconds()), Entries: []string{}, Leave: s.Drained[serverID],
 	}
-	for _, e := range s.Spread(serverID, announceEntries, "") {
+	for _, e := range s.SelectEntries(serverID, announceEntries, "") {
 		answer.Entries = append(answer.Entries, e.Address)
 	}
 	return answer
@@ -164,9 +164,9 @@
 	return min(max(wanted, announceEvery), slowAnnounceEvery)
 }
 
-// Spread gives up to n entries that stay, ordered by the hash of key: first the
+// SelectEntries gives up to n entries that stay, ordered by the hash of key: first the
 // best of each data centre, then the rest; none of the data centre avoid.
-func (s *Snapshot) Spread(key string, n int, avoid string) []EntryWeight {
+func (s *Snapshot) SelectEntries(key string, n int, avoid string) []EntryWeight {
 	list := make([]EntryWeight, 0, len(s.Entries))
 	for _, e := range s.Entries {
 		if !e.Leaving && (avoid == "" || e.DataCentre != avoid) {
--- a/internal/entry/addresses_test.go
+++ b/internal/entry/addresses_test.go
@@ -83,7 +83,7 @@
 	for i := range 900 {
 		id := fmt.Sprintf("engine-%d", i)
 		centres := make(map[string]bool)
-		before := s.Spread(id, announceEntries, "")
+		before := s.SelectEntries(id, announceEntries, "")
 		for _, e := range before {
 			count[e.Name]++
 			centres[e.DataCentre] = true
@@ -91,7 +91,7 @@
 		if len(centres) != 3 {
 			t.Fatalf("%s announces to %v", id, before)
 		}
-		for j, e := range fewer.Spread(id, announceEntries, "") {
+		for j, e := range fewer.SelectEntries(id, announceEntries, "") {
 			if e.Name != before[j].Name && before[j].Name != "entry-a1" {
 				moved++
 			}
--- a/internal/entry/announcements.go
+++ b/internal/entry/announcements.go
@@ -25,13 +25,13 @@
 	}
 }
 
-func (r *Reducer) serverSaid(ev ServerSaid) {
+func (r *Reducer) serverSaid(ev ServerReported) {
 	s := r.servers.life(ev.Server, ev.Incarnation)
 	if s == nil {
 		return
 	}
-	if ev.Answered {
-		r.heardWord(s, ev.SentAt, ev.Word)
+	if ev.FromResponse {
+		r.heardWord(s, ev.SentAt, ev.Backpressure)
 	}
 	if ev.State != "" {
 		r.heard(s, ev.State, ev.Load, ev.HasLoad)
--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -10,7 +10,7 @@
 
 // arrived refuses at once or takes a request on. The same event twice is the
 // same request.
-func (r *Reducer) arrived(ev Arrived) {
+func (r *Reducer) arrived(ev RequestArrived) {
 	id := ev.Work.RequestID
 	if r.requests[id] != nil {
 		return
@@ -19,9 +19,9 @@
 		r.report.offer(&ev.Work)
 	}
 	q := &request{
-		work: ev.Work, repeat: ev.Repeat, caller: callerOf(&ev), fingerprint: ev.Fingerprint, retryBudget: ev.RetryBudget,
+		work: ev.Work, repeat: ev.Retry, caller: callerOf(&ev), fingerprint: ev.Fingerprint, retryBudget: ev.RetryBudget,
 		attempt: ev.Attempt, done: ev.Offset, waitsSince: r.now,
-		maxRuns: ev.MaxRuns, endsInTime: ev.EndsInTime, aim: ev.Work.FirstTokenBy,
+		maxRuns: ev.MaxRuns, endsInTime: ev.HardDeadline, aim: ev.Work.FirstTokenBy,
 	}
 	q.work.Pace = r.speeds.paceOf(r.servers.sorted, &q.work)
 	r.extra.Arrived(r.now, ev.Work.Service)
--- a/internal/entry/authorize.go
+++ b/internal/entry/authorize.go
@@ -17,7 +17,7 @@
 	routeRank int
 }
 
-func callerOf(ev *Arrived) caller {
+func callerOf(ev *RequestArrived) caller {
 	return caller{credential: ev.Credential, membersOnly: ev.MembersOnly, member: ev.Work.Member, routeRank: ev.Work.Rank}
 }
 
--- a/internal/entry/authorize_test.go
+++ b/internal/entry/authorize_test.go
@@ -27,7 +27,7 @@
 
 // asks sends a request with a credential on a route for members only.
 func (w *world) asks(id, credential string) []Effect {
-	return w.relayed(id, func(a *Arrived) { a.Credential, a.MembersOnly = credential, true })
+	return w.relayed(id, func(a *RequestArrived) { a.Credential, a.MembersOnly = credential, true })
 }
 
 // full lets a request of nobody's take the only place, so that the next one waits.
@@ -44,7 +44,7 @@
 	return list
 }
 
-func whole(ev *AttemptEnded) { ev.Whole, ev.Outcome = true, outcome.Ran }
+func whole(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran }
 
 // Guards against a request that runs without a credential, or under an unknown one.
 func TestUnknownCredentialIsRefused(t *testing.T) {
@@ -112,13 +112,13 @@
 	w := relayedWorld(t)
 	members := []declaration.Member{holder("hotels", "key-1")}
 	w.declares(members, prefillers(2, 1)...)
-	w.relayed("r1", func(a *Arrived) {
+	w.relayed("r1", func(a *RequestArrived) {
 		a.Credential, a.MembersOnly = "key-1", true
 		a.Work.PromptTokens, a.Work.Pace.MoveRate = 17000, 2e6
 	})
 	d := w.dispatched()
 	w.declares(nil, prefillers(2, 1)...)
-	w.step(Prefilled{RequestID: "r1", Attempt: d.Attempt})
+	w.step(PrefillDone{RequestID: "r1", Attempt: d.Attempt})
 	if at := pick[DecodeAt](w.effects); len(at) > 0 {
 		t.Errorf("decodes at %+v", at)
 	}
@@ -132,7 +132,7 @@
 func TestRetryOfARevokedCredentialIsRefusedTruthfully(t *testing.T) {
 	w := relayedWorld(t)
 	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(2)...)
-	w.relayed("r1", func(a *Arrived) { a.Credential, a.MembersOnly, a.Repeat = "key-1", true, RepeatAllowed })
+	w.relayed("r1", func(a *RequestArrived) { a.Credential, a.MembersOnly, a.Retry = "key-1", true, RetryAllowed })
 	d := w.dispatched()
 	w.declares(nil, serving(2)...)
 	w.ended(d, func(ev *AttemptEnded) { ev.Outcome = outcome.Ran })
@@ -165,7 +165,7 @@
 		w.r.cfg.Credentials = CredentialLimits{Strict: strict, ConfirmedWithin: 5 * time.Second}
 		w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(1)...)
 		w.after(6 * time.Second)
-		w.step(ServerSaid{Server: "engine-0", Incarnation: "life-1", State: "serving"})
+		w.step(ServerReported{Server: "engine-0", Incarnation: "life-1", State: "serving"})
 		w.asks("r1", "key-1")
 		if refused := len(pick[Refuse](w.effects)) == 1; refused != strict {
 			t.Errorf("strict %v: refused %v", strict, refused)
--- a/internal/entry/cachepoll_test.go
+++ b/internal/entry/cachepoll_test.go
@@ -60,7 +60,7 @@
 		w.renew()
 		w.arrive("warm-" + s.pb.Id)
 		s.cache.usedAt = w.now
-		w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Whole = true })
+		w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Complete = true })
 	}
 }
 
--- a/internal/entry/crowd_test.go
+++ b/internal/entry/crowd_test.go
@@ -40,7 +40,7 @@
 	longest time.Duration
 	sent    int
 	// change puts what is asked in place of a usual request.
-	change func(*Arrived)
+	change func(*RequestArrived)
 }
 
 // arrivalAt is the arrival of a request at a server, told: from an entry that was told of its
@@ -99,7 +99,7 @@
 	switch e := e.(type) {
 	case Dispatch:
 		if e.PrefillServer != "" {
-			c.reach(w, e.PrefillServer, func() { c.step(w, Prefilled{RequestID: e.RequestID, Attempt: e.Attempt}) })
+			c.reach(w, e.PrefillServer, func() { c.step(w, PrefillDone{RequestID: e.RequestID, Attempt: e.Attempt}) })
 			return
 		}
 		c.run(w, e.RequestID, e.Attempt, e.Server)
@@ -110,7 +110,7 @@
 		c.longest = max(c.longest, c.waited(e.RequestID))
 	case Refuse:
 		c.refuse(w, e)
-	case AskPermit:
+	case RequestPermit:
 		c.ask(w, e)
 	case ReportToPeers:
 		for _, address := range e.Addresses {
@@ -132,7 +132,7 @@
 			if word.Rate > 0 {
 				c.tell(server, w.r.cfg.Identity.Name)
 			}
-			c.step(w, ServerSaid{Server: server, Incarnation: "life-1", Answered: true, SentAt: sent, Word: word})
+			c.step(w, ServerReported{Server: server, Incarnation: "life-1", FromResponse: true, SentAt: sent, Backpressure: word})
 			ended()
 		})
 	})
@@ -149,7 +149,7 @@
 
 func (c *crowd) run(w *world, id string, attempt uint32, server string) {
 	c.reach(w, server, func() {
-		c.step(w, AttemptEnded{RequestID: id, Attempt: attempt, Whole: true, Outcome: outcome.Ran})
+		c.step(w, AttemptEnded{RequestID: id, Attempt: attempt, Complete: true, Outcome: outcome.Ran})
 	})
 }
 
@@ -169,20 +169,20 @@
 }
 
 // ask brings a question for permits to its entry and the answer back.
-func (c *crowd) ask(w *world, e AskPermit) {
+func (c *crowd) ask(w *world, e RequestPermit) {
 	peer := c.byAddress(e.Address)
 	if c.dead[peer.r.cfg.Identity.Name] {
 		c.at(crowdSilence, func() {
-			c.step(w, PermitSilent{Address: e.Address, Server: e.Server, Incarnation: e.Incarnation})
+			c.step(w, PermitTimedOut{Address: e.Address, Server: e.Server, Incarnation: e.Incarnation})
 		})
 		return
 	}
 	c.at(crowdWay, func() {
 		peer.now = c.now
-		for _, out := range peer.step(PermitAsked{Key: "k", Request: e.Request}) {
+		for _, out := range peer.step(PermitRequested{Key: "k", Request: e.Request}) {
 			if a, ok := out.(AnswerPermit); ok {
 				c.at(crowdWay, func() {
-					c.step(w, PermitHeard{Server: e.Server, Incarnation: e.Incarnation, Answer: a.Answer})
+					c.step(w, PermitAnswered{Server: e.Server, Incarnation: e.Incarnation, Answer: a.Answer})
 				})
 				continue
 			}
@@ -227,7 +227,7 @@
 	w.now = c.now
 	c.refreshSum(w)
 	a := w.arrival(fmt.Sprintf("r%d.%d", c.now, c.sent), "")
-	a.EndsInTime, a.MaxRuns = true, 2
+	a.HardDeadline, a.MaxRuns = true, 2
 	a.Work.FirstTokenBy, a.Work.FinishBy, a.Work.LateIsOfUse = c.now+400*time.Millisecond, c.now+4*second, true
 	if c.change != nil {
 		c.change(&a)
@@ -243,9 +243,9 @@
 	}
 	peer := c.byAddress(address)
 	peer.now = c.now
-	for _, e := range peer.step(SumAsked{Key: "k", Request: &pb.PeerSumRequest{ClusterId: "test", Entry: w.r.cfg.Identity.Name}}) {
+	for _, e := range peer.step(SumRequested{Key: "k", Request: &pb.PeerSumRequest{ClusterId: "test", Entry: w.r.cfg.Identity.Name}}) {
 		if a, ok := e.(AnswerSum); ok && a.Sum != nil {
-			c.step(w, SumHeard{SentAt: c.now, Sum: a.Sum})
+			c.step(w, SumReceived{SentAt: c.now, Sum: a.Sum})
 			continue
 		}
 		c.carryOut(peer, e)
--- a/internal/entry/decide.go
+++ b/internal/entry/decide.go
@@ -47,7 +47,7 @@
 		return
 	}
 	d.picker.Observe(now, s.pb.Id, placement.Result{
-		Failed: !ev.Whole && !ev.Invalid, FirstToken: ev.FirstToken,
-		Decode: ev.Decode, Tokens: ev.Tokens, Took: ev.Took,
+		Failed: !ev.Complete && !ev.Invalid, FirstToken: ev.FirstToken,
+		Decode: ev.Decode, Tokens: ev.Tokens, Took: ev.Elapsed,
 	})
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -47,7 +47,7 @@
 		return
 	}
 	r.decide.picker.Sent(r.now, &q.work, choice)
-	if !r.cfg.BreakEnds {
+	if !r.cfg.AbortOnDisconnect {
 		r.decide.picker.Holds(r.now, choice.Server.ID, &q.work)
 	}
 	r.dispatch(q, r.servers.byID[choice.Server.ID], choice, false)
--- a/internal/entry/effect.go
+++ b/internal/entry/effect.go
@@ -10,7 +10,7 @@
 
 // Effect is what the runner must do after a step, in the order given.
 //
-// Each Arrived is followed by any number of Dispatch and then by exactly one
+// Each RequestArrived is followed by any number of Dispatch and then by exactly one
 // Refuse or Finish.
 type Effect interface{ isEffect() }
 
@@ -69,8 +69,8 @@
 	RequestID string
 	Attempt   uint32
 	Address   string
-	// After is how long to wait before it is sent.
-	After time.Duration
+	// Delay is how long to wait before it is sent.
+	Delay time.Duration
 }
 
 // Probe asks a server for its health.
@@ -93,23 +93,23 @@
 	Request   *pb.PeerReport
 }
 
-// AnswerSum answers a SumAsked; without a sum this entry is no aggregator.
+// AnswerSum answers a SumRequested; without a sum this entry is no aggregator.
 type AnswerSum struct {
 	Key string
 	Sum *pb.PeerSum
 }
 
-// AskSum asks the aggregator for the sum of backlogs.
-type AskSum struct{}
+// RequestSum asks the aggregator for the sum of backlogs.
+type RequestSum struct{}
 
-// AskPermit asks the entry at an address for permits; it is answered by a PermitHeard or a
-// PermitSilent.
-type AskPermit struct {
+// RequestPermit asks the entry at an address for permits; it is answered by a PermitAnswered or a
+// PermitTimedOut.
+type RequestPermit struct {
 	Address, Server, Incarnation string
 	Request                      *pb.PermitRequest
 }
 
-// AnswerPermit answers a PermitAsked; without an answer the question can't be understood.
+// AnswerPermit answers a PermitRequested; without an answer the question can't be understood.
 type AnswerPermit struct {
 	Key    string
 	Answer *pb.PermitAnswer
@@ -164,8 +164,8 @@
 func (Report) isEffect()        {}
 func (ReportToPeers) isEffect() {}
 func (AnswerSum) isEffect()     {}
-func (AskSum) isEffect()        {}
-func (AskPermit) isEffect()     {}
+func (RequestSum) isEffect()    {}
+func (RequestPermit) isEffect() {}
 func (AnswerPermit) isEffect()  {}
 func (Publish) isEffect()       {}
 func (LogDecision) isEffect()   {}
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -18,7 +18,7 @@
 	// retryPause holds a retry back when the profile's budget is used up.
 	// Accepted model work is never cut off for the budget: it waits.
 	retryPause = time.Second
-	// maxUnrun bounds the sends of a request with EndsInTime that servers don't run:
+	// maxUnrun bounds the sends of a request with HardDeadline that servers don't run:
 	// after so many full servers its caller does better to come back than to wait
 	// on here, unheard.
 	maxUnrun = 3
@@ -34,14 +34,14 @@
 		return
 	}
 	s := q.server
-	if ev.AtPrefill && q.prefill != nil {
+	if ev.AtPrefillServer && q.prefill != nil {
 		s = q.prefill
 	}
 	q.count(ev, s)
 	q.arrivals.ended(&ev)
 	r.noteEnded(q, ev)
 	if ev.Outcome != outcome.NotRun && q.reconnects == 0 {
-		q.reached = q.reached || ev.Took >= longAnswerless || s.aliveAt > q.sentAt
+		q.reached = q.reached || ev.Elapsed >= longAnswerless || s.aliveAt > q.sentAt
 	}
 	if ev.ServerDied {
 		r.serverDied(s, q, ev)
@@ -68,14 +68,14 @@
 	}
 	q.mayHaveRun = true
 	q.runs++
-	if !ev.Whole {
+	if !ev.Complete {
 		q.tried = append(q.tried, s)
 	}
 }
 
 func (r *Reducer) settle(q *request, s *server, ev AttemptEnded) {
 	switch {
-	case ev.Whole:
+	case ev.Complete:
 		r.decide.admission.Served(q.work.Profile, q.retryBudget)
 		r.suspects.cleared(q)
 		r.finish(q)
@@ -92,7 +92,7 @@
 		r.refuse(q, refuseQuarantined())
 	case q.attempts >= maxAttempts:
 		r.refuse(q, refuseFailed())
-	case ev.Outcome != outcome.NotRun && q.repeat == RepeatOnce:
+	case ev.Outcome != outcome.NotRun && q.repeat == RetryNever:
 		r.refuse(q, refuseUnknown())
 	case q.maxRuns > 0 && q.runs >= q.maxRuns:
 		r.refuse(q, refuseFailed())
@@ -100,7 +100,7 @@
 		r.refuse(q, refuseRepeats())
 	case ev.Outcome == outcome.NotRun:
 		r.elsewhere(q, s, ev)
-	case q.repeat == RepeatAllowed:
+	case q.repeat == RetryAllowed:
 		r.retryCall(q, s, ev)
 	default:
 		r.goOn(q, s, ev)
@@ -136,13 +136,13 @@
 // engine goes on: first a fresh connection to it. When that gives no token
 // either, or the engine is gone, another engine goes on from the tokens so far.
 func (r *Reducer) goOn(q *request, s *server, ev AttemptEnded) {
-	gone := ev.ServerDied || ev.StreamUnknown || ev.AtPrefill || r.cfg.BreakEnds
+	gone := ev.ServerDied || ev.StreamUnknown || ev.AtPrefillServer || r.cfg.AbortOnDisconnect
 	if !gone && q.reconnects < maxReconnects && s.wants.Take(r.now) {
 		q.reconnects++
 		r.dispatch(q, s, placement.Choice{Reason: "fresh connection"}, true)
 		return
 	}
-	if r.cfg.BreakEnds && !ev.ServerDied {
+	if r.cfg.AbortOnDisconnect && !ev.ServerDied {
 		s.fail(r.now)
 	}
 	if !gone {
@@ -160,7 +160,7 @@
 // held until a server takes it, since its caller holds a part of the answer;
 // other work until it can't be finished in time any more.
 func (r *Reducer) waitAgain(q *request) {
-	q.work.Resumed = q.mayHaveRun && q.repeat == RepeatResumable
+	q.work.Resumed = q.mayHaveRun && q.repeat == RetryResuming
 	q.work.FirstTokenBy = q.work.FinishBy
 	q.notBefore = max(q.notBefore, r.now+r.suspects.stagger(q))
 	q.waitsSince = max(r.now, q.notBefore)
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -25,36 +25,36 @@
 // Announced is a backend server's own word, checked for form already.
 type Announced struct{ Announcement engineapi.Announcement }
 
-// ServerSaid is what a server said of itself on an answer or a probe.
-type ServerSaid struct {
+// ServerReported is what a server said of itself on an answer or a probe.
+type ServerReported struct {
 	Server      string
 	Incarnation string
 	// State is empty where it told none.
 	State   engineapi.State
 	Load    engineapi.Load
 	HasLoad bool
-	// Answered tells that this came with an answer to a request that was sent at SentAt, and
+	// FromResponse tells that this came with an answer to a request that was sent at SentAt, and
 	// that Word is what the server said with it of the work that it wants.
-	Answered bool
-	SentAt   time.Duration
-	Word     backpressure.Word
+	FromResponse bool
+	SentAt       time.Duration
+	Backpressure backpressure.Word
 }
 
-// PermitAsked is another entry's question for permits; it is answered with an AnswerPermit of
+// PermitRequested is another entry's question for permits; it is answered with an AnswerPermit of
 // the same key.
-type PermitAsked struct {
+type PermitRequested struct {
 	Key     string
 	Request *pb.PermitRequest
 }
 
-// PermitHeard is the answer to an AskPermit, PermitSilent tells that there was none.
-type PermitHeard struct {
+// PermitAnswered is the answer to an RequestPermit, PermitTimedOut tells that there was none.
+type PermitAnswered struct {
 	Server, Incarnation string
 	Answer              *pb.PermitAnswer
 }
 
-// PermitSilent tells that the entry at an address gave no answer about that server in time.
-type PermitSilent struct{ Address, Server, Incarnation string }
+// PermitTimedOut tells that the entry at an address gave no answer about that server in time.
+type PermitTimedOut struct{ Address, Server, Incarnation string }
 
 // ProbeFailed tells that a health probe got no answer.
 type ProbeFailed struct {
@@ -65,33 +65,33 @@
 // ReportFailed tells that control may not have got a report.
 type ReportFailed struct{ Request *pb.ReportRequest }
 
-// ReportTaken tells that control has answered a report.
-type ReportTaken struct {
+// ReportAnswered tells that control has answered a report.
+type ReportAnswered struct {
 	Request *pb.ReportRequest
-	// TellInFull are servers that control must be told of in full again.
-	TellInFull []string
+	// ResendInFull are servers that control must be told of in full again.
+	ResendInFull []string
 	// Term is that of the leader that has answered.
 	Term uint64
 }
 
-// Repeat says how often a request may be sent.
-type Repeat int
+// RetryRule says how often a request may be sent.
+type RetryRule int
 
 // Rules of repeating.
 const (
-	// RepeatResumable: model work; it goes on from the tokens it has.
-	RepeatResumable Repeat = iota
-	// RepeatAllowed: an idempotent call of a plain service.
-	RepeatAllowed
-	// RepeatOnce: at most one send.
-	RepeatOnce
+	// RetryResuming: model work; it goes on from the tokens it has.
+	RetryResuming RetryRule = iota
+	// RetryAllowed: an idempotent call of a plain service.
+	RetryAllowed
+	// RetryNever: at most one send.
+	RetryNever
 )
 
-// Arrived is a new request that a member may make. Work.RequestID is its wire
+// RequestArrived is a new request that a member may make. Work.RequestID is its wire
 // id (engineapi.WireID).
-type Arrived struct {
-	Work   decision.Work
-	Repeat Repeat
+type RequestArrived struct {
+	Work  decision.Work
+	Retry RetryRule
 	// Credential is the hash of what the caller showed for a member, empty for none.
 	Credential string
 	// MembersOnly tells that the request runs only for the member that holds Credential
@@ -103,9 +103,9 @@
 	RetryBudget float64
 	// MaxRuns is on how many servers the request may run; 0: no bound of its own.
 	MaxRuns int
-	// EndsInTime tells that the final answer is due at Work.FinishBy, also when
+	// HardDeadline tells that the final answer is due at Work.FinishBy, also when
 	// the caller holds a part of the answer.
-	EndsInTime bool
+	HardDeadline bool
 	// Attempt is the last attempt that another entry may have used, 0 for none.
 	Attempt uint32
 	// Offset is how many tokens the caller has already.
@@ -123,10 +123,10 @@
 	Tokens int
 }
 
-// Prefilled tells that the engine that prefills for an attempt has done so and
+// PrefillDone tells that the engine that prefills for an attempt has done so and
 // holds the KV cache. It is answered with a DecodeAt, or as if the attempt had
 // ended without being run.
-type Prefilled struct {
+type PrefillDone struct {
 	RequestID string
 	Attempt   uint32
 }
@@ -135,8 +135,8 @@
 type AttemptEnded struct {
 	RequestID string
 	Attempt   uint32
-	// Whole tells that the answer is complete.
-	Whole bool
+	// Complete tells that the answer is complete.
+	Complete bool
 	// Outcome is what is known: NotRun when no byte was sent or the server
 	// said so.
 	Outcome outcome.Outcome
@@ -147,8 +147,8 @@
 	StreamUnknown bool
 	// Invalid tells that the server will never take this request.
 	Invalid bool
-	// AtPrefill tells that all this is about the engine that was to prefill.
-	AtPrefill bool
+	// AtPrefillServer tells that all this is about the engine that was to prefill.
+	AtPrefillServer bool
 	// Unsent tells that no server got any byte of this attempt.
 	Unsent bool
 	Tokens int
@@ -156,61 +156,61 @@
 	// the last; Took is the whole time.
 	FirstToken time.Duration
 	Decode     time.Duration
-	Took       time.Duration
+	Elapsed    time.Duration
 }
 
-// CallerGone tells that the caller's connection is gone.
-type CallerGone struct{ RequestID string }
+// CallerDisconnected tells that the caller's connection is gone.
+type CallerDisconnected struct{ RequestID string }
 
-// TimeUp tells that the time of a request with EndsInTime has run out.
-type TimeUp struct{ RequestID string }
+// DeadlineExpired tells that the time of a request with HardDeadline has run out.
+type DeadlineExpired struct{ RequestID string }
 
 // Stop begins the planned stop of the entry. Keep is how long callers may still
 // come that were told of it before.
 type Stop struct {
-	Keep time.Duration
-	// ShortOnly is when only work is still taken that ends in time, Ends when the entry
+	AcceptFor time.Duration
+	// ShortOnlyAfter is when only work is still taken that ends in time, Ends when the entry
 	// lets go of what still runs, both from now on; zero Ends: it waits or hands on.
-	ShortOnly, Ends time.Duration
+	ShortOnlyAfter, EndsAfter time.Duration
 }
 
 // PeerReported is another entry's report of what it has at backend servers.
 type PeerReported struct{ Request *pb.PeerReport }
 
-// SumAsked is another entry's question for the sum of backlogs; it is answered with an
+// SumRequested is another entry's question for the sum of backlogs; it is answered with an
 // AnswerSum of the same key.
-type SumAsked struct {
+type SumRequested struct {
 	Key     string
 	Request *pb.PeerSumRequest
 }
 
-// SumHeard is an aggregator's answer to a question that was sent at SentAt.
-type SumHeard struct {
+// SumReceived is an aggregator's answer to a question that was sent at SentAt.
+type SumReceived struct {
 	SentAt time.Duration
 	Sum    *pb.PeerSum
 }
 
-// AggregatorSilent tells that the aggregator at an address gave no answer in time.
-type AggregatorSilent struct{ Address string }
-
-func (PermitAsked) isEvent()      {}
-func (PermitHeard) isEvent()      {}
-func (PermitSilent) isEvent()     {}
-func (SumAsked) isEvent()         {}
-func (SumHeard) isEvent()         {}
-func (AggregatorSilent) isEvent() {}
-func (PeerReported) isEvent()     {}
-func (Tick) isEvent()             {}
-func (ViewReceived) isEvent()     {}
-func (Announced) isEvent()        {}
-func (ServerSaid) isEvent()       {}
-func (ProbeFailed) isEvent()      {}
-func (ReportTaken) isEvent()      {}
-func (ReportFailed) isEvent()     {}
-func (Arrived) isEvent()          {}
-func (AttemptProgress) isEvent()  {}
-func (AttemptEnded) isEvent()     {}
-func (Prefilled) isEvent()        {}
-func (CallerGone) isEvent()       {}
-func (TimeUp) isEvent()           {}
-func (Stop) isEvent()             {}
+// AggregatorTimedOut tells that the aggregator at an address gave no answer in time.
+type AggregatorTimedOut struct{ Address string }
+
+func (PermitRequested) isEvent()    {}
+func (PermitAnswered) isEvent()     {}
+func (PermitTimedOut) isEvent()     {}
+func (SumRequested) isEvent()       {}
+func (SumReceived) isEvent()        {}
+func (AggregatorTimedOut) isEvent() {}
+func (PeerReported) isEvent()       {}
+func (Tick) isEvent()               {}
+func (ViewReceived) isEvent()       {}
+func (Announced) isEvent()          {}
+func (ServerReported) isEvent()     {}
+func (ProbeFailed) isEvent()        {}
+func (ReportAnswered) isEvent()     {}
+func (ReportFailed) isEvent()       {}
+func (RequestArrived) isEvent()     {}
+func (AttemptProgress) isEvent()    {}
+func (AttemptEnded) isEvent()       {}
+func (PrefillDone) isEvent()        {}
+func (CallerDisconnected) isEvent() {}
+func (DeadlineExpired) isEvent()    {}
+func (Stop) isEvent()               {}
--- a/internal/entry/final.go
+++ b/internal/entry/final.go
@@ -4,20 +4,20 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-func (r *Reducer) callerGone(ev CallerGone) {
+func (r *Reducer) callerGone(ev CallerDisconnected) {
 	q := r.requests[ev.RequestID]
 	if q == nil {
 		return
 	}
-	if q.server != nil && q.repeat == RepeatResumable && !r.cfg.BreakEnds {
-		r.emit(Cancel{RequestID: ev.RequestID, Attempt: q.engineAttempt, Address: q.server.pb.Address, After: cancelGrace})
+	if q.server != nil && q.repeat == RetryResuming && !r.cfg.AbortOnDisconnect {
+		r.emit(Cancel{RequestID: ev.RequestID, Attempt: q.engineAttempt, Address: q.server.pb.Address, Delay: cancelGrace})
 	}
 	r.finish(q)
 	r.startWaiting()
 }
 
 // timeUp gives a request whose time has run out its final answer, wherever it is.
-func (r *Reducer) timeUp(ev TimeUp) {
+func (r *Reducer) timeUp(ev DeadlineExpired) {
 	if q := r.requests[ev.RequestID]; q != nil {
 		r.refuse(q, refuseTimeout(q))
 		r.startWaiting()
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -112,7 +112,7 @@
 	if load.KVTokens == 0 {
 		load.KVTokens = r.view.cacheTokens[s.pb.Model]
 	}
-	if load.DecodeRate == 0 && r.cfg.Engines.TokenTime > 0 {
+	if load.DecodeRate == 0 && r.cfg.AssumedPace.TokenTime > 0 {
 		load.DecodeRate = float64(max(1, s.pb.Slots)) / r.speeds.tokenTime(s)
 	}
 	return load
--- a/internal/entry/full_test.go
+++ b/internal/entry/full_test.go
@@ -103,10 +103,10 @@
 }
 
 // call is a caller's second try: 0.6 to 1 s are left to it.
-func (s *fullServer) call(n int) Arrived {
+func (s *fullServer) call(n int) RequestArrived {
 	id := fmt.Sprintf("call-%d", n)
 	a := s.arrival(id, "")
-	a.EndsInTime, a.Work.LateIsOfUse = true, true
+	a.HardDeadline, a.Work.LateIsOfUse = true, true
 	a.Work.Kind, a.Work.Class, a.Work.Service, a.Work.Model = declaration.KindPlain, declaration.ClassLookup, "lookups", ""
 	a.Work.PromptTokens, a.Work.OutputTokens = 0, 0
 	a.Work.FirstTokenBy = s.now + 150*time.Millisecond
@@ -123,7 +123,7 @@
 		d := s.running[id]
 		delete(s.running, id)
 		s.answered++
-		s.check(t, s.ended(d, func(ev *AttemptEnded) { ev.Whole, ev.Took = true, s.callTime }))
+		s.check(t, s.ended(d, func(ev *AttemptEnded) { ev.Complete, ev.Elapsed = true, s.callTime }))
 	}
 }
 
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -59,7 +59,7 @@
 // askedBy gives the aggregator's answer to a member.
 func (w *world) askedBy(member *world, from uint64) *pb.PeerSum {
 	w.t.Helper()
-	w.step(SumAsked{Key: "k", Request: &pb.PeerSumRequest{
+	w.step(SumRequested{Key: "k", Request: &pb.PeerSumRequest{
 		ClusterId: "test", Entry: member.r.cfg.Identity.Name, ReadsFrom: from, Aggregator: w.r.cfg.Identity.Incarnation,
 	}})
 	answers := pick[AnswerSum](w.effects)
@@ -120,7 +120,7 @@
 	if len(sum.Servers) != 1 || sum.Servers[0].Server != "engine-0" || sum.Entries != 2 {
 		t.Fatalf("the sum is %v", sum)
 	}
-	member.step(SumHeard{Sum: sum})
+	member.step(SumReceived{Sum: sum})
 	member.relayed("r1", nil)
 	if d := member.dispatched(); d.Server != "engine-1" {
 		t.Errorf("went to %s behind 40,000 tokens", d.Server)
@@ -168,8 +168,8 @@
 		if at := member.r.peers.group.aggregatorAddress(member.now); at != first {
 			t.Fatalf("asks %q after %d silences", at, i)
 		}
-		snap := pick[Publish](member.step(AggregatorSilent{Address: first}))
-		if len(snap) != 1 || snap[0].Snapshot.Aggregator == first && snap[0].Snapshot.AskFrom <= member.now {
+		snap := pick[Publish](member.step(AggregatorTimedOut{Address: first}))
+		if len(snap) != 1 || snap[0].Snapshot.Aggregator == first && snap[0].Snapshot.AskAggregatorFrom <= member.now {
 			t.Errorf("%q is asked at once after %d silences", first, i+1)
 		}
 		member.after(pauseAfterSilence << i)
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -83,8 +83,8 @@
 	}})
 }
 
-func (w *world) arrival(id, member string) Arrived {
-	return Arrived{
+func (w *world) arrival(id, member string) RequestArrived {
+	return RequestArrived{
 		Work: decision.Work{
 			RequestID: id, Member: member, MemberWeight: 1, Service: "eligibility", Profile: "counter", ProfileShare: 1,
 			Class: declaration.ClassUrgent, Kind: declaration.KindModel, Model: testModel,
@@ -98,7 +98,7 @@
 func (w *world) arrive(id string) []Effect { return w.step(w.arrival(id, "hotels")) }
 
 func (w *world) said(i int, state engineapi.State) []Effect {
-	return w.step(ServerSaid{Server: fmt.Sprintf("engine-%d", i), Incarnation: "life-1", State: state})
+	return w.step(ServerReported{Server: fmt.Sprintf("engine-%d", i), Incarnation: "life-1", State: state})
 }
 
 // pick gives the effects of one type.
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -11,8 +11,8 @@
 
 // answered lets engine-0 answer a request with that word.
 func (w *world) answered(word backpressure.Word) {
-	w.step(ServerSaid{
-		Server: "engine-0", Incarnation: "life-1", Answered: true, SentAt: w.now, Word: word,
+	w.step(ServerReported{
+		Server: "engine-0", Incarnation: "life-1", FromResponse: true, SentAt: w.now, Backpressure: word,
 		State: engineapi.StateServing, HasLoad: true,
 	})
 }
@@ -48,13 +48,13 @@
 		ClusterId: "test", Entry: "another", Incarnation: "p1", Sequence: 1,
 		Leaving: []*pb.ServerLeaving{{Server: "engine-0", IncarnationHash: sums.hashOf("engine-0")}},
 	}})
-	member.step(SumHeard{SentAt: member.now, Sum: sums.askedBy(member, 0)})
+	member.step(SumReceived{SentAt: member.now, Sum: sums.askedBy(member, 0)})
 	for range 4 {
 		member.relayed("r", nil)
 		if d := member.dispatched(); d.Server == "engine-0" {
 			t.Fatal("the member sends to the server that leaves")
 		}
-		member.step(CallerGone{RequestID: "r"})
+		member.step(CallerDisconnected{RequestID: "r"})
 	}
 	direct := relayedWorld(t)
 	direct.viewWithPeers(2, serving(2)...)
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -94,7 +94,7 @@
 		}
 		return backpressure.Word{}
 	})
-	c.change = func(a *Arrived) { a.Work.PromptTokens, a.Work.Pace.MoveRate = 17000, 2e6 }
+	c.change = func(a *RequestArrived) { a.Work.PromptTokens, a.Work.Pace.MoveRate = 17000, 2e6 }
 	c.play(10*second, 30)
 	if got := c.most("engine-2"); got > allowed(rate) || got < 4 {
 		t.Errorf("the engine that reads got %d requests in 4 s, at most %d", got, allowed(rate))
@@ -121,8 +121,8 @@
 
 // limited tells an entry of a limit by an answer.
 func (w *world) limited(i int, sent time.Duration, rate float64) {
-	w.step(ServerSaid{
-		Server: fmt.Sprintf("engine-%d", i), Incarnation: "life-1", Answered: true, SentAt: sent, Word: backpressure.Word{Rate: rate},
+	w.step(ServerReported{
+		Server: fmt.Sprintf("engine-%d", i), Incarnation: "life-1", FromResponse: true, SentAt: sent, Backpressure: backpressure.Word{Rate: rate},
 	})
 }
 
@@ -181,7 +181,7 @@
 	entries := manyEntries(191)
 	member, sums := worldsOf(t, entries, serving(2)...)
 	sums.limited(0, sums.now, 6)
-	member.step(SumHeard{SentAt: member.now, Sum: sums.askedBy(member, 0)})
+	member.step(SumReceived{SentAt: member.now, Sum: sums.askedBy(member, 0)})
 	if got := member.r.servers.byID["engine-0"].wants.Limit.Rate(); got != 6 {
 		t.Errorf("the member knows of limit %g", got)
 	}
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -67,12 +67,12 @@
 		ClusterId: "test", Entry: "another", Incarnation: "p1", Sequence: 1,
 		Alive: []*pb.ServerAlive{toldAlive("engine-7", 100)},
 	}})
-	sums.step(SumAsked{Key: "k", Request: &pb.PeerSumRequest{ClusterId: "test", Entry: "entry-0", WantAlive: true}})
+	sums.step(SumRequested{Key: "k", Request: &pb.PeerSumRequest{ClusterId: "test", Entry: "entry-0", WantAlive: true}})
 	sum := pick[AnswerSum](sums.effects)[0].Sum
 	if len(sum.Alive) != 1 || sum.Alive[0].AgeMs != 100 {
 		t.Fatalf("told of %v", sum.Alive)
 	}
-	member.step(SumHeard{SentAt: member.now, Sum: sum})
+	member.step(SumReceived{SentAt: member.now, Sum: sum})
 	member.relayed("r1", nil)
 	if d := member.dispatched(); d.Server != "engine-7" {
 		t.Errorf("sent to %s", d.Server)
@@ -128,11 +128,11 @@
 // nothing, and a server that said itself that it leaves is not brought back.
 func TestWordsPassedOnGrowOld(t *testing.T) {
 	member, _ := worldsOf(t, manyEntries(191), serving(4)...)
-	member.step(ServerSaid{Server: "engine-2", Incarnation: "life-1", State: engineapi.StateLeaving})
+	member.step(ServerReported{Server: "engine-2", Incarnation: "life-1", State: engineapi.StateLeaving})
 	member.after(maxLease)
 	earlier := toldAlive("engine-1", 0)
 	earlier.IncarnationHash++
-	member.step(SumHeard{SentAt: member.now, Sum: &pb.PeerSum{
+	member.step(SumReceived{SentAt: member.now, Sum: &pb.PeerSum{
 		Aggregator: "a", Alive: []*pb.ServerAlive{toldAlive("engine-0", uint32(confirmFor.Milliseconds())), earlier, toldAlive("engine-2", 0)},
 	}})
 	member.relayed("r1", nil)
@@ -157,7 +157,7 @@
 	member.renew()
 	member.said(1, engineapi.StateServing)
 	sum.Died = append(sum.Died, toldDied("engine-1", 200))
-	member.step(SumHeard{SentAt: member.now, Sum: sum})
+	member.step(SumReceived{SentAt: member.now, Sum: sum})
 	for n := range 3 {
 		member.relayed(fmt.Sprint("r", n), nil)
 		if d := member.dispatched(); d.Server != "engine-1" {
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -50,7 +50,7 @@
 	w := relayedWorld(t)
 	w.viewWithPeers(2, serving(1)...)
 	w.after(peerReportEvery)
-	long := func(a *Arrived) { a.Work.PromptTokens = 10000 }
+	long := func(a *RequestArrived) { a.Work.PromptTokens = 10000 }
 	w.relayed("r1", long)
 	d := w.dispatched()
 	reports := pick[ReportToPeers](w.effects)
@@ -75,7 +75,7 @@
 	}
 	third := w.dispatched()
 	for _, d := range []Dispatch{d, second, third} {
-		w.ended(d, func(ev *AttemptEnded) { ev.Whole = true })
+		w.ended(d, func(ev *AttemptEnded) { ev.Complete = true })
 	}
 	w.after(peerReportAgain)
 	last := pick[ReportToPeers](w.step(Tick{}))
--- a/internal/entry/permits.go
+++ b/internal/entry/permits.go
@@ -121,7 +121,7 @@
 	name, address := r.keeper(s.pb.Id)
 	if name != "" && name != r.cfg.Identity.GetName() {
 		l.Asked()
-		r.emit(AskPermit{Address: address, Server: s.pb.Id, Incarnation: s.pb.Incarnation, Request: &pb.PermitRequest{
+		r.emit(RequestPermit{Address: address, Server: s.pb.Id, Incarnation: s.pb.Incarnation, Request: &pb.PermitRequest{
 			ClusterId: r.cfg.Cluster, Entry: ask.Entry, Server: s.pb.Id, IncarnationHash: hash, Rate: ask.Rate,
 			AgeMs: uint32((r.now - ask.WordAt).Milliseconds()), Wanted: uint32(wanted),
 		}})
@@ -159,7 +159,7 @@
 
 // permitAsked answers another entry that wants to send to a server with a limit. Any entry
 // does: which one is asked follows from the view of the one that asks.
-func (r *Reducer) permitAsked(ev PermitAsked) {
+func (r *Reducer) permitAsked(ev PermitRequested) {
 	req := ev.Request
 	if req.GetClusterId() != r.cfg.Cluster || !(req.GetRate() > 0) {
 		r.emit(AnswerPermit{Key: ev.Key})
@@ -176,7 +176,7 @@
 }
 
 // permitHeard takes permits, or word that there are none now.
-func (r *Reducer) permitHeard(ev PermitHeard) {
+func (r *Reducer) permitHeard(ev PermitAnswered) {
 	s := r.servers.life(ev.Server, ev.Incarnation)
 	if s == nil {
 		return
@@ -192,7 +192,7 @@
 }
 
 // permitSilent turns to another entry for permits.
-func (r *Reducer) permitSilent(ev PermitSilent) {
+func (r *Reducer) permitSilent(ev PermitTimedOut) {
 	r.permits.silentUntil[ev.Address] = r.now + avoidKeeper
 	s := r.servers.life(ev.Server, ev.Incarnation)
 	if s == nil {
--- a/internal/entry/places_test.go
+++ b/internal/entry/places_test.go
@@ -28,8 +28,8 @@
 	for _, rate := range []float64{25000, 112000, 250000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			w := relayedWorld(t)
-			w.r.cfg.MaxStreams, w.r.cfg.Engines = 1000, decision.Pace{PrefillRate: rate, TokenTime: 5 * time.Millisecond}
-			w.r.speeds = newSpeeds(w.r.cfg.Engines)
+			w.r.cfg.MaxStreams, w.r.cfg.AssumedPace = 1000, decision.Pace{PrefillRate: rate, TokenTime: 5 * time.Millisecond}
+			w.r.speeds = newSpeeds(w.r.cfg.AssumedPace)
 			servers := prefillers(decoders, readers)
 			for _, s := range servers {
 				s.Slots = places
@@ -68,7 +68,7 @@
 		if w.now >= start+next {
 			id := fmt.Sprint("r", len(arrived))
 			arrived[id] = w.now
-			take(w.relayed(id, func(a *Arrived) {
+			take(w.relayed(id, func(a *RequestArrived) {
 				a.Work.PromptTokens, a.Work.Pace.MoveRate, a.Work.FinishBy = tokens, 1e8, w.now+8*second
 			}))
 			next += every
@@ -88,10 +88,10 @@
 	switch {
 	case apart && !p.decodes && w.now >= p.at+reading:
 		p.decodes, p.at = true, w.now
-		return w.step(Prefilled{RequestID: p.dispatch.RequestID, Attempt: p.dispatch.Attempt})
+		return w.step(PrefillDone{RequestID: p.dispatch.RequestID, Attempt: p.dispatch.Attempt})
 	case (!apart || p.decodes) && w.now >= p.at+decoding:
 		p.at = 1 << 62
-		return w.ended(p.dispatch, func(ev *AttemptEnded) { ev.Whole, ev.Outcome = true, outcome.Ran })
+		return w.ended(p.dispatch, func(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran })
 	}
 	return nil
 }
--- a/internal/entry/prefilled.go
+++ b/internal/entry/prefilled.go
@@ -11,7 +11,7 @@
 // The choice comes only now, since a prefill waits its turn for up to seconds:
 // the engine that looked best before may be full by then, or leave, and one that
 // leaves must get no new work two seconds after it has said so.
-func (r *Reducer) prefilled(ev Prefilled) {
+func (r *Reducer) prefilled(ev PrefillDone) {
 	q := r.requests[ev.RequestID]
 	if q == nil || q.attempt != ev.Attempt || q.prefill == nil {
 		return
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -37,14 +37,14 @@
 	Cluster    string
 	Identity   *pb.EntryIdentity
 	MaxStreams int
-	// BreakEnds tells that servers stop a request whose connection breaks. Else
+	// AbortOnDisconnect tells that servers stop a request whose connection breaks. Else
 	// they go on, and a fresh connection can take it up.
-	BreakEnds bool
-	// Engines is what is assumed of engines that report no rates.
-	Engines decision.Pace
-	// Extra bounds what is sent beyond the first send of each request, over all
+	AbortOnDisconnect bool
+	// AssumedPace is what is assumed of engines that report no rates.
+	AssumedPace decision.Pace
+	// RetryLimit bounds what is sent beyond the first send of each request, over all
 	// entries; nil: only the profiles' retry budgets count.
-	Extra *admission.ExtraLimit
+	RetryLimit *admission.ExtraLimit
 	// Usage says how members' requests are counted.
 	Usage UsageConfig
 	// Credentials says how long callers' credentials count without control's word.
@@ -100,13 +100,13 @@
 		servers:  newServerTable(),
 		requests: make(map[string]*request),
 		decide:   newDecider(),
-		speeds:   newSpeeds(cfg.Engines),
+		speeds:   newSpeeds(cfg.AssumedPace),
 		peers:    newPeerBacklogs(),
 		suspects: newSuspectTable(),
 		permits:  newPermits(),
 		report:   newReportBuffer(),
 		usage:    newUsageBook(cfg.Usage, cfg.Identity.GetName()),
-		extra:    admission.NewExtra(cfg.Extra),
+		extra:    admission.NewExtra(cfg.RetryLimit),
 	}
 }
 
@@ -123,7 +123,7 @@
 		r.viewReceived(ev)
 	case Announced:
 		r.announced(ev)
-	case ServerSaid:
+	case ServerReported:
 		r.serverSaid(ev)
 	case CacheReported:
 		r.cacheReported(ev)
@@ -132,34 +132,34 @@
 	case ReportFailed:
 		r.report.failed(ev.Request)
 		r.usage.tellAgain()
-	case ReportTaken:
-		r.report.told.taken(ev.Request, ev.TellInFull)
+	case ReportAnswered:
+		r.report.told.taken(ev.Request, ev.ResendInFull)
 		r.usage.taken(ev.Term)
-	case Arrived:
+	case RequestArrived:
 		r.arrived(ev)
 	case AttemptProgress:
 		r.progress(ev)
 	case AttemptEnded:
 		r.attemptEnded(ev)
-	case Prefilled:
+	case PrefillDone:
 		r.prefilled(ev)
-	case CallerGone:
+	case CallerDisconnected:
 		r.callerGone(ev)
-	case TimeUp:
+	case DeadlineExpired:
 		r.timeUp(ev)
 	case PeerReported:
 		r.peerReported(ev)
-	case SumAsked:
+	case SumRequested:
 		r.sumAsked(ev)
-	case SumHeard:
+	case SumReceived:
 		r.sumHeard(ev)
-	case AggregatorSilent:
+	case AggregatorTimedOut:
 		r.aggregatorSilent(ev)
-	case PermitAsked:
+	case PermitRequested:
 		r.permitAsked(ev)
-	case PermitHeard:
+	case PermitAnswered:
 		r.permitHeard(ev)
-	case PermitSilent:
+	case PermitTimedOut:
 		r.permitSilent(ev)
 	case Stop:
 		r.stop(ev)
@@ -202,10 +202,10 @@
 	r.refreshWeights()
 }
 
-// Quiet tells whether nothing waits for time to pass but what is paced by
+// Idle tells whether nothing waits for time to pass but what is paced by
 // seconds: there is no request, the view is in force, and no server is probed
 // or carries out an order.
-func (r *Reducer) Quiet() bool {
+func (r *Reducer) Idle() bool {
 	if len(r.requests) > 0 || r.leaving || r.stale() || r.report.changing || r.peers.anything {
 		return false
 	}
@@ -221,9 +221,9 @@
 		return
 	}
 	r.leaving, r.dirty = true, true
-	r.closesAt, r.shortOnlyAt = r.now+ev.Keep, r.now+ev.ShortOnly
-	if ev.Ends > 0 {
-		r.endsAt = r.now + ev.Ends
+	r.closesAt, r.shortOnlyAt = r.now+ev.AcceptFor, r.now+ev.ShortOnlyAfter
+	if ev.EndsAfter > 0 {
+		r.endsAt = r.now + ev.EndsAfter
 	}
 }
 
--- a/internal/entry/reducer_test.go
+++ b/internal/entry/reducer_test.go
@@ -110,7 +110,7 @@
 	if r := w.refused(); r.Code != outcome.CodeQuarantined || r.Outcome != outcome.Unknown || r.RetryAfter != 0 {
 		t.Fatalf("refusal %+v", r)
 	}
-	w.ended(third, func(ev *AttemptEnded) { ev.Whole, ev.Outcome = true, outcome.Ran })
+	w.ended(third, func(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran })
 	if len(pick[Finish](w.effects)) != 1 {
 		t.Fatalf("the innocent request did not finish: %v", w.effects)
 	}
@@ -237,7 +237,7 @@
 	w := newWorld(t)
 	w.view(serving(2)...)
 	call := w.arrival("receipt", "hotels")
-	call.Repeat = RepeatOnce
+	call.Retry = RetryNever
 	w.step(call)
 	d := w.dispatched()
 	w.ended(d, func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
@@ -271,7 +271,7 @@
 	const lookups = 40
 	for i := range lookups {
 		call := w.arrival(fmt.Sprintf("lookup-%d", i), "hotels")
-		call.Repeat = RepeatAllowed
+		call.Retry = RetryAllowed
 		fail(w.step(call))
 		w.after(second)
 		fail(w.renew())
@@ -322,7 +322,7 @@
 func TestLeavingEntryServesUntilItCloses(t *testing.T) {
 	w := newWorld(t)
 	w.view(serving(1)...)
-	w.step(Stop{Keep: second})
+	w.step(Stop{AcceptFor: second})
 	if s := pick[Publish](w.effects); len(s) != 1 || !s[0].Snapshot.Leaving {
 		t.Fatalf("published %v", s)
 	}
@@ -357,9 +357,9 @@
 	w.view(serving(1)...)
 	w.arrive("r1")
 	w.dispatched()
-	w.step(CallerGone{RequestID: "r1"})
+	w.step(CallerDisconnected{RequestID: "r1"})
 	c := pick[Cancel](w.effects)
-	if len(c) != 1 || c[0].After != cancelGrace || len(pick[Finish](w.effects)) != 1 {
+	if len(c) != 1 || c[0].Delay != cancelGrace || len(pick[Finish](w.effects)) != 1 {
 		t.Fatalf("effects %v", w.effects)
 	}
 }
@@ -368,21 +368,21 @@
 // that does so with a stale view would not confirm servers in time.
 func TestQuietOnlyWhileNothingWaits(t *testing.T) {
 	w := newWorld(t)
-	if w.r.Quiet() {
+	if w.r.Idle() {
 		t.Error("quiet without a view")
 	}
 	w.view(serving(1)...)
-	if !w.r.Quiet() {
+	if !w.r.Idle() {
 		t.Error("not quiet with nothing to do")
 	}
 	w.arrive("a")
-	if w.r.Quiet() {
+	if w.r.Idle() {
 		t.Error("quiet with a request")
 	}
-	w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Whole = true })
+	w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Complete = true })
 	w.after(maxLease)
 	w.step(Tick{})
-	if w.r.Quiet() {
+	if w.r.Idle() {
 		t.Error("quiet with a stale view")
 	}
 }
--- a/internal/entry/relayed_test.go
+++ b/internal/entry/relayed_test.go
@@ -16,17 +16,17 @@
 // relayedWorld is an entry whose servers end a request with its connection.
 func relayedWorld(t fataler) *world {
 	w := newWorld(t)
-	w.r.cfg.BreakEnds = true
-	w.r.cfg.Engines = decision.Pace{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
-	w.r.speeds = newSpeeds(w.r.cfg.Engines)
+	w.r.cfg.AbortOnDisconnect = true
+	w.r.cfg.AssumedPace = decision.Pace{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
+	w.r.speeds = newSpeeds(w.r.cfg.AssumedPace)
 	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
 	return w
 }
 
 // relayed is a request with a final time.
-func (w *world) relayed(id string, change func(*Arrived)) []Effect {
+func (w *world) relayed(id string, change func(*RequestArrived)) []Effect {
 	a := w.arrival(id, "")
-	a.EndsInTime, a.MaxRuns = true, 2
+	a.HardDeadline, a.MaxRuns = true, 2
 	a.Work.FinishBy, a.Work.LateIsOfUse = w.now+4*second, true
 	if change != nil {
 		change(&a)
@@ -48,7 +48,7 @@
 // pairOf sends a long request that is prefilled apart.
 func (w *world) pairOf(id string) Dispatch {
 	w.t.Helper()
-	w.relayed(id, func(a *Arrived) {
+	w.relayed(id, func(a *RequestArrived) {
 		a.Work.PromptTokens = 17000
 		a.Work.Pace.MoveRate = 2e6
 	})
@@ -66,9 +66,9 @@
 	w.view(prefillers(2, 1)...)
 	d := w.pairOf("r1")
 	w.after(2 * second)
-	w.step(ServerSaid{Server: d.Server, Incarnation: "life-1", State: engineapi.StateLeaving})
+	w.step(ServerReported{Server: d.Server, Incarnation: "life-1", State: engineapi.StateLeaving})
 	w.renew()
-	w.step(Prefilled{RequestID: "r1", Attempt: d.Attempt})
+	w.step(PrefillDone{RequestID: "r1", Attempt: d.Attempt})
 	at := pick[DecodeAt](w.effects)
 	if len(at) != 1 || at[0].Server == d.Server {
 		t.Fatalf("planned at %s, decodes at %+v", d.Server, at)
@@ -81,13 +81,13 @@
 	w := relayedWorld(t)
 	w.view(prefillers(1, 1)...)
 	d := w.pairOf("r1")
-	w.step(ServerSaid{Server: d.Server, Incarnation: "life-1", State: engineapi.StateLeaving})
-	w.step(Prefilled{RequestID: "r1", Attempt: d.Attempt})
+	w.step(ServerReported{Server: d.Server, Incarnation: "life-1", State: engineapi.StateLeaving})
+	w.step(PrefillDone{RequestID: "r1", Attempt: d.Attempt})
 	if len(pick[DecodeAt](w.effects)) != 0 {
 		t.Fatalf("effects %v", w.effects)
 	}
 	w.after(4 * second)
-	w.step(TimeUp{RequestID: "r1"})
+	w.step(DeadlineExpired{RequestID: "r1"})
 	if r := w.refused(); r.Outcome != outcome.NotRun || r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Fatalf("refusal %+v", r)
 	}
@@ -102,7 +102,7 @@
 	d := w.dispatched()
 	w.step(AttemptProgress{RequestID: "r1", Attempt: d.Attempt})
 	w.after(4 * second)
-	w.step(TimeUp{RequestID: "r1"})
+	w.step(DeadlineExpired{RequestID: "r1"})
 	if r := w.refused(); r.Outcome != outcome.Unknown || r.Status != http.StatusGatewayTimeout {
 		t.Fatalf("refusal %+v", r)
 	}
@@ -116,7 +116,7 @@
 func TestRunsAreBounded(t *testing.T) {
 	w := relayedWorld(t)
 	w.view(serving(3)...)
-	w.relayed("r1", func(a *Arrived) { a.Repeat = RepeatAllowed })
+	w.relayed("r1", func(a *RequestArrived) { a.Retry = RetryAllowed })
 	first := w.dispatched()
 	w.ended(first, func(ev *AttemptEnded) { ev.Outcome = outcome.Ran })
 	second := w.dispatched()
@@ -168,18 +168,18 @@
 func TestLongWorkThatWouldBeLateIsTurnedAway(t *testing.T) {
 	w := relayedWorld(t)
 	w.view(serving(1)...)
-	dossier := func(a *Arrived) {
+	dossier := func(a *RequestArrived) {
 		a.Work.Class, a.Work.PromptTokens = declaration.ClassBulk, 17000
 		a.Work.FirstTokenBy = w.now + 800*time.Millisecond
 	}
 	busy := func(waiting uint32) {
-		w.step(ServerSaid{
+		w.step(ServerReported{
 			Server: "engine-0", Incarnation: "life-1", State: engineapi.StateServing, HasLoad: true,
 			Load: engineapi.Load{Running: 1, Queued: waiting},
 		})
 	}
-	w.relayed("first", func(a *Arrived) { dossier(a); a.Work.PromptTokens = 10000 })
-	w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Whole, ev.Outcome = true, outcome.Ran })
+	w.relayed("first", func(a *RequestArrived) { dossier(a); a.Work.PromptTokens = 10000 })
+	w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran })
 	busy(5)
 	w.relayed("late", dossier)
 	r := w.refused()
@@ -191,7 +191,7 @@
 	w.after(3 * second)
 	w.renew()
 	busy(0)
-	w.relayed("back", func(a *Arrived) { dossier(a); a.Work.PromptTokens = 10000 })
+	w.relayed("back", func(a *RequestArrived) { dossier(a); a.Work.PromptTokens = 10000 })
 	w.dispatched()
 }
 
@@ -222,9 +222,9 @@
 func TestStoppingEntryTakesNothingThatItWouldCut(t *testing.T) {
 	w := relayedWorld(t)
 	w.view(serving(2)...)
-	w.step(Stop{Keep: 4 * second, ShortOnly: 2500 * time.Millisecond, Ends: 6800 * time.Millisecond})
-	lasting := func(d time.Duration) func(*Arrived) {
-		return func(a *Arrived) { a.Work.FinishBy = w.now + d }
+	w.step(Stop{AcceptFor: 4 * second, ShortOnlyAfter: 2500 * time.Millisecond, EndsAfter: 6800 * time.Millisecond})
+	lasting := func(d time.Duration) func(*RequestArrived) {
+		return func(a *RequestArrived) { a.Work.FinishBy = w.now + d }
 	}
 	w.after(second)
 	w.renew()
@@ -247,7 +247,7 @@
 	// 0.8 of 4 is the allowance of the only entry, and 0.8 of 0.2 for the request.
 	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 4, Window: 10 * second})
 	w.view(prefillers(3, 3)...)
-	w.relayed("r1", func(a *Arrived) {
+	w.relayed("r1", func(a *RequestArrived) {
 		a.Work.PromptTokens, a.Work.Pace.MoveRate, a.MaxRuns, a.Work.FinishBy = 17000, 2e6, 10, w.now+60*second
 	})
 	arrivals, beyond := 0, 0
@@ -262,7 +262,7 @@
 			if arrivals > 1 {
 				beyond++
 			}
-			w.step(Prefilled{RequestID: "r1", Attempt: d.Attempt})
+			w.step(PrefillDone{RequestID: "r1", Attempt: d.Attempt})
 		}
 		w.ended(d, func(ev *AttemptEnded) {})
 		beyond++
--- a/internal/entry/repeats.go
+++ b/internal/entry/repeats.go
@@ -28,7 +28,7 @@
 	}
 	a.paid = 0
 	a.read = a.read || a.apart
-	a.run = a.run || !ev.AtPrefill
+	a.run = a.run || !ev.AtPrefillServer
 }
 
 // repeats is how many repeats an attempt takes: each kind of call is free once.
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -20,7 +20,7 @@
 // request is one request from its arrival to its final effect.
 type request struct {
 	work        decision.Work
-	repeat      Repeat
+	repeat      RetryRule
 	caller      caller
 	fingerprint uint64
 	retryBudget float64
--- a/internal/entry/rest_test.go
+++ b/internal/entry/rest_test.go
@@ -11,8 +11,8 @@
 
 // rests lets a server turn a request away and ask for rest.
 func (w *world) rests(server string, rest time.Duration) {
-	w.step(ServerSaid{
-		Server: server, Incarnation: "life-1", Answered: true, SentAt: w.now, Word: backpressure.Word{Rest: rest},
+	w.step(ServerReported{
+		Server: server, Incarnation: "life-1", FromResponse: true, SentAt: w.now, Backpressure: backpressure.Word{Rest: rest},
 		State: engineapi.StateServing, HasLoad: true,
 	})
 }
@@ -62,7 +62,7 @@
 	w.view(prefillers(2, 1)...)
 	d := w.pairOf("r1")
 	w.rests(d.Server, 3*second)
-	w.step(Prefilled{RequestID: d.RequestID, Attempt: d.Attempt})
+	w.step(PrefillDone{RequestID: d.RequestID, Attempt: d.Attempt})
 	at := pick[DecodeAt](w.effects)
 	if len(at) != 1 || at[0].Server == d.Server {
 		t.Fatalf("decodes at %+v, %s rests", at, d.Server)
@@ -73,7 +73,7 @@
 func TestNothingWaitsItsWayToAServerAtRest(t *testing.T) {
 	w := relayedWorld(t)
 	w.view(serving(2)...)
-	w.relayed("r1", func(a *Arrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
+	w.relayed("r1", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
 	d := w.dispatched()
 	w.rests(d.Server, 3*second)
 	w.turnedAway(d)
@@ -93,11 +93,11 @@
 	w := relayedWorld(t)
 	w.view(serving(1)...)
 	w.rests("engine-0", second)
-	w.relayed("clerk", func(a *Arrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
+	w.relayed("clerk", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
 	if r := w.refused(); r.RetryAfter < second {
 		t.Fatalf("refusal %+v", r)
 	}
-	w.relayed("patient", func(a *Arrived) { a.Work.FirstTokenBy = w.now + 3*second })
+	w.relayed("patient", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 3*second })
 	if len(pick[Refuse](w.effects)) > 0 {
 		t.Fatal("refused though it can wait")
 	}
@@ -134,7 +134,7 @@
 		t.Fatalf("%d snapshots", len(published))
 	}
 	snap := published[0].Snapshot
-	if snap.Wanted("life-1", w.now) || !snap.Wanted("life-1", w.now+3*second) || !snap.Wanted("life-2", w.now) {
-		t.Errorf("closed: %v at %v", snap.Closed, w.now)
+	if snap.AcceptsRequests("life-1", w.now) || !snap.AcceptsRequests("life-1", w.now+3*second) || !snap.AcceptsRequests("life-2", w.now) {
+		t.Errorf("closed: %v at %v", snap.UnavailableUntil, w.now)
 	}
 }
--- a/internal/entry/schedule_test.go
+++ b/internal/entry/schedule_test.go
@@ -75,7 +75,7 @@
 	s.arrivals++
 	s.finals[id] = 0
 	ev := s.arrival(id, rapid.SampledFrom([]string{"hotels", "importers"}).Draw(s.rt, "member"))
-	ev.Repeat = Repeat(rapid.IntRange(0, 2).Draw(s.rt, "repeat"))
+	ev.Retry = RetryRule(rapid.IntRange(0, 2).Draw(s.rt, "repeat"))
 	ev.Fingerprint = rapid.Uint64Range(0, 20).Draw(s.rt, "content")
 	s.check(s.step(ev))
 	if rapid.Bool().Draw(s.rt, "doubled") && s.finals[id] == 0 {
@@ -93,10 +93,10 @@
 
 func (s *schedule) finishAttempt(d Dispatch, how int) {
 	ev := AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Outcome: outcome.Unknown}
-	ev.AtPrefill = how > 0 && d.PrefillServer != "" && d.Attempt%2 == 0
+	ev.AtPrefillServer = how > 0 && d.PrefillServer != "" && d.Attempt%2 == 0
 	switch how {
 	case 0:
-		ev.Whole, ev.Outcome = true, outcome.Ran
+		ev.Complete, ev.Outcome = true, outcome.Ran
 	case 1:
 		ev.Outcome = outcome.NotRun
 	case 2:
@@ -105,7 +105,7 @@
 		ev.StreamUnknown = true
 	case 4:
 		s.running = without(s.running, d.RequestID)
-		s.check(s.step(CallerGone{RequestID: d.RequestID}))
+		s.check(s.step(CallerDisconnected{RequestID: d.RequestID}))
 		return
 	}
 	s.running = without(s.running, d.RequestID)
@@ -127,7 +127,7 @@
 		s.check(s.step(AttemptProgress{RequestID: d.RequestID, Attempt: d.Attempt, Tokens: 5}))
 		return
 	}
-	s.check(s.step(AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Whole: true, Outcome: outcome.Ran}))
+	s.check(s.step(AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Complete: true, Outcome: outcome.Ran}))
 }
 
 func (s *schedule) serverWord() {
--- a/internal/entry/snapshot.go
+++ b/internal/entry/snapshot.go
@@ -21,25 +21,27 @@
 	Drained map[string]bool
 	// Servers is how many backend servers the view names.
 	Servers int
-	// Closed has until when lives of servers that were sent to want nothing, since boot.
-	Closed map[string]time.Duration
+	// UnavailableUntil has until when lives of servers that were sent to want nothing, since boot.
+	UnavailableUntil map[string]time.Duration
 	// Control lists the control replicas that the view names.
 	Control []string
 	Leaving bool
 	// Aggregator is the address of the entry that is asked for the sum of all others'
 	// backlogs before a server is chosen; empty for none.
 	Aggregator string
-	// AskFrom is when it may be asked, since boot.
-	AskFrom time.Duration
-	// Unsure tells that control's word has run out or soon will: other entries are asked
+	// AskAggregatorFrom is when it may be asked, since boot.
+	AskAggregatorFrom time.Duration
+	// LeaseExpiring tells that control's word has run out or soon will: other entries are asked
 	// then which servers live.
-	Unsure bool
+	LeaseExpiring bool
 	// Load is the share of this entry's streams that is in use.
 	Load float64
 }
 
-// Wanted tells whether a life of a server wants requests at that time.
-func (s *Snapshot) Wanted(life string, now time.Duration) bool { return now >= s.Closed[life] }
+// AcceptsRequests tells whether a life of a server wants requests at that time.
+func (s *Snapshot) AcceptsRequests(life string, now time.Duration) bool {
+	return now >= s.UnavailableUntil[life]
+}
 
 // Ready tells whether the entry has a declaration to serve by.
 func (s *Snapshot) Ready() bool { return s.Declaration != nil }
--- a/internal/entry/speeds.go
+++ b/internal/entry/speeds.go
@@ -123,7 +123,7 @@
 	if q.reading && ev.Outcome == outcome.Unknown && !ev.ServerDied && r.now-q.sentAt > q.expectedReading(r) {
 		r.learnReading(q)
 	}
-	if ev.Whole && q.work.OutputTokens > 0 && ev.Tokens > 1 {
+	if ev.Complete && q.work.OutputTokens > 0 && ev.Tokens > 1 {
 		r.speeds.learnTokens(s, ev.Decode.Seconds()/float64(q.work.OutputTokens))
 	}
 }
--- a/internal/entry/sums.go
+++ b/internal/entry/sums.go
@@ -33,7 +33,7 @@
 
 // sumAsked answers a member that is about to choose. An entry that is no aggregator by its
 // own view knows too little, and says so: the member asks another one.
-func (r *Reducer) sumAsked(ev SumAsked) {
+func (r *Reducer) sumAsked(ev SumRequested) {
 	p := &r.peers
 	if !p.group.aggregates || ev.Request.GetClusterId() != r.cfg.Cluster {
 		r.emit(AnswerSum{Key: ev.Key})
@@ -57,7 +57,7 @@
 }
 
 // sumHeard takes the aggregator's sum in the place of all that was heard before.
-func (r *Reducer) sumHeard(ev SumHeard) {
+func (r *Reducer) sumHeard(ev SumReceived) {
 	g := &r.peers.group
 	sum := ev.Sum
 	if !g.isMember() {
@@ -90,7 +90,7 @@
 // Failure: an aggregator that is busy for a moment answers late. If its members went to
 // another one at once, that one would be busy next, and all entries would ask in turn and
 // learn nothing.
-func (r *Reducer) aggregatorSilent(ev AggregatorSilent) {
+func (r *Reducer) aggregatorSilent(ev AggregatorTimedOut) {
 	g := &r.peers.group
 	if g.aggregatorAddress(r.now) != ev.Address {
 		return
@@ -118,5 +118,5 @@
 		return
 	}
 	g.askedAt = r.now
-	r.emit(AskSum{})
+	r.emit(RequestSum{})
 }
--- a/internal/entry/told_test.go
+++ b/internal/entry/told_test.go
@@ -24,7 +24,7 @@
 // taken lets control answer the reports.
 func (w *world) taken(reports []Report, tellInFull ...string) {
 	for _, r := range reports {
-		w.step(ReportTaken{Request: r.Request, TellInFull: tellInFull})
+		w.step(ReportAnswered{Request: r.Request, ResendInFull: tellInFull})
 	}
 }
 
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -15,9 +15,9 @@
 type UsageConfig struct {
 	// Window is the length of a window; zero: nothing is counted.
 	Window time.Duration
-	// Epoch is the time from the start of 1970 to the boot of the VM, as the wall clock told
+	// BootUnixTime is the time from the start of 1970 to the boot of the VM, as the wall clock told
 	// it when the process began: a clock that is set later moves no count.
-	Epoch time.Duration
+	BootUnixTime time.Duration
 }
 
 const (
@@ -56,7 +56,7 @@
 func (b *usageBook) on() bool { return b.cfg.Window > 0 }
 
 func (b *usageBook) windowAt(now time.Duration) int64 {
-	return int64((now + b.cfg.Epoch) / b.cfg.Window)
+	return int64((now + b.cfg.BootUnixTime) / b.cfg.Window)
 }
 
 // began counts a request of a member.
@@ -135,7 +135,7 @@
 
 // noteEnded counts what gave no sign of its beginning: a call that is answered at once.
 func (r *Reducer) noteEnded(q *request, ev AttemptEnded) {
-	if ev.Whole || ev.Outcome == outcome.Ran {
+	if ev.Complete || ev.Outcome == outcome.Ran {
 		r.noteBegun(q)
 	}
 }
--- a/internal/entry/usage_test.go
+++ b/internal/entry/usage_test.go
@@ -12,7 +12,7 @@
 // countingWorld counts the requests of a member with a credential.
 func countingWorld(t *testing.T) *world {
 	w := relayedWorld(t)
-	w.r.usage = newUsageBook(UsageConfig{Window: 5 * second, Epoch: 1000 * second}, "entry-a1")
+	w.r.usage = newUsageBook(UsageConfig{Window: 5 * second, BootUnixTime: 1000 * second}, "entry-a1")
 	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(2)...)
 	return w
 }
@@ -25,7 +25,7 @@
 			for _, u := range r.Request.GetUsage() {
 				told[u.GetWindow()] = u.GetCounts()[0].GetRequests()
 			}
-			w.step(ReportTaken{Request: r.Request, Term: 1})
+			w.step(ReportAnswered{Request: r.Request, Term: 1})
 		}
 	}
 	return told
@@ -55,7 +55,7 @@
 	w.asks("call", "key-1")
 	w.ended(w.dispatched(), whole)
 	w.reported(8 * second)
-	w.step(ReportTaken{Request: &pb.ReportRequest{}, Term: 2})
+	w.step(ReportAnswered{Request: &pb.ReportRequest{}, Term: 2})
 	if told := w.reported(3 * second); told[200] != 1 {
 		t.Errorf("told the new leader %v", told)
 	}
--- a/internal/host/alive_test.go
+++ b/internal/host/alive_test.go
@@ -55,7 +55,7 @@
 	go func() { defer close(ended); h.loop.run(ctx) }()
 	untilNotReady(t, h, "")
 	// Without a view the reducer refuses it, and the line of that is carried out.
-	h.Post(entry.Arrived{})
+	h.Post(entry.RequestArrived{})
 	untilNotReady(t, h, ControlStill)
 	close(goOn)
 	// The reducer itself has learned none, and says so as soon as it goes on.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -105,7 +105,7 @@
 // block.
 func (h *Host) Start(cfg entry.Config, carryOut func(entry.Effect)) {
 	cfg.Cluster, cfg.Identity, cfg.MaxStreams = h.Settings.Cluster, h.Identity, h.Settings.MaxStreams
-	cfg.Usage = entry.UsageConfig{Window: h.Settings.Usage.Window, Epoch: epoch()}
+	cfg.Usage = entry.UsageConfig{Window: h.Settings.Usage.Window, BootUnixTime: epoch()}
 	h.loop = newLoop(entry.New(cfg), func(e entry.Effect) { h.carryOut(e, carryOut) })
 }
 
@@ -124,9 +124,9 @@
 		h.peerReports.questions.answer(e.Key, e.Sum)
 	case entry.AnswerPermit:
 		h.peerReports.permits.answer(e.Key, e.Answer)
-	case entry.AskPermit:
+	case entry.RequestPermit:
 		h.Spawn(func() { h.peerReports.askPermit(e) })
-	case entry.AskSum:
+	case entry.RequestSum:
 		h.Spawn(func() { h.RefreshPeers(h.Background) })
 	default:
 		rest(e)
@@ -146,7 +146,7 @@
 		h.Post(entry.ReportFailed{Request: req})
 		return
 	}
-	h.Post(entry.ReportTaken{Request: req, TellInFull: resp.GetTellInFull(), Term: resp.GetTerm()})
+	h.Post(entry.ReportAnswered{Request: req, ResendInFull: resp.GetTellInFull(), Term: resp.GetTerm()})
 }
 
 // Post hands an event to the reducer. After the end it does nothing.
@@ -246,7 +246,7 @@
 	keep := h.Settings.AnswerKeep + LeaveSpread
 	h.Log.Info("entry leaves", "keep", keep.String(), "requests", h.OpenRequests())
 	h.Post(entry.Stop{
-		Keep: keep, ShortOnly: h.Settings.AnswerKeep + answerSlack, Ends: keep + h.Settings.StopTimeout,
+		AcceptFor: keep, ShortOnlyAfter: h.Settings.AnswerKeep + answerSlack, EndsAfter: keep + h.Settings.StopTimeout,
 	})
 	time.Sleep(keep)
 	deadline := time.Now().Add(h.Settings.StopTimeout)
--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -67,13 +67,13 @@
 			return
 		case ev := <-l.events:
 			l.step(ev)
-			if quiet && !l.reducer.Quiet() {
+			if quiet && !l.reducer.Idle() {
 				quiet = false
 				timer.Reset(tickEvery)
 			}
 		case <-timer.C:
 			l.step(entry.Tick{})
-			quiet = l.reducer.Quiet()
+			quiet = l.reducer.Idle()
 			timer.Reset(tickPace(quiet))
 		}
 	}
--- a/internal/host/peer_sums.go
+++ b/internal/host/peer_sums.go
@@ -46,7 +46,7 @@
 
 func (h *Host) refreshPeers(ctx context.Context, freshFor time.Duration) {
 	snap := h.Snapshot()
-	if address := snap.Aggregator; address != "" && clock.Boot() >= snap.AskFrom {
+	if address := snap.Aggregator; address != "" && clock.Boot() >= snap.AskAggregatorFrom {
 		h.peerReports.refresh(ctx, address, freshFor)
 	}
 }
@@ -70,7 +70,7 @@
 	b.sums.asking = done
 	req := &pb.PeerSumRequest{
 		ClusterId: b.host.Settings.Cluster, Entry: b.host.Settings.Name, Aggregator: b.sums.aggregator, ReadsFrom: b.sums.readsFrom,
-		WantAlive: b.host.Snapshot().Unsure,
+		WantAlive: b.host.Snapshot().LeaseExpiring,
 	}
 	b.mu.Unlock()
 	defer close(done)
@@ -92,10 +92,10 @@
 	}
 	b.mu.Unlock()
 	if err != nil {
-		b.host.Post(entry.AggregatorSilent{Address: address})
+		b.host.Post(entry.AggregatorTimedOut{Address: address})
 		return
 	}
-	b.host.Post(entry.SumHeard{SentAt: sent, Sum: sum})
+	b.host.Post(entry.SumReceived{SentAt: sent, Sum: sum})
 }
 
 // Sum answers another entry's question.
@@ -104,6 +104,6 @@
 		return nil, twirp.RequiredArgumentError("entry")
 	}
 	return b.questions.put(ctx, b.host.loop.stopped, func(key string) {
-		b.host.Post(entry.SumAsked{Key: key, Request: req})
+		b.host.Post(entry.SumRequested{Key: key, Request: req})
 	})
 }
--- a/internal/host/permits.go
+++ b/internal/host/permits.go
@@ -16,16 +16,16 @@
 
 // askPermit asks another entry for permits and hands its answer, or that there was none, to
 // the reducer.
-func (b *peerReports) askPermit(e entry.AskPermit) {
+func (b *peerReports) askPermit(e entry.RequestPermit) {
 	ctx, cancel := context.WithTimeout(b.host.Background, permitTry)
 	defer cancel()
 	answer, err := b.peer(e.Address).Permit(ctx, e.Request)
 	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okWord(err)}).Counter("permit_questions").Inc(1)
 	if err != nil {
-		b.host.Post(entry.PermitSilent{Address: e.Address, Server: e.Server, Incarnation: e.Incarnation})
+		b.host.Post(entry.PermitTimedOut{Address: e.Address, Server: e.Server, Incarnation: e.Incarnation})
 		return
 	}
-	b.host.Post(entry.PermitHeard{Server: e.Server, Incarnation: e.Incarnation, Answer: answer})
+	b.host.Post(entry.PermitAnswered{Server: e.Server, Incarnation: e.Incarnation, Answer: answer})
 }
 
 // Permit answers another entry's question.
@@ -34,6 +34,6 @@
 		return nil, twirp.RequiredArgumentError("entry and server")
 	}
 	return b.permits.put(ctx, b.host.loop.stopped, func(key string) {
-		b.host.Post(entry.PermitAsked{Key: key, Request: req})
+		b.host.Post(entry.PermitRequested{Key: key, Request: req})
 	})
 }
--- a/internal/relay/answering.go
+++ b/internal/relay/answering.go
@@ -58,7 +58,7 @@
 // abandon ends a request whose goroutine has panicked.
 func (s *Server) abandon(a *answering) {
 	if a.key != "" {
-		s.host.Post(entry.CallerGone{RequestID: a.key})
+		s.host.Post(entry.CallerDisconnected{RequestID: a.key})
 	}
 	switch {
 	case a.ended:
--- a/internal/relay/carryout.go
+++ b/internal/relay/carryout.go
@@ -32,7 +32,7 @@
 		s.host.Post(entry.ProbeFailed{Server: p.Server, Incarnation: p.Incarnation})
 		return
 	}
-	s.host.Post(entry.ServerSaid{Server: p.Server, Incarnation: p.Incarnation, State: engineapi.StateServing})
+	s.host.Post(entry.ServerReported{Server: p.Server, Incarnation: p.Incarnation, State: engineapi.StateServing})
 }
 
 // serviceOf gives a service that the probed server runs, or nil.
--- a/internal/relay/fault_test.go
+++ b/internal/relay/fault_test.go
@@ -65,7 +65,7 @@
 	defer cancel()
 	d := entry.Dispatch{RequestID: "r1#1", Attempt: 1, Server: "decodes", PrefillServer: "reads"}
 	var ended entry.AttemptEnded
-	if next, err := j.decodeAt(ctx, &d, &ended); next != nil || err == nil || !ended.AtPrefill {
+	if next, err := j.decodeAt(ctx, &d, &ended); next != nil || err == nil || !ended.AtPrefillServer {
 		t.Fatalf("the attempt goes on: %v, %v", next, err)
 	}
 	if j.take(ctx, entry.DecodeAt{RequestID: "r1#1", Attempt: 1, Server: "other"}) {
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -29,7 +29,7 @@
 	route   *declaration.HostRoute
 	service *declaration.Service
 	caller  *answering
-	arrived entry.Arrived
+	arrived entry.RequestArrived
 	// whole is the answer that goes to the caller.
 	whole *wholeAnswer
 	box   <-chan entry.Effect
@@ -129,7 +129,7 @@
 			if j.gone(ctx) {
 				return
 			}
-			j.s.host.Post(entry.TimeUp{RequestID: key})
+			j.s.host.Post(entry.DeadlineExpired{RequestID: key})
 		case e := <-j.box:
 			if j.take(ctx, e) {
 				return
@@ -141,7 +141,7 @@
 // refreshPeers learns what other entries have at engines before one is chosen, and without
 // control which servers live.
 func (j *job) refreshPeers(ctx context.Context) {
-	if j.arrived.Work.Kind == declaration.KindModel || j.s.host.Snapshot().Unsure {
+	if j.arrived.Work.Kind == declaration.KindModel || j.s.host.Snapshot().LeaseExpiring {
 		j.s.host.RefreshPeers(ctx)
 	}
 }
@@ -151,7 +151,7 @@
 	if !callerLeft(ctx) {
 		return false
 	}
-	j.s.host.Post(entry.CallerGone{RequestID: j.arrived.Work.RequestID})
+	j.s.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
 	j.log.end("caller gone")
 	if j.stream != nil {
 		j.caller.End(false)
@@ -226,13 +226,13 @@
 	if next != nil {
 		return ended, next
 	}
-	if err == nil && !ended.AtPrefill {
+	if err == nil && !ended.AtPrefillServer {
 		err = j.send(ctx, d, cache, &ended, began)
 	}
-	ended.Took = time.Since(began)
+	ended.Elapsed = time.Since(began)
 	ended.Tokens = j.events() - events
 	if ended.FirstToken > 0 {
-		ended.Decode = ended.Took - ended.FirstToken
+		ended.Decode = ended.Elapsed - ended.FirstToken
 	}
 	if err != nil {
 		failed(err, &ended, cache != nil)
@@ -253,7 +253,7 @@
 func failed(err error, ended *entry.AttemptEnded, prefilled bool) {
 	ended.ServerDied = errorx.IsOfType(err, httpconn.Refused)
 	ended.Unsent = errorx.IsOfType(err, httpconn.NotSent) && !prefilled
-	if !errorx.IsOfType(err, httpconn.NotSent) && !ended.AtPrefill {
+	if !errorx.IsOfType(err, httpconn.NotSent) && !ended.AtPrefillServer {
 		ended.Outcome = outcome.Unknown
 	}
 }
@@ -292,9 +292,9 @@
 		Target: Target{
 			Address: address, Incarnation: incarnation,
 			MaxConns: share(j.service, len(j.s.host.Snapshot().Entries)),
-			Wanted:   func() bool { return j.s.host.Snapshot().Wanted(incarnation, clock.Boot()) },
+			Wanted:   func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.Boot()) },
 		},
-		Request: j.req, Left: j.timeForServer(), Once: j.arrived.Repeat == entry.RepeatOnce,
+		Request: j.req, Left: j.timeForServer(), Once: j.arrived.Retry == entry.RetryNever,
 		Member: j.member, Rank: j.rank, After: j.after(),
 	}
 }
@@ -310,7 +310,7 @@
 	}
 	answer := &wholeAnswer{head: a.Head, body: body}
 	ended.Outcome = outcome.Ran
-	again := a.Head.Status >= http.StatusInternalServerError && j.arrived.Repeat != entry.RepeatOnce
+	again := a.Head.Status >= http.StatusInternalServerError && j.arrived.Retry != entry.RetryNever
 	if !success && again && j.stream == nil {
 		j.failure = answer
 		return nil
@@ -319,6 +319,6 @@
 		// The head of the stream has gone out; this answer can't follow it.
 		return nil
 	}
-	j.whole, ended.Whole = answer, true
+	j.whole, ended.Complete = answer, true
 	return nil
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -48,16 +48,16 @@
 
 // attempted writes a line for an attempt that did not give the answer.
 func (l *jobLog) attempted(d entry.Dispatch, ended *entry.AttemptEnded, err error) {
-	if ended.Whole {
+	if ended.Complete {
 		return
 	}
 	server, incarnation := d.Server, d.Incarnation
-	if ended.AtPrefill {
+	if ended.AtPrefillServer {
 		server, incarnation = d.PrefillServer, d.PrefillIncarnation
 	}
 	args := []any{
-		"server", server, "incarnation", incarnation, "at_prefill", ended.AtPrefill, "attempt", d.Attempt,
-		"outcome", ended.Outcome, "took_ms", ended.Took.Milliseconds(), "server_died", ended.ServerDied,
+		"server", server, "incarnation", incarnation, "at_prefill", ended.AtPrefillServer, "attempt", d.Attempt,
+		"outcome", ended.Outcome, "took_ms", ended.Elapsed.Milliseconds(), "server_died", ended.ServerDied,
 	}
 	if err != nil {
 		args = append(args, "error", err.Error())
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -28,10 +28,10 @@
 	j.log.sent(first)
 	j.log.status = 500
 	j.failure = &wholeAnswer{head: Head{Status: 500}}
-	j.log.attempted(first, &entry.AttemptEnded{Took: time.Millisecond}, nil)
+	j.log.attempted(first, &entry.AttemptEnded{Elapsed: time.Millisecond}, nil)
 	second := entry.Dispatch{Server: "b", Attempt: 2}
 	j.log.sent(second)
-	j.log.attempted(second, &entry.AttemptEnded{Took: time.Millisecond}, httpconn.Broken.New("cut"))
+	j.log.attempted(second, &entry.AttemptEnded{Elapsed: time.Millisecond}, httpconn.Broken.New("cut"))
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
 	if len(lines) != 2 {
 		t.Fatalf("%d lines: %s", len(lines), out.String())
@@ -60,7 +60,7 @@
 	j.log = newJobLog(j)
 	d := entry.Dispatch{Server: "decodes", PrefillServer: "reads", PrefillIncarnation: "life-2", Attempt: 1}
 	j.log.sent(d)
-	j.log.attempted(d, &entry.AttemptEnded{AtPrefill: true}, httpconn.Broken.New("cut"))
+	j.log.attempted(d, &entry.AttemptEnded{AtPrefillServer: true}, httpconn.Broken.New("cut"))
 	var fields map[string]any
 	if err := json.Unmarshal(out.Bytes(), &fields); err != nil {
 		t.Fatal(err)
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -30,7 +30,7 @@
 	}
 	if cache == nil {
 		j.log.notPrefilled(*d, err)
-		ended.AtPrefill, ended.ServerDied = true, said.OtherLife
+		ended.AtPrefillServer, ended.ServerDied = true, said.OtherLife
 		return nil, nil, err
 	}
 	j.log.prefilled()
@@ -46,7 +46,7 @@
 // in its place.
 func (j *job) decodeAt(ctx context.Context, d *entry.Dispatch, ended *entry.AttemptEnded) (entry.Effect, error) {
 	j.s.host.RefreshPeersForDecode(ctx)
-	j.s.host.Post(entry.Prefilled{RequestID: d.RequestID, Attempt: d.Attempt})
+	j.s.host.Post(entry.PrefillDone{RequestID: d.RequestID, Attempt: d.Attempt})
 	select {
 	case e := <-j.box:
 		at, ok := e.(entry.DecodeAt)
@@ -58,7 +58,7 @@
 		j.log.server = at.Server
 		return nil, nil
 	case <-ctx.Done():
-		ended.AtPrefill = true
+		ended.AtPrefillServer = true
 		return nil, ctx.Err()
 	}
 }
@@ -68,7 +68,7 @@
 	if said.OtherLife {
 		return
 	}
-	heard := entry.ServerSaid{Server: server, Incarnation: incarnation, Answered: true, SentAt: sent, Word: said.Word}
+	heard := entry.ServerReported{Server: server, Incarnation: incarnation, FromResponse: true, SentAt: sent, Backpressure: said.Word}
 	if said.HasLoad {
 		heard.State, heard.HasLoad = engineapi.StateServing, true
 		heard.Load = engineapi.Load{Running: uint32(said.Running), Queued: uint32(said.Queued)}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -183,7 +183,7 @@
 func New(h *host.Host, backend Backend) *Server {
 	s := &Server{host: h, backend: backend}
 	h.Start(entry.Config{
-		BreakEnds: true, Engines: pace(h.Settings), Extra: extraLimit(h.Settings.Repeats),
+		AbortOnDisconnect: true, AssumedPace: pace(h.Settings), RetryLimit: extraLimit(h.Settings.Repeats),
 		Credentials: credentialLimits(h.Settings.Credentials),
 	}, s.carryOut)
 	return s
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -40,7 +40,7 @@
 	for {
 		event, err := readEvent(r)
 		if errors.Is(err, io.EOF) && j.stream != nil && !a.Body.ToEnd() {
-			ended.Whole, ended.Outcome = true, outcome.Ran
+			ended.Complete, ended.Outcome = true, outcome.Ran
 			return nil
 		}
 		if err != nil {
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -26,7 +26,7 @@
 }
 
 // arrived describes the request, which came at that time since boot, to the reducer.
-func (s *Server) arrived(r *Request, at time.Duration, route *declaration.HostRoute, snap *entry.Snapshot) entry.Arrived {
+func (s *Server) arrived(r *Request, at time.Duration, route *declaration.HostRoute, snap *entry.Snapshot) entry.RequestArrived {
 	service := snap.Declaration.Service(route.Target(r.ID))
 	profile := snap.Declaration.Profile(route.Profile)
 	limit := route.Timeout
@@ -43,9 +43,9 @@
 	if r.Prompt != nil {
 		r.Prompt.describe(&w)
 	}
-	return entry.Arrived{
-		Work: w, Repeat: repeat(route), Fingerprint: fingerprint(r), RetryBudget: profile.RetryBudget,
-		MaxRuns: route.MaxRuns, EndsInTime: true, MembersOnly: route.MembersOnly, Credential: credentialHash(r),
+	return entry.RequestArrived{
+		Work: w, Retry: repeat(route), Fingerprint: fingerprint(r), RetryBudget: profile.RetryBudget,
+		MaxRuns: route.MaxRuns, HardDeadline: true, MembersOnly: route.MembersOnly, Credential: credentialHash(r),
 	}
 }
 
@@ -74,14 +74,14 @@
 	}
 }
 
-func repeat(route *declaration.HostRoute) entry.Repeat {
+func repeat(route *declaration.HostRoute) entry.RetryRule {
 	switch route.Repeat {
 	case declaration.RepeatAllowed:
-		return entry.RepeatAllowed
+		return entry.RetryAllowed
 	case declaration.RepeatResumed:
-		return entry.RepeatResumable
+		return entry.RetryResuming
 	default:
-		return entry.RepeatOnce
+		return entry.RetryNever
 	}
 }
 
--- a/internal/traffic/cancels.go
+++ b/internal/traffic/cancels.go
@@ -32,11 +32,11 @@
 	wireID := host.WireIDOf(e.RequestID)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e.After > 0 && time.Now().Before(c.kept[wireID]) {
+	if e.Delay > 0 && time.Now().Before(c.kept[wireID]) {
 		return
 	}
 	c.stop(wireID)
-	c.waiting[wireID] = time.AfterFunc(e.After, func() {
+	c.waiting[wireID] = time.AfterFunc(e.Delay, func() {
 		c.fire(wireID, e)
 	})
 }
--- a/internal/traffic/carryout.go
+++ b/internal/traffic/carryout.go
@@ -37,7 +37,7 @@
 		s.host.Post(entry.ProbeFailed{Server: p.Server, Incarnation: p.Incarnation})
 		return
 	}
-	s.host.Post(entry.ServerSaid{
+	s.host.Post(entry.ServerReported{
 		Server: health.ID, Incarnation: health.Incarnation, State: health.State,
 		Load: health.Load, HasLoad: true,
 	})
--- a/internal/traffic/completions.go
+++ b/internal/traffic/completions.go
@@ -92,7 +92,7 @@
 	}
 	j := &modelJob{
 		s: s, request: req, wireID: wireID, pieces: make(chan piece, pieceBuffer),
-		arrived: entry.Arrived{
+		arrived: entry.RequestArrived{
 			Work: decision.Work{
 				RequestID: host.NewJobKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
@@ -101,7 +101,7 @@
 				OutputTokens: req.MaxTokens, Prefix: engineapi.PrefixChain(salt, req.Prompt),
 				Arrived: now, FirstTokenBy: now + profile.FirstToken, FinishBy: now + profile.Deadline,
 			},
-			Repeat:      entry.RepeatResumable,
+			Retry:       entry.RetryResuming,
 			Fingerprint: fingerprint(k.member.Name, service.Name, req.Prompt),
 			Credential:  k.credential, MembersOnly: true,
 			RetryBudget: profile.RetryBudget,
--- a/internal/traffic/model.go
+++ b/internal/traffic/model.go
@@ -32,7 +32,7 @@
 	s       *Server
 	request *completionRequest
 	wireID  string
-	arrived entry.Arrived
+	arrived entry.RequestArrived
 	engine  engineapi.CompletionRequest
 	record  *streamRecord
 	pieces  chan piece
@@ -60,7 +60,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			j.s.host.Post(entry.CallerGone{RequestID: j.arrived.Work.RequestID})
+			j.s.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
 			return
 		case e := <-box:
 			if j.take(ctx, e) {
@@ -76,10 +76,10 @@
 	case entry.Dispatch:
 		ended, err := j.attempt(ctx, e)
 		if errors.Is(err, errCallerGone) {
-			j.s.host.Post(entry.CallerGone{RequestID: j.arrived.Work.RequestID})
+			j.s.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
 			return true
 		}
-		if ended.Whole {
+		if ended.Complete {
 			j.finished()
 		}
 		j.s.host.Post(ended)
@@ -112,9 +112,9 @@
 	j.s.peers.begin(j.record)
 	err := a.run(ctx)
 	a.ended.Tokens = j.offset - a.start
-	a.ended.Took = time.Since(began)
+	a.ended.Elapsed = time.Since(began)
 	if a.first > 0 {
-		a.ended.FirstToken, a.ended.Decode = a.first, a.ended.Took-a.first
+		a.ended.FirstToken, a.ended.Decode = a.first, a.ended.Elapsed-a.first
 	}
 	return a.ended, err
 }
@@ -132,7 +132,7 @@
 func (a *modelAttempt) run(ctx context.Context) error {
 	if a.offset >= a.engine.MaxTokens {
 		// The connection broke between the last token and the end marker.
-		a.finish, a.ended.Whole, a.ended.Outcome = finishLength, true, outcome.Ran
+		a.finish, a.ended.Complete, a.ended.Outcome = finishLength, true, outcome.Ran
 		return nil
 	}
 	if a.lacksText && !a.d.Reconnect {
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	if a.ended.AtPrefill || a.ended.Whole {
+	if a.ended.AtPrefillServer || a.ended.Complete {
 		return nil
 	}
 	stream, err := a.open(handle)
@@ -221,7 +221,7 @@
 			return nil
 		}
 		if done {
-			a.ended.Whole = finish != ""
+			a.ended.Complete = finish != ""
 			a.finish, a.ended.Outcome = finish, outcome.Ran
 			return nil
 		}
--- a/internal/traffic/once.go
+++ b/internal/traffic/once.go
@@ -34,7 +34,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	j.arrived.Repeat = entry.RepeatOnce
+	j.arrived.Retry = entry.RetryNever
 	j.claim = s.newClaim(j, key)
 	ctx, cancel := context.WithTimeout(s.host.Background, claimWait)
 	defer cancel()
--- a/internal/traffic/peers.go
+++ b/internal/traffic/peers.go
@@ -58,7 +58,7 @@
 
 // holders gives the peers in other data centres that may keep a record.
 func (p *peers) holders(wireID string, n int) []entry.EntryWeight {
-	return p.snapshot().Spread(wireID, n, p.identity.DataCentre)
+	return p.snapshot().SelectEntries(wireID, n, p.identity.DataCentre)
 }
 
 // begin hands a record to a peer, once.
--- a/internal/traffic/plain.go
+++ b/internal/traffic/plain.go
@@ -46,7 +46,7 @@
 	s       *Server
 	call    *call
 	wireID  string
-	arrived entry.Arrived
+	arrived entry.RequestArrived
 	// uri is path and query at the server.
 	uri    string
 	claim  *claim
@@ -125,14 +125,14 @@
 	}
 	return &plainJob{
 		s: s, call: k, wireID: wireID, uri: uri, until: time.Now().Add(profile.Deadline),
-		arrived: entry.Arrived{
+		arrived: entry.RequestArrived{
 			Work: decision.Work{
 				RequestID: host.NewJobKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
 				Class: profile.Class, Kind: declaration.KindPlain, Arrived: now,
 				FirstTokenBy: now + profile.FirstToken, FinishBy: now + profile.Deadline,
 			},
-			Repeat:      entry.RepeatAllowed,
+			Retry:       entry.RetryAllowed,
 			Fingerprint: fingerprint(k.member.Name, service.Name, k.method, uri, string(k.body)),
 			Credential:  k.credential, MembersOnly: true,
 			RetryBudget: profile.RetryBudget,
@@ -149,7 +149,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			j.s.host.Post(entry.CallerGone{RequestID: key})
+			j.s.host.Post(entry.CallerDisconnected{RequestID: key})
 			return handedOn()
 		case e := <-box:
 			switch e := e.(type) {
@@ -168,10 +168,10 @@
 	began := time.Now()
 	ended := entry.AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Outcome: outcome.NotRun}
 	answer, err := j.send(d)
-	ended.Took = time.Since(began)
+	ended.Elapsed = time.Since(began)
 	switch {
 	case err == nil:
-		j.answer, ended.Whole, ended.Outcome = answer, true, outcome.Ran
+		j.answer, ended.Complete, ended.Outcome = answer, true, outcome.Ran
 	case errorx.IsOfType(err, httpconn.NotSent):
 		ended.ServerDied = errorx.IsOfType(err, httpconn.Refused)
 	case errors.Is(err, errNotStarted):
@@ -192,7 +192,7 @@
 	defer fasthttp.ReleaseResponse(resp)
 	j.fill(req, d)
 	client, timeout := j.s.engines.pooled, j.tryTime()
-	if j.arrived.Repeat == entry.RepeatOnce || d.Attempt > 1 {
+	if j.arrived.Retry == entry.RetryNever || d.Attempt > 1 {
 		// A fresh connection: one that idled may be silent or closed, and a
 		// once-only call that fails on it would be unknown for nothing.
 		client = j.s.engines.fresh
@@ -239,7 +239,7 @@
 // calls, all that is left for once-only calls, which get no second try.
 func (j *plainJob) tryTime() time.Duration {
 	left := time.Until(j.until)
-	if j.arrived.Repeat == entry.RepeatOnce {
+	if j.arrived.Retry == entry.RetryNever {
 		return left
 	}
 	whole := j.arrived.Work.FinishBy - j.arrived.Work.Arrived
--- a/internal/traffic/prefill.go
+++ b/internal/traffic/prefill.go
@@ -31,28 +31,28 @@
 	req.PrefillOnly = true
 	stream, err := a.s.engines.openStream(a.d.PrefillAddress, req)
 	if err != nil {
-		a.ended.AtPrefill = true
+		a.ended.AtPrefillServer = true
 		a.failed(err)
 		return "", nil
 	}
 	defer stream.close()
 	if !a.accepted(stream, a.d.PrefillServer, a.d.PrefillIncarnation) {
-		a.ended.AtPrefill = true
+		a.ended.AtPrefillServer = true
 		return "", nil
 	}
 	if err := a.relay(ctx, stream); err != nil {
 		return "", err
 	}
-	if !a.ended.Whole || a.finish != finishPrefilled {
+	if !a.ended.Complete || a.finish != finishPrefilled {
 		// The prefill may have ended the whole answer, or broke.
-		a.ended.AtPrefill = !a.ended.Whole
+		a.ended.AtPrefillServer = !a.ended.Complete
 		return "", nil
 	}
 	if a.offset >= a.engine.MaxTokens {
 		a.finish = finishLength
 		return "", nil
 	}
-	a.ended.Whole, a.finish = false, ""
+	a.ended.Complete, a.finish = false, ""
 	a.ended.Outcome = outcome.Unknown
 	return a.moveKV(), nil
 }
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -128,8 +128,8 @@
 	if word.incarnation != incarnation || word.state == "" {
 		return
 	}
-	s.host.Post(entry.ServerSaid{
+	s.host.Post(entry.ServerReported{
 		Server: server, Incarnation: incarnation, State: word.state, Load: word.load, HasLoad: word.hasLoad,
-		Answered: true, SentAt: word.sentAt, Word: word.word,
+		FromResponse: true, SentAt: word.sentAt, Backpressure: word.word,
 	})
 }
