--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -34,8 +34,8 @@
 type DutiesConfig struct {
 	// Usage is members' usage.
 	Usage UsageConfig
-	// Scale lets servers be ordered, of the services that are declared so.
-	Scale bool
+	// OrderServers lets the leader order servers for the services that declare autoscaling.
+	OrderServers bool
 	// Lease is how long another holder may still be thought to act after its last call: a
 	// new one waits so long before its first.
 	Lease time.Duration
@@ -66,8 +66,8 @@
 
 // Results of a DutyCall.
 const (
-	// DutyTaken: it is done.
-	DutyTaken DutyResult = "taken"
+	// DutyAccepted: the call was carried out.
+	DutyAccepted DutyResult = "taken"
 	// DutyFenced: another holder has a higher token.
 	DutyFenced DutyResult = "fenced"
 	// DutyUnavailable: what was ordered is not to be had now.
@@ -155,7 +155,7 @@
 	d.flying--
 	r.logDuty(e, call)
 	switch e.Result {
-	case DutyTaken:
+	case DutyAccepted:
 		delete(d.calls, key)
 		r.dutyTaken(&call.made)
 	case DutyUnavailable:
@@ -180,7 +180,7 @@
 
 func (r *Reducer) logDuty(e DutyAnswered, call *dutyCall) {
 	level := slog.LevelInfo
-	if e.Result != DutyTaken {
+	if e.Result != DutyAccepted {
 		level = slog.LevelWarn
 	}
 	fields := []Field{
--- a/internal/control/effect.go
+++ b/internal/control/effect.go
@@ -49,12 +49,12 @@
 	// Committed is the latest list known to be committed; peers are admitted by it.
 	Committed *pb.Membership
 	Leader    uint64
-	// Leads is true while this replica leads and is ready.
-	Leads bool
+	// IsLeader is true while this replica leads and is ready.
+	IsLeader bool
 }
 
-// Fail ends the process: going on could answer from a wrong state.
-type Fail struct{ Err error }
+// Fatal ends the process: continuing could serve answers from a corrupt state.
+type Fatal struct{ Err error }
 
 // Log writes one log line.
 type Log struct {
@@ -74,5 +74,5 @@
 func (Reply) isEffect()           {}
 func (SendOrder) isEffect()       {}
 func (Members) isEffect()         {}
-func (Fail) isEffect()            {}
+func (Fatal) isEffect()           {}
 func (Log) isEffect()             {}
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -26,8 +26,8 @@
 	Request proto.Message
 }
 
-// CallGone tells that the caller of a Call does not wait any more.
-type CallGone struct{ ID uint64 }
+// CallCanceled reports that the caller of a Call has stopped waiting for its Reply.
+type CallCanceled struct{ ID uint64 }
 
 // OrderAnswered is an engine's answer to a SendOrder.
 type OrderAnswered struct {
@@ -45,9 +45,9 @@
 	Reason string
 }
 
-// AskRemoved asks whether the group has removed an identity; the answer is a
+// QueryRemoved asks whether the group has removed an identity; the answer is a
 // Reply with the same ID and a StepResponse.
-type AskRemoved struct {
+type QueryRemoved struct {
 	ID       uint64
 	Identity *pb.ReplicaIdentity
 }
@@ -58,8 +58,8 @@
 func (Tick) isEvent()            {}
 func (Consensus) isEvent()       {}
 func (Call) isEvent()            {}
-func (CallGone) isEvent()        {}
+func (CallCanceled) isEvent()    {}
 func (OrderAnswered) isEvent()   {}
 func (OrderUnanswered) isEvent() {}
-func (AskRemoved) isEvent()      {}
+func (QueryRemoved) isEvent()    {}
 func (Stop) isEvent()            {}
--- a/internal/control/mending.go
+++ b/internal/control/mending.go
@@ -33,7 +33,7 @@
 	}
 	if r.lead.joiners[m.GetAddress()] == nil {
 		r.log(slog.LevelInfo, "replica waits to join", Field{"replica", m.GetIdentity().GetId()},
-			Field{"address", m.GetAddress()}, Field{"mends", r.cfg.Voters > 0})
+			Field{"address", m.GetAddress()}, Field{"mends", r.cfg.TargetVoters > 0})
 	}
 	r.lead.joiners[m.GetAddress()] = &joiner{member: proto.CloneOf(m), at: r.now}
 	r.reply(id, &pb.JoinResponse{}, nil)
@@ -41,7 +41,7 @@
 
 // mend makes the next change of the member list that the group needs.
 func (r *Reducer) mend() {
-	if r.cfg.Voters == 0 || r.lead.mending {
+	if r.cfg.TargetVoters == 0 || r.lead.mending {
 		return
 	}
 	maps.DeleteFunc(r.lead.joiners, func(_ string, j *joiner) bool { return r.now-j.at > joinerKept })
@@ -56,7 +56,7 @@
 		change = consensus.MembershipChange{Add: proto.CloneOf(r.lead.joiners[c.Add.Address].member)}
 	}
 	r.log(slog.LevelWarn, "group mends itself", Field{"add", c.Add != nil}, Field{"replica", id},
-		Field{"reason", c.Reason}, Field{"voters_wanted", r.cfg.Voters})
+		Field{"reason", c.Reason}, Field{"voters_wanted", r.cfg.TargetVoters})
 	r.proposeMend(change)
 }
 
@@ -76,7 +76,7 @@
 
 // group is what the decision on the member list sees.
 func (r *Reducer) group() replicas.Group {
-	g := replicas.Group{Voters: r.cfg.Voters}
+	g := replicas.Group{Voters: r.cfg.TargetVoters}
 	silent := make(map[uint64]time.Duration)
 	for _, s := range r.node.Status().Replicas {
 		silent[s.ID] = s.SilentFor
--- a/internal/control/mending_test.go
+++ b/internal/control/mending_test.go
@@ -19,7 +19,7 @@
 // long.
 func mendingWorld(t *testing.T) *world {
 	w := newWorld(t)
-	w.cfg.Voters = 3
+	w.cfg.TargetVoters = 3
 	list := &pb.Membership{Members: []*pb.ReplicaMember{
 		replicaAt(1, "10.0.0.1:1", "a"), replicaAt(2, "10.0.0.2:1", "b"), replicaAt(3, "10.0.0.3:1", "c"),
 	}}
@@ -45,7 +45,7 @@
 // A group that operators change leaves its list alone, whoever asks.
 func TestGroupOfOperatorsDoesNotMendItself(t *testing.T) {
 	w := mendingWorld(t)
-	w.cfg.Voters = 0
+	w.cfg.TargetVoters = 0
 	ask[*pb.JoinResponse](w, &pb.JoinRequest{ClusterId: cluster, Member: replicaAt(9, "10.0.0.9:1", "z")})
 	w.advance(time.Second)
 	if len(w.node.changes) != 0 {
--- a/internal/control/reducer.go
+++ b/internal/control/reducer.go
@@ -31,9 +31,9 @@
 	ID uint64
 	// Sender names this process and its incarnation in orders.
 	Sender string
-	// Voters is how many voters a group that mends itself is to have; 0: operators
+	// TargetVoters is the number of voters that the group maintains by itself; 0: operators
 	// change the member list.
-	Voters int
+	TargetVoters int
 	// OrderPause is the longest pause of a control process that is stated for
 	// engines that ignore fencing tokens.
 	OrderPause time.Duration
@@ -110,7 +110,7 @@
 		r.onConsensus(e.Event)
 	case Call:
 		r.onCall(e)
-	case CallGone:
+	case CallCanceled:
 		r.onCallGone(e.ID)
 	case Announce:
 		r.onAnnounce(e)
@@ -122,7 +122,7 @@
 		r.onOrderUnanswered(e)
 	case DutyAnswered:
 		r.onDutyAnswered(e)
-	case AskRemoved:
+	case QueryRemoved:
 		r.reply(e.ID, &pb.StepResponse{Removed: r.node.IsRemoved(e.Identity)}, nil)
 	case Stop:
 		r.stepNode(consensus.TransferLeadership{})
@@ -210,7 +210,7 @@
 func (r *Reducer) onRestoreSnapshot(e consensus.RestoreSnapshot) {
 	state, err := RestoreState(e.Data)
 	if err != nil {
-		r.emit(Fail{Err: err})
+		r.emit(Fatal{Err: err})
 		return
 	}
 	r.restoring = state
@@ -231,7 +231,7 @@
 }
 
 func (r *Reducer) emitMembers() {
-	r.emit(Members{Membership: r.members, Committed: r.committed, Leader: r.leader, Leads: r.lead != nil})
+	r.emit(Members{Membership: r.members, Committed: r.committed, Leader: r.leader, IsLeader: r.lead != nil})
 }
 
 // endLeadership answers all that wait: what they asked for may still come about,
--- a/internal/control/runner/duties.go
+++ b/internal/control/runner/duties.go
@@ -100,7 +100,7 @@
 	case status == http.StatusConflict:
 		return control.DutyFenced
 	case status >= http.StatusOK && status < http.StatusMultipleChoices:
-		return control.DutyTaken
+		return control.DutyAccepted
 	default:
 		return control.DutyBusy
 	}
--- a/internal/control/runner/loop.go
+++ b/internal/control/runner/loop.go
@@ -122,7 +122,7 @@
 }
 
 func (l *loop) updateGauges() {
-	f := l.reducer.State().Figures()
+	f := l.reducer.State().Stats()
 	for _, g := range []struct {
 		name  string
 		value float64
@@ -156,10 +156,10 @@
 	case control.DutyCall:
 		l.duties.call(e)
 	case control.Members:
-		l.group.Store(&group{members: e.Committed, leader: e.Leader, leads: e.Leads})
+		l.group.Store(&group{members: e.Committed, leader: e.Leader, leads: e.IsLeader})
 		l.net.setMembers(e.Membership)
-		l.scope.Gauge("leads").Update(boolGauge(e.Leads))
-	case control.Fail:
+		l.scope.Gauge("leads").Update(boolGauge(e.IsLeader))
+	case control.Fatal:
 		l.fail(e.Err)
 	case control.Log:
 		l.writeLog(e)
@@ -227,7 +227,7 @@
 	l.mu.Lock()
 	delete(l.calls, id)
 	l.mu.Unlock()
-	l.post(control.CallGone{ID: id})
+	l.post(control.CallCanceled{ID: id})
 	return nil, twirp.NewError(twirp.DeadlineExceeded, "no answer in time; it may come about")
 }
 
--- a/internal/control/runner/runner.go
+++ b/internal/control/runner/runner.go
@@ -86,10 +86,10 @@
 	auth.Count(r.metrics.Scope)
 	reducer := control.NewReducer(control.Config{
 		Cluster: cfg.Cluster, ID: id,
-		Sender:     cfg.Name + "/" + uuid.NewString(),
-		OrderPause: cfg.OrderPause,
-		Voters:     cfg.Voters(),
-		Duties:     dutiesConfig(cfg),
+		Sender:       cfg.Name + "/" + uuid.NewString(),
+		OrderPause:   cfg.OrderPause,
+		TargetVoters: cfg.Voters(),
+		Duties:       dutiesConfig(cfg),
 	}, node, state)
 	r.loop = newLoop(reducer, log, r.metrics.Scope)
 	r.words = newWordRelay(cfg, auth, log)
@@ -107,8 +107,8 @@
 		return control.DutiesConfig{}
 	}
 	return control.DutiesConfig{
-		Usage: control.UsageConfig{Window: d.UsageWindow, Late: d.UsageLate}, Lease: d.Lease, Holder: cfg.Name,
-		Scale: d.OrderServers,
+		Usage: control.UsageConfig{Window: d.UsageWindow, ReportDelay: d.UsageLate}, Lease: d.Lease, Holder: cfg.Name,
+		OrderServers: d.OrderServers,
 	}
 }
 
--- a/internal/control/runner/server.go
+++ b/internal/control/runner/server.go
@@ -70,7 +70,7 @@
 	err := s.store.Admit(req, s.loop.view().members)
 	if errorx.IsOfType(err, consensus.RemovedIdentity) {
 		return answer[*pb.StepResponse](s.loop.ask(ctx, func(id uint64) control.Event {
-			return control.AskRemoved{ID: id, Identity: req.GetFrom()}
+			return control.QueryRemoved{ID: id, Identity: req.GetFrom()}
 		}))
 	}
 	if err != nil {
--- a/internal/control/scale.go
+++ b/internal/control/scale.go
@@ -69,7 +69,7 @@
 // driveScale orders servers of the services that are declared so.
 func (r *Reducer) driveScale() {
 	d := r.state.declared.parsed
-	if !r.cfg.Duties.Scale || d == nil {
+	if !r.cfg.Duties.OrderServers || d == nil {
 		return
 	}
 	for i := range d.Services {
--- a/internal/control/scale_test.go
+++ b/internal/control/scale_test.go
@@ -12,7 +12,7 @@
 // scaledWorld is a leader before engines of a service that may be ordered.
 func scaledWorld(t *testing.T, engines int, roles declaration.Roles) *world {
 	w := newWorld(t)
-	w.cfg.Duties = DutiesConfig{Scale: true, Lease: 3 * time.Second, Holder: "control-1"}
+	w.cfg.Duties = DutiesConfig{OrderServers: true, Lease: 3 * time.Second, Holder: "control-1"}
 	d := &declaration.Declaration{
 		Revision: 1, Profiles: []declaration.Profile{{Name: "p", Class: declaration.ClassUrgent}},
 		Models: []declaration.Model{{Name: "m", Version: declaration.AnyVersion}}, Roles: roles,
@@ -32,7 +32,7 @@
 	for until := w.clock + d; w.clock < until; {
 		for _, c := range w.dutiesFor(200 * time.Millisecond) {
 			list = append(list, c.Scale)
-			w.dutyAnswered(c, DutyTaken)
+			w.dutyAnswered(c, DutyAccepted)
 		}
 		w.poll()
 	}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -58,15 +58,15 @@
 // ViewVersion is the log index of the last change of the view.
 func (s *State) ViewVersion() uint64 { return s.changes.version }
 
-// Figures are sizes of the state, for metrics.
-type Figures struct {
+// Stats holds sizes of the state, for metrics.
+type Stats struct {
 	Index, Revision, ViewVersion, RoleChanges                         uint64
 	Servers, Entries, UnresolvedOrders, Claims, Suspects, AnswerBytes int
 }
 
-// Figures gives the state's sizes.
-func (s *State) Figures() Figures {
-	f := Figures{
+// Stats returns the sizes of the state.
+func (s *State) Stats() Stats {
+	f := Stats{
 		Index: s.index, Revision: s.Revision(), ViewVersion: s.ViewVersion(), RoleChanges: s.roleChanges,
 		Servers: len(s.servers), Entries: len(s.entries), Claims: len(s.claims.byKey),
 		Suspects: len(s.suspects.byKey), AnswerBytes: s.claims.answerBytes,
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -29,8 +29,8 @@
 type UsageConfig struct {
 	// Window is the length of a window; zero: nothing is accounted for.
 	Window time.Duration
-	// Late is how long after a window's end its report is due.
-	Late time.Duration
+	// ReportDelay is how long after the end of a window its report is due.
+	ReportDelay time.Duration
 }
 
 // usage is the replicated part: which windows are decided, and what is to be reported.
@@ -195,7 +195,7 @@
 func (r *Reducer) usageReady(window int64) bool {
 	cfg := r.cfg.Duties.Usage
 	ended := time.Duration(r.wall())*time.Millisecond - time.Duration(window+1)*cfg.Window
-	if ended >= cfg.Late-usageSendReserve {
+	if ended >= cfg.ReportDelay-usageSendReserve {
 		return true
 	}
 	for _, e := range r.state.entries {
--- a/internal/control/usage_test.go
+++ b/internal/control/usage_test.go
@@ -14,7 +14,7 @@
 func usageWorld(t *testing.T) *world {
 	w := newWorld(t)
 	w.cfg.Duties = DutiesConfig{
-		Usage: UsageConfig{Window: usageTestWindow, Late: 10 * time.Second}, Lease: 3 * time.Second, Holder: "control-1",
+		Usage: UsageConfig{Window: usageTestWindow, ReportDelay: 10 * time.Second}, Lease: 3 * time.Second, Holder: "control-1",
 	}
 	d := &declaration.Declaration{
 		Revision: 1, Profiles: []declaration.Profile{{Name: "p", Class: declaration.ClassUrgent}},
@@ -137,7 +137,7 @@
 	}
 	for range 50 {
 		for _, c := range w.dutiesFor(200 * time.Millisecond) {
-			w.dutyAnswered(c, DutyTaken)
+			w.dutyAnswered(c, DutyAccepted)
 		}
 	}
 	if n := len(w.Reducer.state.usage.pending); n > 1 {
