--- a/cmd/goldcrest-control/main.go
+++ b/cmd/goldcrest-control/main.go
@@ -84,8 +84,8 @@
 	}
 	return runner.Drivers{
 		Calls:  []runner.Driver{platform.NewRegistry(s.RegistryAddress, s.Roles, s.MaxRegistryConnections(), log)},
-		Orders: platform.Orders{},
-		Duties: platform.Duties{},
+		Orders: platform.OrderProtocol{},
+		Duties: platform.DutyProtocol{},
 	}
 }
 
