--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,6 +1,6 @@
-// Package decision holds the types that the decisions under load share. The
-// decisions themselves are in its sub-packages admission, queue, placement and
-// roles: pure code that takes times as arguments and does no I/O.
+// Package decision holds the types shared by the decisions that entries take under load. The
+// decisions are in its sub-packages: pure code that takes times as arguments and does no
+// I/O.
 package decision
 
 import (
@@ -10,74 +10,74 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Work is one request as the decisions see it. Times are since boot
-// (clock.Boot).
+// Work is one request as the decisions see it. Times are since boot (clock.Boot).
 type Work struct {
 	RequestID string
 	Member    string
-	// MemberWeight is the member's fair share against others.
+	// MemberWeight is the member's weight in fair queueing against other members.
 	MemberWeight float64
 	Service      string
 	Profile      string
-	// ProfileShare is the profile's guaranteed share as a weight.
+	// ProfileShare is the weight of the profile's guaranteed share.
 	ProfileShare float64
 	Class        declaration.Class
-	// Rank orders work at an engine that reads by rank: a lower one goes first.
+	// Rank is the request's priority at an engine that schedules by rank; lower ranks go
+	// first.
 	Rank int
 	// Kind is declaration.KindModel or declaration.KindPlain.
 	Kind string
-	// Model and Adapter are for model services.
+	// Model and Adapter are set for model services only.
 	Model   string
 	Adapter string
 	// PromptTokens and OutputTokens are estimates; zero for plain services.
 	PromptTokens int
 	OutputTokens int
-	// OutputUncertain tells that OutputTokens is a caller's guess, right at the median
-	// and far off in single cases: no work is refused or given up for it.
+	// OutputUncertain is set when OutputTokens is a caller's guess: right at the median, far
+	// off in single cases. No request is refused or expired because of it.
 	OutputUncertain bool
-	// Prefix is the chain of prompt block hashes, salted by member.
+	// Prefix is the chain of hashes of the prompt's blocks, salted by member.
 	Prefix []uint64
-	// BlockTokens are the tokens of each element of Prefix; nil where all have
+	// BlockTokens is the number of tokens of each block in Prefix; nil if every block has
 	// engineapi.BlockTokens.
 	BlockTokens []int
-	// Arrived is when the request came in; FirstTokenBy and FinishBy are its
-	// deadlines.
+	// Arrived is the arrival time; FirstTokenBy and FinishBy are the deadlines.
 	Arrived      time.Duration
 	FirstTokenBy time.Duration
 	FinishBy     time.Duration
-	// Resumed work has been accepted before; it is never refused for load.
+	// Resumed is set for a request that was accepted before; it is never refused for load.
 	Resumed bool
-	// SharedBlocks is how many of the first parts other requests have too. They are kept
-	// at a few servers each, the same ones for all entries; 0: not known.
+	// SharedBlocks is the number of leading blocks of Prefix that other requests have too; 0
+	// if unknown. They are cached on a few servers, the same ones for all entries.
 	SharedBlocks int
-	// SoftFirstTokenDeadline tells that an answer after FirstTokenBy is still worth having;
-	// only FinishBy decides then whether it is given up.
+	// SoftFirstTokenDeadline is set if an answer is still useful after FirstTokenBy; then only
+	// FinishBy decides whether the request is given up.
 	SoftFirstTokenDeadline bool
-	// EngineSpeed is how fast engines are known to do such work; its zero fields stand
-	// for those of internal/enginemodel.
+	// EngineSpeed is the known speed of engines for such work; a zero field stands for the
+	// default of the package that uses it.
 	EngineSpeed EngineSpeed
-	// KVTokens is how many tokens of KV cache can be imported where it runs;
-	// with any there is no prefill.
+	// KVTokens is the number of tokens whose KV cache can be imported where the request runs.
+	// If it is positive, there is no prefill.
 	KVTokens int
 }
 
-// EngineSpeed is how fast an engine does one work with nothing beside it.
+// EngineSpeed is how fast an engine runs one request with no other load.
 type EngineSpeed struct {
-	// PrefillRate is in tokens a second.
+	// PrefillRate is in tokens per second.
 	PrefillRate float64
-	// TokenTime is the time of one token in a batch of usual size.
+	// TokenTime is the time per output token in a batch of average size.
 	TokenTime time.Duration
-	// KVTransferRate is how many tokens' KV cache move between two engines a second.
+	// KVTransferRate is the rate at which KV cache moves between two engines, in tokens per
+	// second.
 	KVTransferRate float64
 }
 
-// PrefixTokens is how many tokens the first parts of the prompt have.
-func (w *Work) PrefixTokens(parts int) int {
+// PrefixTokens returns the number of tokens in the first blocks of Prefix.
+func (w *Work) PrefixTokens(blocks int) int {
 	if w.BlockTokens == nil {
-		return parts * engineapi.BlockTokens
+		return blocks * engineapi.BlockTokens
 	}
 	sum := 0
-	for _, n := range w.BlockTokens[:parts] {
+	for _, n := range w.BlockTokens[:blocks] {
 		sum += n
 	}
 	return sum
@@ -95,67 +95,72 @@
 	Model    string
 	Adapters []string
 	Role     engineapi.Role
-	// PreferredByOtherGroup tells that another group of entries sends its work here first: what it has
-	// sent in the last moments is not known yet.
+	// PreferredByOtherGroup is set if another group of entries prefers this server: the latest
+	// requests from that group are not in the reported backlog yet.
 	PreferredByOtherGroup bool
-	// Usable is false while it leaves, changes, is drained or unconfirmed, or is closed.
+	// Usable is false while the server is leaving, changing its role or model, drained,
+	// unconfirmed or throttled.
 	Usable bool
-	// RateLimit is how many requests a second it takes from all entries, by its own word; 0: any.
+	// RateLimit is the number of requests per second that the server accepts from all entries
+	// together; 0 if it has set no limit.
 	RateLimit float64
-	// Throttled tells that only its own word keeps it from more work now, AvailableIn how long it
-	// does, as far as is known.
+	// Throttled is set if only the server's own rate limit or back-off request keeps it from
+	// taking work. AvailableIn is the time until that ends, as far as is known.
 	Throttled   bool
 	AvailableIn time.Duration
 	Slots       int
-	// ReportsCountsOnly tells that Load holds no tokens: what waits there is reckoned
-	// from what this entry has sent and from EstimatedPeerRunning and EstimatedPeerWaiting, an
-	// estimate of other entries' requests there.
+	// ReportsCountsOnly is set if Load has request counts but no tokens. The backlog is then
+	// estimated from what this entry has sent and from EstimatedPeerRunning and
+	// EstimatedPeerWaiting, which estimate the requests of other entries there.
 	ReportsCountsOnly                          bool
 	EstimatedPeerRunning, EstimatedPeerWaiting float64
-	// PeerBacklog is what other entries have reported of their backlogs there, PeerCoverage the part
-	// of the others that have, 0 to 1: for the rest the estimates stand.
+	// PeerBacklog is what other entries report of their backlogs at this server. PeerCoverage
+	// is the fraction of the other entries that have reported, 0 to 1; the estimates stand in
+	// for the rest.
 	PeerBacklog  Backlog
 	PeerCoverage float64
-	// MeanPrefillTokens and MeanKVTokens are what a request has to read and to hold there on
-	// average, in tokens.
+	// MeanPrefillTokens and MeanKVTokens are the average tokens that a request has to prefill
+	// here and holds in the KV cache here.
 	MeanPrefillTokens, MeanKVTokens float64
-	// PrefillOverheadSeconds is what a prompt takes there beside its tokens, in seconds.
+	// PrefillOverheadSeconds is the part of a prefill's time that does not depend on its
+	// tokens.
 	PrefillOverheadSeconds float64
-	// Load is its last report, ReportedAt when that was true (since boot, lag
-	// taken off).
+	// Load is the server's last report. ReportedAt is the time it describes, since boot, with
+	// the reporting lag subtracted.
 	Load       engineapi.Load
 	ReportedAt time.Duration
-	// InFlight is what this entry has sent and not seen finished.
+	// InFlight is what this entry has sent to the server and not seen finished.
 	InFlight InFlight
 }
 
-// InFlight sums up what this entry has running or waiting at one server.
+// InFlight sums up the requests of this entry that run or wait at one server.
 type InFlight struct {
 	Requests      int
 	PrefillTokens int
 	DecodeTokens  int
-	// PrefillBacklog are the prefill tokens by the rank of their work.
+	// PrefillBacklog is the tokens still to prefill, by rank.
 	PrefillBacklog PrefillBacklog
-	// KVTokens is what these requests hold in memory there.
+	// KVTokens is the KV cache that these requests hold at the server.
 	KVTokens int
-	// UrgentPrefillTokens is the prefill of urgent and lookup work whose first
-	// token has not come: all that such work waits for at an engine, since
-	// engines prefill by priority.
+	// UrgentPrefillTokens is the prefill of urgent and lookup requests whose first token has
+	// not come. Engines prefill by priority, so such a request waits for nothing else.
 	UrgentPrefillTokens int
-	// Since sums what was sent after the server's last report was true.
+	// The fields ending in SinceReport count what was sent after the time that the server's
+	// last report describes.
 	RequestsSinceReport      int
 	PrefillTokensSinceReport int
 	DecodeTokensSinceReport  int
 	KVTokensSinceReport      int
 }
 
-// Fleet is the backend servers in order of id.
+// Fleet lists the backend servers ordered by ID.
 type Fleet struct {
-	// DataCentre is the entry's own.
+	// DataCentre is that of this entry.
 	DataCentre string
-	// Entries is how many entries share the servers, at least 1.
+	// Entries is the number of entries that share the servers, at least 1.
 	Entries int
-	// PrefixReportsEnabled tells that entries report to each other which parts servers have read.
+	// PrefixReportsEnabled is set if entries tell each other which prompt prefixes servers
+	// have cached.
 	PrefixReportsEnabled bool
 	Servers              []Server
 }
--- a/internal/decision/figure.go
+++ b/internal/decision/figure.go
@@ -6,27 +6,27 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// Figure is one number that a decision was taken on, for its log line.
+// Figure is one numeric input of a decision, written to its log line.
 type Figure struct {
 	Name  string
 	Value float64
 }
 
-// OutputTokenCost is how many prompt tokens one output token weighs as in Cost. An
-// engine prefills 10,000 tokens a second and decodes 890 in a full batch.
+// OutputTokenCost is the weight of an output token in Cost, in prompt tokens. An engine
+// prefills 10,000 tokens per second and decodes 890 in a full batch.
 const OutputTokenCost = 11
 
-// PlainCallCost is the Cost of a call of a plain service, in prompt tokens: about
-// 10 ms of a backend server.
+// PlainCallCost is the Cost of a call to a plain service, in prompt tokens: about 10 ms of a
+// backend server.
 const PlainCallCost = 100
 
-// PlainCallTime is how long a call of a plain service takes at its server: what the wait
-// before one is reckoned with, and what it needs of its time once it starts. Calls of
-// two portals were seen to take 15 and 30 ms.
+// PlainCallTime is the estimated duration of a call to a plain service at its server, used
+// both for the wait in the queue and for the time that the call itself needs. Calls take 15
+// to 30 ms.
 const PlainCallTime = 20 * time.Millisecond
 
-// Cost is the work in prompt tokens, output tokens weighed with OutputTokenCost; at
-// least 1.
+// Cost returns the work in prompt tokens, at least 1; an output token counts as
+// OutputTokenCost prompt tokens.
 func (w *Work) Cost() float64 {
 	if w.Kind == declaration.KindPlain {
 		return PlainCallCost
@@ -34,13 +34,14 @@
 	return max(1, float64(w.PromptTokens)+OutputTokenCost*float64(w.OutputTokens))
 }
 
-// Serves tells whether the server can run the work at all, load left aside.
-func (s *Server) Serves(w *Work) bool { return s.Usable && s.can(w) }
+// Serves reports whether the server can run the request, apart from its load.
+func (s *Server) Serves(w *Work) bool { return s.Usable && s.matches(w) }
 
-// ServesNowOrLater tells whether it may run the work now or once it opens.
-func (s *Server) ServesNowOrLater(w *Work) bool { return (s.Usable || s.Throttled) && s.can(w) }
+// ServesNowOrLater reports whether the server can run the request now or once it is no
+// longer throttled.
+func (s *Server) ServesNowOrLater(w *Work) bool { return (s.Usable || s.Throttled) && s.matches(w) }
 
-func (s *Server) can(w *Work) bool {
+func (s *Server) matches(w *Work) bool {
 	if s.Kind != w.Kind {
 		return false
 	}
--- a/internal/decision/others.go
+++ b/internal/decision/others.go
@@ -6,77 +6,76 @@
 )
 
 // PeerLoadEstimator estimates how many requests of other entries run and wait at one server
-// that reports counts only, on the answers that it gives this entry.
+// that reports only counts. It learns from the answers that the server gives to this entry.
 //
-// It answers many entries that share few servers: each sees a report now and
-// then, between them it knows only its own sends, and all choose the server that
-// looked idle last. The count of a report is believed less the older it is, and
-// the usual count takes its place.
+// It guards against many entries that share few servers: each entry gets a report now and
+// then and knows only its own requests in between, so all of them choose the server that
+// looked idle last. The older a report is, the less weight its count gets, and the server's
+// average count takes its place.
 type PeerLoadEstimator struct {
-	// running and waiting are those of the last report, at when it came.
+	// running and waiting are the counts of the last report, which came at reportedAt.
 	running, waiting float64
-	at               time.Duration
-	// usualRunning and usualWaiting are averages over reports.
-	usualRunning, usualWaiting float64
-	reports                    int
+	reportedAt       time.Duration
+	// meanRunning and meanWaiting are averages over the server's reports.
+	meanRunning, meanWaiting float64
+	reports                  int
 }
 
 const (
-	// othersTime is how fast a report gets old: requests come and go within some
-	// hundred milliseconds.
-	othersTime = 300 * time.Millisecond
-	// usualTime is how fast what is usual gets old: a queue of seconds is worked off
-	// in as many.
-	usualTime = 2 * time.Second
-	// othersWeight is the weight of a report in the averages: some tens of reports,
-	// which an entry gets of a server in a few seconds.
-	othersWeight = 0.05
+	// reportDecayTime is the time constant with which the last report loses weight: requests
+	// come and go within a few hundred milliseconds.
+	reportDecayTime = 300 * time.Millisecond
+	// meanDecayTime is the time constant with which the server's average loses weight: a queue
+	// of some seconds takes as long to drain.
+	meanDecayTime = 2 * time.Second
+	// serverReportWeight is the weight of one report in the server's averages. They cover the
+	// last few tens of reports, which an entry gets from a server within a few seconds.
+	serverReportWeight = 0.05
 )
 
-// Observe takes in a report; own is how many of the requests in it are this
-// entry's.
-func (o *PeerLoadEstimator) Observe(now time.Duration, running, waiting, own int, fleet *FleetAverage) {
-	// Which of the own ones wait is not told: they count in proportion.
+// Observe takes in a report; own is the number of this entry's requests in it.
+func (e *PeerLoadEstimator) Observe(now time.Duration, running, waiting, own int, fleet *FleetAverage) {
+	// The report does not say which of the own requests wait, so they count in proportion.
 	total := float64(running + waiting)
-	part := 0.0
+	peerShare := 0.0
 	if total > 0 {
-		part = max(0, total-float64(own)) / total
+		peerShare = max(0, total-float64(own)) / total
 	}
-	o.running, o.waiting, o.at = part*float64(running), part*float64(waiting), now
-	o.reports++
-	fleet.add(o.running, o.waiting)
-	weight := max(othersWeight, 1/float64(o.reports))
-	o.usualRunning += weight * (o.running - o.usualRunning)
-	o.usualWaiting += weight * (o.waiting - o.usualWaiting)
+	e.running, e.waiting, e.reportedAt = peerShare*float64(running), peerShare*float64(waiting), now
+	e.reports++
+	fleet.observe(e.running, e.waiting)
+	weight := max(serverReportWeight, 1/float64(e.reports))
+	e.meanRunning += weight * (e.running - e.meanRunning)
+	e.meanWaiting += weight * (e.waiting - e.meanWaiting)
 }
 
-// FleetAverage is what servers of one role have on average, by the reports of all of
-// them: what is taken of one that has told nothing lately.
+// FleetAverage is the average load of the servers of one role over all of their reports. It
+// is assumed for a server that has not reported recently.
 type FleetAverage struct{ running, waiting float64 }
 
-// add takes in a report; each of some hundred counts alike.
-func (u *FleetAverage) add(running, waiting float64) {
-	u.running += fleetWeight * (running - u.running)
-	u.waiting += fleetWeight * (waiting - u.waiting)
+func (a *FleetAverage) observe(running, waiting float64) {
+	a.running += fleetReportWeight * (running - a.running)
+	a.waiting += fleetReportWeight * (waiting - a.waiting)
 }
 
-// fleetWeight is the weight of a report in the average of all servers.
-const fleetWeight = 0.02
+// fleetReportWeight is the weight of one report in the average of all servers, so that it
+// covers about the last hundred reports.
+const fleetReportWeight = 0.02
 
-// Estimate is how many of the others' requests run and wait there now.
+// Estimate returns how many requests of other entries run and wait at the server now.
 //
-// What is usual for the server fades to what is usual for all. A server that looked
-// full gets nothing from this entry, so that no answer tells it of the server's
-// recovery: without the fading it would look full for ever. And one that was never
-// heard must not look empty: it is as full as the others.
-func (o *PeerLoadEstimator) Estimate(now time.Duration, fleet FleetAverage) (running, waiting float64) {
-	age := max(0, (now - o.at).Seconds())
-	fresh := math.Exp(-age / othersTime.Seconds())
-	known := (1 - fresh) * math.Exp(-age/usualTime.Seconds())
-	if o.reports == 0 {
-		fresh, known = 0, 0
+// The server's own average fades into the fleet's. A server that looked full gets no
+// requests from this entry, so no answer reports its recovery: without the fading it would
+// look full for ever. A server that has never reported counts as loaded as the others,
+// because all entries would choose one that looks empty.
+func (e *PeerLoadEstimator) Estimate(now time.Duration, fleet FleetAverage) (running, waiting float64) {
+	age := max(0, (now - e.reportedAt).Seconds())
+	reportShare := math.Exp(-age / reportDecayTime.Seconds())
+	meanShare := (1 - reportShare) * math.Exp(-age/meanDecayTime.Seconds())
+	if e.reports == 0 {
+		reportShare, meanShare = 0, 0
 	}
-	rest := 1 - fresh - known
-	return fresh*o.running + known*o.usualRunning + rest*fleet.running,
-		fresh*o.waiting + known*o.usualWaiting + rest*fleet.waiting
+	fleetShare := 1 - reportShare - meanShare
+	return reportShare*e.running + meanShare*e.meanRunning + fleetShare*fleet.running,
+		reportShare*e.waiting + meanShare*e.meanWaiting + fleetShare*fleet.waiting
 }
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -6,76 +6,79 @@
 type Backlog struct {
 	Requests       int
 	PrefillBacklog PrefillBacklog
-	// KVTokens is what the requests hold in the server's memory, or will, in tokens.
+	// KVTokens is the KV cache that the requests hold at the server, or will hold.
 	KVTokens int
 }
 
-// Merge puts another entry's backlog to it.
-func (b *Backlog) Merge(o Backlog) {
-	b.Requests += o.Requests
-	b.PrefillBacklog.Merge(&o.PrefillBacklog)
-	b.KVTokens += o.KVTokens
+// Merge adds another backlog.
+func (b *Backlog) Merge(other Backlog) {
+	b.Requests += other.Requests
+	b.PrefillBacklog.Merge(&other.PrefillBacklog)
+	b.KVTokens += other.KVTokens
 }
 
-// PeerReports holds what the other entries have reported of their own backlogs.
+// PeerReports holds what the other entries (peers) report of their own backlogs.
 //
-// It answers unequal prompts on servers that report counts only, before several entries:
-// one prompt of 40,000 tokens and one of 300 count alike, and a report is as old as the
-// last answer. Judged by such counts an urgent prompt met as many tokens as at an engine
-// taken by chance: 32,000 in one case of ten, beside an engine that had 5,600 (true
-// backlogs, from the lines of seven entries before nine engines).
+// It guards against prompts of unequal length at servers that report only counts: one prompt
+// of 40,000 tokens and one of 300 count alike, and a report is as old as the last answer.
+// With seven entries and nine engines, an urgent prompt that is placed by such counts finds
+// as many tokens ahead of it as at a random engine: 32,000 in one case of ten, beside an
+// engine that has 5,600.
 type PeerReports struct {
 	reports map[string]*PeerReport
-	// sums are those of the peers that count, made anew when one tells or falls silent.
-	sums  map[string]Backlog
-	until time.Duration
-	known int
+	// sums adds up the current reports until sumsValidUntil, reportingEntries the entries that
+	// they cover; nil after a report has come or a peer was removed.
+	sums             map[string]Backlog
+	sumsValidUntil   time.Duration
+	reportingEntries int
 }
 
-// PeerReport is what one peer reported last.
+// PeerReport is the last report of one peer.
 type PeerReport struct {
 	Incarnation string
 	Sequence    uint64
-	// Entries is how many entries' backlogs it sums up, the sender's included.
+	// Entries is the number of entries whose backlogs the report sums up, the sender's
+	// included.
 	Entries int
-	// TTL is how long it counts.
-	TTL     time.Duration
-	Servers map[string]Backlog
-	at      time.Duration
+	// TTL is how long the report counts.
+	TTL        time.Duration
+	Servers    map[string]Backlog
+	receivedAt time.Duration
 }
 
 const (
-	// PeerReportTTL is how long a peer's report counts. Peers with work report three times
-	// or more in that time; one that is cut off must not look idle.
+	// PeerReportTTL is how long a peer's report counts. Peers with requests report at least
+	// three times in that time. The report of a peer that is cut off must expire.
 	PeerReportTTL = time.Second
-	// IdlePeerReportTTL is how long the report counts of a peer that has nothing: it repeats
-	// it seldom, and its next request is reported at once.
+	// IdlePeerReportTTL is how long the report of a peer without requests counts. Such a peer
+	// repeats its report rarely, and reports its next request at once.
 	IdlePeerReportTTL = 5 * time.Second
 )
 
-// NewPeerReports knows of none.
+// NewPeerReports returns an empty set of reports.
 func NewPeerReports() *PeerReports { return &PeerReports{reports: make(map[string]*PeerReport)} }
 
-// AddBacklog takes in a peer's report of its own backlog; one that a later one has overtaken
-// is dropped.
+// AddBacklog takes in a peer's report of its own backlog. It drops a report that a later one
+// has overtaken.
 func (p *PeerReports) AddBacklog(now time.Duration, peer, incarnation string, sequence uint64, servers map[string]Backlog) {
 	p.Add(now, peer, PeerReport{
 		Incarnation: incarnation, Sequence: sequence, Entries: 1, TTL: PeerReportTTL, Servers: servers,
 	})
 }
 
-// Add takes in any report of a peer; one that a later one has overtaken is dropped.
+// Add takes in any report of a peer. It drops a report that a later one has overtaken.
 func (p *PeerReports) Add(now time.Duration, peer string, report PeerReport) {
 	last := p.reports[peer]
 	if last != nil && last.Incarnation == report.Incarnation && last.Sequence >= report.Sequence {
 		return
 	}
-	report.at = now
+	report.receivedAt = now
 	p.reports[peer] = &report
 	p.sums = nil
 }
 
-// PrefillTokens is how many tokens of prompts a peer has reported as not read yet.
+// PrefillTokens returns the number of prompt tokens that a peer has reported as still to
+// prefill, at all servers.
 func (p *PeerReports) PrefillTokens(peer string) int {
 	sum := 0
 	if r := p.reports[peer]; r != nil {
@@ -86,54 +89,56 @@
 	return sum
 }
 
-// Forget drops a peer that is gone.
+// Forget removes a peer that is gone.
 func (p *PeerReports) Forget(peer string) {
 	delete(p.reports, peer)
 	p.sums = nil
 }
 
-// BacklogAt gives what the peers have reported of a server.
+// BacklogAt returns what the peers have reported for a server.
 func (p *PeerReports) BacklogAt(now time.Duration, server string) Backlog {
 	p.refresh(now)
 	return p.sums[server]
 }
 
-// Coverage is the part of that many peers whose backlog is known, 0 to 1.
+// Coverage returns the fraction of the given number of peers whose backlog is known, 0 to 1.
 func (p *PeerReports) Coverage(now time.Duration, peers int) float64 {
 	if peers <= 0 {
 		return 0
 	}
 	p.refresh(now)
-	return min(1, float64(p.known)/float64(peers))
+	return min(1, float64(p.reportingEntries)/float64(peers))
 }
 
-// OldestAge is how old the oldest report is that counts; false where none does.
+// OldestAge returns the age of the oldest report that counts; false if there is none.
 func (p *PeerReports) OldestAge(now time.Duration) (time.Duration, bool) {
-	oldest, known := time.Duration(0), false
+	oldest, found := time.Duration(0), false
 	for _, r := range p.reports {
-		if r.counts(now) {
-			oldest, known = max(oldest, now-r.at), true
+		if r.current(now) {
+			oldest, found = max(oldest, now-r.receivedAt), true
 		}
 	}
-	return oldest, known
+	return oldest, found
 }
 
-// SumExcept gives what all peers but one have reported, and of how many entries that is.
+// SumExcept returns the sum of all reports but one peer's, and the number of entries that it
+// covers.
 func (p *PeerReports) SumExcept(now time.Duration, peer string) (map[string]Backlog, int) {
 	return p.sum(now, func(name string, _ *PeerReport) bool { return name != peer })
 }
 
-// SumSingleEntry gives what peers have reported of themselves alone, and of how many.
+// SumSingleEntry returns the sum of the reports that cover only their sender, and the number
+// of entries that it covers.
 func (p *PeerReports) SumSingleEntry(now time.Duration) (map[string]Backlog, int) {
 	return p.sum(now, func(_ string, r *PeerReport) bool { return r.Entries == 1 })
 }
 
-func (r *PeerReport) counts(now time.Duration) bool { return now < r.at+r.TTL }
+func (r *PeerReport) current(now time.Duration) bool { return now < r.receivedAt+r.TTL }
 
-func (p *PeerReports) sum(now time.Duration, counts func(string, *PeerReport) bool) (map[string]Backlog, int) {
+func (p *PeerReports) sum(now time.Duration, include func(string, *PeerReport) bool) (map[string]Backlog, int) {
 	sums, entries := make(map[string]Backlog), 0
 	for name, r := range p.reports {
-		if !r.counts(now) || !counts(name, r) {
+		if !r.current(now) || !include(name, r) {
 			continue
 		}
 		entries += r.Entries
@@ -146,26 +151,27 @@
 	return sums, entries
 }
 
-// refresh adds the reports up that still count. The order does not matter to whole numbers.
+// refresh sums up the reports that still count. The sums are integers, so the map's order
+// does not matter.
 func (p *PeerReports) refresh(now time.Duration) {
-	if p.sums != nil && now < p.until {
+	if p.sums != nil && now < p.sumsValidUntil {
 		return
 	}
-	p.sums, p.known = p.sum(now, func(string, *PeerReport) bool { return true })
-	p.until = now + PeerReportTTL
+	p.sums, p.reportingEntries = p.sum(now, func(string, *PeerReport) bool { return true })
+	p.sumsValidUntil = now + PeerReportTTL
 	for _, r := range p.reports {
-		if r.counts(now) {
-			p.until = min(p.until, r.at+r.TTL)
+		if r.current(now) {
+			p.sumsValidUntil = min(p.sumsValidUntil, r.receivedAt+r.TTL)
 		}
 	}
 }
 
-// minToldTokens is the least length of shared parts that entries tell each other of: less is
-// read in the time that a fetch takes beside its bytes.
-const minToldTokens = 512
+// minReportedPrefixTokens is the least length of a shared prefix that entries report to each
+// other. A shorter one is prefilled in the fixed time that a fetch of its KV cache takes.
+const minReportedPrefixTokens = 512
 
-// ReportsPrefix tells whether entries tell each other which servers have read the shared parts
-// of the work's prompt.
+// ReportsPrefix reports whether entries tell each other which servers have cached the shared
+// prefix of the request's prompt.
 func ReportsPrefix(w *Work) bool {
-	return w.SharedBlocks > 0 && w.SharedBlocks <= len(w.Prefix) && w.PrefixTokens(w.SharedBlocks) >= minToldTokens
+	return w.SharedBlocks > 0 && w.SharedBlocks <= len(w.Prefix) && w.PrefixTokens(w.SharedBlocks) >= minReportedPrefixTokens
 }
--- a/internal/decision/peers_test.go
+++ b/internal/decision/peers_test.go
@@ -7,59 +7,59 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-func load(requests, unread int) map[string]Backlog {
+func backlogAtE1(requests, unread int) map[string]Backlog {
 	return map[string]Backlog{"e1": {Requests: requests, PrefillBacklog: PrefillBacklog{unread}}}
 }
 
-// Reports come late and out of order, peers restart, and one is cut off: an old one must
-// not come back, a new life counts from its first report, and who is silent for a second
-// must not look as busy, or as idle, as it was.
+// Reports come late and out of order, peers restart, and one is cut off. An overtaken report
+// must not replace a newer one, a new incarnation counts from its first report, and the
+// report of a peer that is silent for a second must expire.
 func TestPeerReportsReplaceEachOther(t *testing.T) {
 	p := NewPeerReports()
-	p.AddBacklog(0, "a", "life-1", 2, load(3, 9000))
-	p.AddBacklog(0, "a", "life-1", 1, load(7, 70000))
-	p.AddBacklog(0, "b", "life-1", 1, load(1, 500))
+	p.AddBacklog(0, "a", "life-1", 2, backlogAtE1(3, 9000))
+	p.AddBacklog(0, "a", "life-1", 1, backlogAtE1(7, 70000))
+	p.AddBacklog(0, "b", "life-1", 1, backlogAtE1(1, 500))
 	if got := p.BacklogAt(0, "e1"); got.PrefillBacklog.Ahead(0) != 9500 || got.Requests != 4 {
-		t.Fatalf("at e1: %+v", got)
+		t.Fatalf("backlog at e1: %+v", got)
 	}
-	if known := p.Coverage(0, 4); known != 0.5 {
-		t.Errorf("known %v of four peers", known)
+	if coverage := p.Coverage(0, 4); coverage != 0.5 {
+		t.Errorf("coverage %v with reports from two of four peers", coverage)
 	}
 	p.AddBacklog(100*time.Millisecond, "a", "life-2", 1, nil)
 	if got := p.BacklogAt(100*time.Millisecond, "e1"); got.PrefillBacklog.Ahead(0) != 500 {
 		t.Errorf("after a's restart: %+v", got)
 	}
-	late := PeerReportTTL + 50*time.Millisecond
-	if got, known := p.BacklogAt(late, "e1"), p.Coverage(late, 2); got.PrefillBacklog.Ahead(9) != 0 || known != 0.5 {
-		t.Errorf("b was silent for over a second: %+v, known %v", got, known)
+	expired := PeerReportTTL + 50*time.Millisecond
+	if got, coverage := p.BacklogAt(expired, "e1"), p.Coverage(expired, 2); got.PrefillBacklog.Ahead(9) != 0 || coverage != 0.5 {
+		t.Errorf("after b's report has expired: %+v, coverage %v", got, coverage)
 	}
 	p.Forget("a")
-	if known := p.Coverage(late, 2); known != 0 {
-		t.Errorf("nobody is left, known %v", known)
+	if coverage := p.Coverage(expired, 2); coverage != 0 {
+		t.Errorf("coverage %v without peers", coverage)
 	}
 }
 
-// With what peers report the estimate from counts stands for the others only.
+// The estimate from counts stands in only for the entries that have not reported.
 func TestEstimateStandsForUnknownPeersOnly(t *testing.T) {
 	s := Server{EstimatedPeerRunning: 4, MeanPrefillTokens: 1000, Role: "prefill", InFlight: InFlight{PrefillBacklog: PrefillBacklog{500}}}
 	w := &Work{Class: declaration.ClassBulk}
 	if got := s.PrefillTokensAhead(w); got != 4500 {
-		t.Errorf("nobody reported: %v", got)
+		t.Errorf("no peer has reported: %v", got)
 	}
 	s.PeerBacklog, s.PeerCoverage = Backlog{Requests: 1, PrefillBacklog: PrefillBacklog{30000}}, 1
 	if got := s.PrefillTokensAhead(w); got != 30500 {
-		t.Errorf("all reported: %v", got)
+		t.Errorf("all peers have reported: %v", got)
 	}
 	s.PeerCoverage = 0.5
 	if got := s.PrefillTokensAhead(w); got != 32500 {
-		t.Errorf("half reported: %v", got)
+		t.Errorf("half of the peers have reported: %v", got)
 	}
 }
 
-// A clerk's short prompt is begun before a long one of lower rank that waits, but not
-// before one that the engine reads already. Counted whole, engines that had long prompts
-// looked full to short ones, and these met at the few others; left out, short ones waited a
-// second behind a prompt of 55,000 tokens.
+// A short urgent prompt starts before a long one of lower priority that waits, but not
+// before one that the engine has started. If lower ranks counted in full, engines with long
+// prompts would look full to short ones, which would all go to the few others; if they did
+// not count, short prompts would wait a second behind one of 55,000 tokens.
 func TestLowerRanksCountInPart(t *testing.T) {
 	var u PrefillBacklog
 	u.AddTokens(0, 100)
--- a/internal/decision/rates.go
+++ b/internal/decision/rates.go
@@ -5,46 +5,49 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Rates that are assumed of a server that has not reported any yet, in tokens/s:
-// a mixed engine's of internal/enginemodel, the lowest of the three roles.
+// Rates that are assumed for a server that has not reported any, in tokens per second: those
+// of a mixed engine in internal/enginemodel, the lowest of the three roles.
 const (
 	AssumedPrefillRate = 5000
 	AssumedDecodeRate  = 450
 )
 
-// readingShare is the part of the others' running requests at an engine that also
-// decodes that is still being read: a question's reading takes a tenth of its time
-// there, a dossier's a third.
-const readingShare = 0.2
+// prefillingShare is the fraction of the other entries' running requests that are still in
+// prefill, at an engine that also decodes. Prefill takes a tenth of a short request's time
+// there and a third of a long one's.
+const prefillingShare = 0.2
 
-// PrefillTokensAhead is the tokens that are read before new work at a server that reports counts
-// only.
+// PrefillTokensAhead returns the tokens that are prefilled before a new request, at a server
+// that reports only counts.
 func (s *Server) PrefillTokensAhead(w *Work) float64 {
-	reading := s.EstimatedPeerWaiting + readingShare*s.EstimatedPeerRunning
+	prefilling := s.EstimatedPeerWaiting + prefillingShare*s.EstimatedPeerRunning
 	if s.Role == engineapi.RolePrefill {
-		reading = s.EstimatedPeerRunning + s.EstimatedPeerWaiting
+		prefilling = s.EstimatedPeerRunning + s.EstimatedPeerWaiting
 	}
-	unknown := (1 - s.PeerCoverage) * reading * s.MeanPrefillTokens
+	unreported := (1 - s.PeerCoverage) * prefilling * s.MeanPrefillTokens
 	if w.Class != declaration.ClassBulk {
-		unknown *= begunShare
+		unreported *= startedShare
 	}
-	return unknown + s.PeerBacklog.PrefillBacklog.Ahead(w.Rank) + s.InFlight.PrefillBacklog.Ahead(w.Rank)
+	return unreported + s.PeerBacklog.PrefillBacklog.Ahead(w.Rank) + s.InFlight.PrefillBacklog.Ahead(w.Rank)
 }
 
-// PeerRequests is how many requests of other entries run or wait there.
-func (s *Server) PeerRequests() float64 { return float64(s.PeerBacklog.Requests) + s.unknown() }
+// PeerRequests returns the number of requests of other entries that run or wait at the
+// server.
+func (s *Server) PeerRequests() float64 {
+	return float64(s.PeerBacklog.Requests) + s.unreportedRequests()
+}
 
-// PeerKVTokens is what those requests hold in memory there, in tokens.
+// PeerKVTokens returns the KV cache that those requests hold at the server, in tokens.
 func (s *Server) PeerKVTokens() float64 {
-	return float64(s.PeerBacklog.KVTokens) + s.unknown()*s.MeanKVTokens
+	return float64(s.PeerBacklog.KVTokens) + s.unreportedRequests()*s.MeanKVTokens
 }
 
-// unknown is the estimate for the entries that have reported nothing.
-func (s *Server) unknown() float64 {
+// unreportedRequests estimates the requests of the entries that have not reported.
+func (s *Server) unreportedRequests() float64 {
 	return (1 - s.PeerCoverage) * (s.EstimatedPeerRunning + s.EstimatedPeerWaiting)
 }
 
-// PrefillRate is the tokens/s that the server can prefill in its role.
+// PrefillRate returns the tokens per second that the server can prefill in its role.
 func (s *Server) PrefillRate() float64 {
 	if s.Role == engineapi.RoleDecode {
 		return 0
@@ -55,7 +58,7 @@
 	return s.Load.PrefillRate
 }
 
-// DecodeRate is the tokens/s that the server can decode in its role with all
+// DecodeRate returns the tokens per second that the server can decode in its role with all
 // slots in use.
 func (s *Server) DecodeRate() float64 {
 	if s.Role == engineapi.RolePrefill {
--- a/internal/decision/sent.go
+++ b/internal/decision/sent.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// RequestTokens is what a request has to do at one server.
+// RequestTokens is the work of one request at one server.
 type RequestTokens struct {
-	// Prefill and Decode are tokens to work on there, KV those to hold in
-	// memory there.
+	// Prefill and Decode are the tokens to compute there, KV the tokens held in the KV cache
+	// there.
 	Prefill, Decode, KV int
 }
 
-// InFlightTracker keeps Sent of one server up to date: what was sent after the time of
+// InFlightTracker maintains the InFlight sums of one server: what was sent after the time of
 // the server's last report is not in that report yet.
 type InFlightTracker struct {
 	InFlight InFlight
-	// since are the sends after the last report, oldest first.
-	since []send
+	// sinceReport holds the requests sent after the last report, oldest first.
+	sinceReport []sentRequest
 }
 
-type send struct {
-	at     time.Duration
+type sentRequest struct {
+	sentAt time.Duration
 	tokens RequestTokens
 }
 
-// Add notes a request with its tokens that is sent now.
+// Add records a request that is sent now.
 func (l *InFlightTracker) Add(now time.Duration, t RequestTokens) {
 	l.InFlight.Requests++
 	l.InFlight.PrefillTokens += t.Prefill
 	l.InFlight.DecodeTokens += t.Decode
-	l.addSince(t, 1)
-	l.since = append(l.since, send{now, t})
+	l.addSinceReport(t, 1)
+	l.sinceReport = append(l.sinceReport, sentRequest{now, t})
 }
 
-// Done notes that such a request ended.
+// Done records the end of a request that Add recorded.
 func (l *InFlightTracker) Done(t RequestTokens) {
 	l.InFlight.Requests--
 	l.InFlight.PrefillTokens -= t.Prefill
 	l.InFlight.DecodeTokens -= t.Decode
 }
 
-// AddUrgentPrefill notes prefill tokens of urgent work that begin (or, negative, end) to
-// wait for their first token.
+// AddUrgentPrefill adds prompt tokens of an urgent request that starts to wait for its first
+// token, or, negative, ends to.
 func (l *InFlightTracker) AddUrgentPrefill(tokens int) { l.InFlight.UrgentPrefillTokens += tokens }
 
-// ApplyReport takes in that a report was true at that time: what was sent up to
-// then is in it.
+// ApplyReport takes the time that a report describes: requests sent up to then are in the
+// report and leave the sums since the last report.
 func (l *InFlightTracker) ApplyReport(at time.Duration) {
-	old := 0
-	for old < len(l.since) && l.since[old].at <= at {
-		l.addSince(l.since[old].tokens, -1)
-		old++
+	covered := 0
+	for covered < len(l.sinceReport) && l.sinceReport[covered].sentAt <= at {
+		l.addSinceReport(l.sinceReport[covered].tokens, -1)
+		covered++
 	}
-	l.since = append(l.since[:0], l.since[old:]...)
+	l.sinceReport = append(l.sinceReport[:0], l.sinceReport[covered:]...)
 }
 
-func (l *InFlightTracker) addSince(t RequestTokens, sign int) {
+func (l *InFlightTracker) addSinceReport(t RequestTokens, sign int) {
 	l.InFlight.RequestsSinceReport += sign
 	l.InFlight.PrefillTokensSinceReport += sign * t.Prefill
 	l.InFlight.DecodeTokensSinceReport += sign * t.Decode
--- a/internal/decision/unread.go
+++ b/internal/decision/unread.go
@@ -1,48 +1,49 @@
 package decision
 
-// NumRanks is how many ranks work can have at an engine; 0 is read first.
+// NumRanks is the number of ranks at an engine; rank 0 is prefilled first.
 const NumRanks = 10
 
-// PrefillBacklog are tokens of prompts that are not read yet, by the rank of their work.
+// PrefillBacklog holds the prompt tokens that are still to prefill, by the rank of their
+// requests.
 //
-// Engines begin prompts in the order of rank and read what they have begun to its end:
-// prompts of 1,000 tokens were read in 85 ms (half of the cases) at rank 0, in 87 ms at
-// rank 1 and in 189 ms at rank 2, on engines that had as much to read; but one of rank 0
-// took a second behind one of 55,000 tokens that was begun. So work is held up by its own
-// rank and those before it, and by a part of what comes after.
+// Engines start prompts in the order of rank and prefill a started prompt to its end. With
+// the same backlog, prompts of 1,000 tokens take 85 ms in the median at rank 0, 87 ms at
+// rank 1 and 189 ms at rank 2; but one of rank 0 takes a second behind a started prompt of
+// 55,000 tokens. So a request waits for its own rank and the ranks before it, and for a part
+// of the ranks after it.
 type PrefillBacklog [NumRanks]int
 
-// begunShare is the part of lower ranks' tokens that counts as begun. Without it short
-// urgent prompts take engines that read long ones for those with nothing to do.
-const begunShare = 0.5
+// startedShare is the fraction of lower-priority tokens that counts as started. Without it,
+// short urgent prompts take engines that prefill long ones for idle.
+const startedShare = 0.5
 
-// AddTokens adds tokens of that rank.
-func (u *PrefillBacklog) AddTokens(rank, tokens int) { u[min(max(0, rank), NumRanks-1)] += tokens }
+// AddTokens adds tokens of a rank.
+func (b *PrefillBacklog) AddTokens(rank, tokens int) { b[min(max(0, rank), NumRanks-1)] += tokens }
 
-// Merge puts another one's tokens to it.
-func (u *PrefillBacklog) Merge(o *PrefillBacklog) {
-	for rank, tokens := range o {
-		u[rank] += tokens
+// Merge adds the tokens of another backlog.
+func (b *PrefillBacklog) Merge(other *PrefillBacklog) {
+	for rank, tokens := range other {
+		b[rank] += tokens
 	}
 }
 
-// Total is how many tokens there are of all ranks.
-func (u *PrefillBacklog) Total() int {
+// Total returns the number of tokens of all ranks.
+func (b *PrefillBacklog) Total() int {
 	sum := 0
-	for _, tokens := range u {
+	for _, tokens := range b {
 		sum += tokens
 	}
 	return sum
 }
 
-// Ahead is how many tokens are read before work of that rank that comes last.
-func (u *PrefillBacklog) Ahead(rank int) float64 {
+// Ahead returns the number of tokens that are prefilled before a new request of the rank.
+func (b *PrefillBacklog) Ahead(rank int) float64 {
 	sum := 0.0
-	for of, tokens := range u {
-		if of <= rank {
+	for other, tokens := range b {
+		if other <= rank {
 			sum += float64(tokens)
 		} else {
-			sum += begunShare * float64(tokens)
+			sum += startedShare * float64(tokens)
 		}
 	}
 	return sum
