--- a/internal/decision/queue/deadline.go
+++ b/internal/decision/queue/deadline.go
@@ -7,99 +7,99 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// Rates that a single request gets on a busy mixed engine: what latestStart
-// reckons with. They are those of internal/enginemodel under interference, so
-// that work which starts at its latest start still finishes in time.
+// Rates that one request gets on a busy and on an idle mixed engine. The busy ones are those
+// of internal/enginemodel with prefill and decode interfering, so that a request that starts
+// at its latest start still finishes in time.
 const (
-	busyPrefillRate  = 3400 // tokens/s
-	busyTokenTime    = 60 * time.Millisecond
-	quietTokenTime   = 21 * time.Millisecond
-	quietPrefillRate = 10000
+	busyPrefillRate = 3400 // tokens/s
+	busyTokenTime   = 60 * time.Millisecond
+	idleTokenTime   = 21 * time.Millisecond
+	idlePrefillRate = 10000
 )
 
-// window is a time in which work must start: at its beginning the busiest engine
-// would just meet the deadline, at its end not even an idle one does.
-type window struct{ from, to time.Duration }
+// startWindow is the time in which a request must start: at its beginning the busiest engine
+// just meets the deadline, after its end not even an idle one does.
+type startWindow struct{ from, to time.Duration }
 
-func (w window) has(now time.Duration) bool { return w.from <= now && now <= w.to }
+func (w startWindow) contains(now time.Duration) bool { return w.from <= now && now <= w.to }
 
-// windows are those of both deadlines.
-func windows(w *decision.Work) (first, whole window) {
-	first = window{
-		from: w.FirstTokenBy - tokensAt(w, busy(w).PrefillRate),
-		to:   w.FirstTokenBy - tokensAt(w, quiet(w).PrefillRate),
+// startWindows returns the windows for the first-token and the finish deadline.
+func startWindows(w *decision.Work) (firstToken, finish startWindow) {
+	firstToken = startWindow{
+		from: w.FirstTokenBy - prefillTime(w, busySpeed(w).PrefillRate),
+		to:   w.FirstTokenBy - prefillTime(w, idleSpeed(w).PrefillRate),
 	}
-	whole = window{
-		from: w.FinishBy - serviceTime(w, busy(w)),
-		to:   w.FinishBy - serviceTime(w, quiet(w)),
+	finish = startWindow{
+		from: w.FinishBy - serviceTime(w, busySpeed(w)),
+		to:   w.FinishBy - serviceTime(w, idleSpeed(w)),
 	}
-	return first, whole
+	return firstToken, finish
 }
 
-// busyShare is the part of its pace that work gets on a busy engine: that of the
-// rates above.
-const busyShare = busyPrefillRate / float64(quietPrefillRate)
+// busyShare is the fraction of its speed that a request gets on a busy engine, by the rates
+// above.
+const busyShare = busyPrefillRate / float64(idlePrefillRate)
 
-// quiet is the pace of the work on an idle engine, busy that on a busy one.
-func quiet(w *decision.Work) decision.EngineSpeed {
-	p := w.EngineSpeed
-	if p.PrefillRate <= 0 {
-		p.PrefillRate = quietPrefillRate
+// idleSpeed returns the speed of an idle engine for the request, busySpeed that of a busy
+// one.
+func idleSpeed(w *decision.Work) decision.EngineSpeed {
+	speed := w.EngineSpeed
+	if speed.PrefillRate <= 0 {
+		speed.PrefillRate = idlePrefillRate
 	}
-	if p.TokenTime <= 0 {
-		p.TokenTime = quietTokenTime
+	if speed.TokenTime <= 0 {
+		speed.TokenTime = idleTokenTime
 	}
-	return p
+	return speed
 }
 
-func busy(w *decision.Work) decision.EngineSpeed {
-	p := quiet(w)
-	p.PrefillRate *= busyShare
+func busySpeed(w *decision.Work) decision.EngineSpeed {
+	speed := idleSpeed(w)
+	speed.PrefillRate *= busyShare
 	if w.EngineSpeed.TokenTime <= 0 {
-		p.TokenTime = busyTokenTime
-		return p
+		speed.TokenTime = busyTokenTime
+		return speed
 	}
-	p.TokenTime = time.Duration(float64(p.TokenTime) / busyShare)
-	return p
+	speed.TokenTime = time.Duration(float64(speed.TokenTime) / busyShare)
+	return speed
 }
 
-// expiresAt is when the work can't be answered in time any more, even on an
-// idle engine. A bulk answer that is late for its first token is still of use;
-// nobody waits at the desk for an urgent one any more.
+// expiresAt returns when the request can't be answered in time any more, even on an idle
+// engine. A bulk answer whose first token is late is still useful; an urgent one is not.
 //
-// Refused at its deadline, work in front of a full service would get no answer at all: its
-// caller has gone by then. refusalTime before it, the caller still hears of it.
+// A request that is refused only at its deadline gets no answer at all, since its caller has
+// gone by then. So it expires refusalMargin earlier.
 func expiresAt(w *decision.Work) time.Duration {
 	if w.Resumed {
-		return w.FinishBy + neverExpires
+		return w.FinishBy + resumedGrace
 	}
-	_, whole := windows(w)
-	last := whole.to - refusalTime
+	_, finish := startWindows(w)
+	latest := finish.to - refusalMargin
 	if w.Class == declaration.ClassBulk || w.SoftFirstTokenDeadline {
-		return last
+		return latest
 	}
-	return min(last, w.FirstTokenBy)
+	return min(latest, w.FirstTokenBy)
 }
 
-// refusalTime is how long a refusal may take to leave the entry: one tick of 20 ms, by
-// which expired work is found, and as much for the turn of a loaded entry; its accept loop
-// waited up to 20 ms for one with 0.19 of a core.
-const refusalTime = 40 * time.Millisecond
+// refusalMargin is how long a refusal may take to leave the entry: one tick of 20 ms, in
+// which expired requests are found, and 20 ms for the scheduling delay of a loaded entry. An
+// accept loop that gets 0.19 of a core waits up to 20 ms to be scheduled.
+const refusalMargin = 40 * time.Millisecond
 
-// neverExpires keeps work that was accepted before from being refused for load:
-// its caller holds a part of the answer.
-const neverExpires = 365 * 24 * time.Hour
+// resumedGrace keeps a request that was accepted before from expiring: its caller has
+// received a part of the answer.
+const resumedGrace = 365 * 24 * time.Hour
 
-func serviceTime(w *decision.Work, p decision.EngineSpeed) time.Duration {
+func serviceTime(w *decision.Work, speed decision.EngineSpeed) time.Duration {
 	if w.Kind == declaration.KindPlain {
 		return decision.PlainCallTime
 	}
 	if w.OutputUncertain {
-		return tokensAt(w, p.PrefillRate)
+		return prefillTime(w, speed.PrefillRate)
 	}
-	return tokensAt(w, p.PrefillRate) + time.Duration(w.OutputTokens)*p.TokenTime
+	return prefillTime(w, speed.PrefillRate) + time.Duration(w.OutputTokens)*speed.TokenTime
 }
 
-func tokensAt(w *decision.Work, prefillRate float64) time.Duration {
+func prefillTime(w *decision.Work, prefillRate float64) time.Duration {
 	return time.Duration(float64(w.PromptTokens) / prefillRate * float64(time.Second))
 }
--- a/internal/decision/queue/drain.go
+++ b/internal/decision/queue/drain.go
@@ -5,48 +5,50 @@
 	"time"
 )
 
-// drainTime is the time constant of the drain rate: an entry's part of the bulk
-// work is a dossier in two seconds, so this is some sixty of them.
-const drainTime = 2 * time.Minute
+// throughputDecayTime is the time constant of the measured throughput. An entry serves a
+// bulk request every two seconds, so it covers about sixty of them.
+const throughputDecayTime = 2 * time.Minute
 
-// drain measures at what rate a profile's work leaves the queue while there is
-// always some waiting. Servers' rates alone say too much: other profiles, other
-// entries, full memory and interference between prefill and decode all take
-// their part, and this rate has them in it.
-type drain struct {
-	waiting bool
-	since   time.Duration
-	at      time.Duration
-	cost    float64
+// throughput measures the rate at which a profile's work leaves the queue while some of it
+// always waits. The servers' own rates promise too much: other profiles, other entries, full
+// memory and interference between prefill and decode reduce them, and the measured rate
+// includes all of that.
+type throughput struct {
+	waiting      bool
+	waitingSince time.Duration
+	updatedAt    time.Duration
+	cost         float64
 }
 
-// begin notes that work waits.
-func (d *drain) begin(now time.Duration) {
-	if !d.waiting {
-		*d = drain{waiting: true, since: now, at: now}
+// markWaiting records that work is waiting.
+func (t *throughput) markWaiting(now time.Duration) {
+	if !t.waiting {
+		*t = throughput{waiting: true, waitingSince: now, updatedAt: now}
 	}
 }
 
-// served notes that work of that cost left; empty that nothing waits any more.
-func (d *drain) served(now time.Duration, cost float64, empty bool) {
+// record adds the cost of a request that has left the queue; empty tells that none waits any
+// more.
+func (t *throughput) record(now time.Duration, cost float64, empty bool) {
 	if empty {
-		d.waiting = false
+		t.waiting = false
 		return
 	}
-	d.cost = d.decayed(now) + cost
-	d.at = now
+	t.cost = t.decayed(now) + cost
+	t.updatedAt = now
 }
 
-func (d *drain) decayed(now time.Duration) float64 {
-	return d.cost * math.Exp(-(now-d.at).Seconds()/drainTime.Seconds())
+func (t *throughput) decayed(now time.Duration) float64 {
+	return t.cost * math.Exp(-(now-t.updatedAt).Seconds()/throughputDecayTime.Seconds())
 }
 
-// drained is the cost that left lately and the seconds in which it did, both with
-// the same decay; zero seconds when nothing waits or, for nil, ever has.
-func (d *drain) drained(now time.Duration) (cost, secs float64) {
-	if d == nil || !d.waiting {
+// recent returns the cost that left recently and the seconds in which it did, both with the
+// same decay. The seconds are zero if nothing waits, or if t is nil because nothing ever
+// has.
+func (t *throughput) recent(now time.Duration) (cost, secs float64) {
+	if t == nil || !t.waiting {
 		return 0, 0
 	}
-	secs = drainTime.Seconds() * (1 - math.Exp(-(now-d.since).Seconds()/drainTime.Seconds()))
-	return d.decayed(now), secs
+	secs = throughputDecayTime.Seconds() * (1 - math.Exp(-(now-t.waitingSince).Seconds()/throughputDecayTime.Seconds()))
+	return t.decayed(now), secs
 }
--- a/internal/decision/queue/flow.go
+++ b/internal/decision/queue/flow.go
@@ -7,27 +7,30 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// item is one work that waits.
+// item is one waiting request.
 type item struct {
-	work        decision.Work
-	seq         uint64
-	first       window
-	whole       window
-	expires     time.Duration
-	flow        *flow
-	flowIndex   int
-	expiryIndex int
-	// since is when begun work was first at the head of those that wait, if seen.
-	since time.Duration
-	seen  bool
+	work             decision.Work
+	seq              uint64
+	firstTokenWindow startWindow
+	finishWindow     startWindow
+	expires          time.Duration
+	flow             *flow
+	flowIndex        int
+	expiryIndex      int
+	// headSince is when a resumed request became the first of those waiting, if reachedHead is
+	// set.
+	headSince   time.Duration
+	reachedHead bool
 }
 
-// mustStart tells whether the work has to start now to be in time. What is too
-// late for its first token does not hold up others that are not, until its last
-// deadline presses: else under overload one late answer makes all others late.
-func (it *item) mustStart(now time.Duration) bool { return it.first.has(now) || it.whole.has(now) }
+// mustStart reports whether the request has to start now to meet a deadline. A request that
+// is too late for its first token does not go before others until its finish deadline is
+// near: otherwise, under overload, one late answer makes all others late.
+func (it *item) mustStart(now time.Duration) bool {
+	return it.firstTokenWindow.contains(now) || it.finishWindow.contains(now)
+}
 
-// flow is one member's work under one profile, the earliest deadline first.
+// flow holds one member's requests in one profile, the earliest deadline first.
 type flow struct {
 	member  string
 	weight  float64
@@ -44,7 +47,7 @@
 func (f *flow) remove(it *item) {
 	heap.Remove(&f.items, it.flowIndex)
 	if len(f.items) == 0 {
-		f.owner.idle(f)
+		f.owner.deactivate(f)
 	}
 }
 
@@ -85,7 +88,7 @@
 }
 func (h *expiryHeap) Pop() any { return popLast((*[]*item)(h)) }
 
-// popLast takes the last item and leaves no pointer to it behind.
+// popLast removes the last item and clears its slot, so that the item can be collected.
 func popLast(list *[]*item) *item {
 	old := *list
 	it := old[len(old)-1]
--- a/internal/decision/queue/guess_test.go
+++ b/internal/decision/queue/guess_test.go
@@ -8,9 +8,9 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// Work waits for a place; its output is guessed to take longer than its time. It
-// expires when its prompt can't be read in time any more, and not for the guess.
-func TestGuessedOutputDoesNotExpireWork(t *testing.T) {
+// A request waits whose output is guessed to take longer than its deadline allows. It must
+// expire when its prompt can't be prefilled in time any more, not because of the guess.
+func TestUncertainOutputDoesNotExpireWork(t *testing.T) {
 	w := decision.Work{
 		RequestID: "r", Kind: declaration.KindModel, Model: "m", Class: declaration.ClassUrgent, SoftFirstTokenDeadline: true,
 		PromptTokens: 10000, OutputTokens: 5000, OutputUncertain: true,
@@ -19,10 +19,10 @@
 	}
 	q := New()
 	q.Push(w)
-	if gone := q.Expire(3 * time.Second); len(gone) != 0 {
-		t.Fatal("expired with a second left for a prompt of 0.4 s")
+	if expired := q.Expire(3 * time.Second); len(expired) != 0 {
+		t.Fatal("expired a second before its deadline, with 0.4 s of prefill to do")
 	}
-	if gone := q.Expire(3700 * time.Millisecond); len(gone) != 1 {
-		t.Fatal("still waits when its prompt can't be read in time")
+	if expired := q.Expire(3700 * time.Millisecond); len(expired) != 1 {
+		t.Fatal("not expired when its prompt can't be prefilled in time any more")
 	}
 }
--- a/internal/decision/queue/pool.go
+++ b/internal/decision/queue/pool.go
@@ -10,37 +10,40 @@
 
 // pool holds the profiles that compete for the same servers.
 type pool struct {
-	profiles []*profileQueue
-	byName   map[string]*profileQueue
-	// begun is work that callers hold a part of, the longest waiting first.
-	begun []*item
-	// virtual is the pass of the profile served last.
-	virtual float64
-	// waiting is how many works wait here, drain at what rate they leave.
-	waiting int
-	drain   *drain
+	profiles       []*profileQueue
+	profilesByName map[string]*profileQueue
+	// resumed holds the requests whose callers have a part of the answer, in order of arrival
+	// in the queue.
+	resumed []*item
+	// virtualTime is the pass of the profile that was served last.
+	virtualTime float64
+	// waiting is the number of requests waiting here, throughput the rate at which they leave.
+	waiting    int
+	throughput *throughput
 }
 
-func newPool() *pool { return &pool{byName: make(map[string]*profileQueue), drain: &drain{}} }
+func newPool() *pool {
+	return &pool{profilesByName: make(map[string]*profileQueue), throughput: &throughput{}}
+}
 
 func (p *pool) push(it *item) {
-	pq := p.byName[it.work.Profile]
+	pq := p.profilesByName[it.work.Profile]
 	if pq == nil {
-		pq = &profileQueue{name: it.work.Profile, flows: make(map[string]*flow), drain: &drain{}}
-		p.byName[it.work.Profile] = pq
+		pq = &profileQueue{name: it.work.Profile, flows: make(map[string]*flow), throughput: &throughput{}}
+		p.profilesByName[it.work.Profile] = pq
 		p.insert(pq, it.work.Class)
 	}
-	pq.share = positive(it.work.ProfileShare)
+	pq.share = weightOrDefault(it.work.ProfileShare)
 	if len(pq.active) == 0 {
-		// Guards against a profile that was idle for an hour and then holds all
-		// others back with the turns it saved up: it starts where they are.
-		pq.pass = max(pq.pass, p.virtual)
+		// A profile that was idle starts at the pass of the others. Otherwise one that was idle
+		// for an hour would hold them all back with the turns it saved.
+		pq.pass = max(pq.pass, p.virtualTime)
 	}
 	pq.push(it)
 }
 
-// insert keeps urgent profiles before the others, so that of several works that
-// must start now the urgent one goes first: it is small.
+// insert puts urgent profiles before the others: of several requests that must start now,
+// the urgent one goes first because it is small.
 func (p *pool) insert(pq *profileQueue, class declaration.Class) {
 	if class == declaration.ClassBulk {
 		p.profiles = append(p.profiles, pq)
@@ -49,49 +52,49 @@
 	p.profiles = append([]*profileQueue{pq}, p.profiles...)
 }
 
-// pop takes the next item that fits: first one that must start now, then by
-// the profiles' shares.
+// pop takes the next item that fits: first one that must start now, then by the profiles'
+// shares.
 func (p *pool) pop(now time.Duration, fits func(*decision.Work) bool, tries *int) *item {
 	if p.waiting > 0 {
-		p.drain.begin(now)
+		p.throughput.markWaiting(now)
 	}
 	for _, pq := range p.profiles {
 		if len(pq.active) > 0 {
-			pq.drain.begin(now)
+			pq.throughput.markWaiting(now)
 		}
 	}
 	if it := p.starved(now); it != nil {
-		if !try(it, fits, tries) {
+		if !tryItem(it, fits, tries) {
 			return nil
 		}
-		return p.take(now, p.byName[it.work.Profile], it)
+		return p.take(now, p.profilesByName[it.work.Profile], it)
 	}
 	for _, pq := range p.profiles {
-		if it := pq.critical(now, fits, tries); it != nil {
+		if it := pq.earliestCritical(now, fits, tries); it != nil {
 			it.flow.deficit -= it.work.Cost()
 			return p.take(now, pq, it)
 		}
 	}
 	var tried uint64
 	for range p.profiles {
-		pq, bit := p.lowest(tried)
+		pq, bit := p.lowestPass(tried)
 		if pq == nil {
 			return nil
 		}
 		tried |= bit
-		share := max(1, *tries/2)
-		left := share
-		if it := pq.next(fits, &left); it != nil {
+		allowance := max(1, *tries/2)
+		remaining := allowance
+		if it := pq.next(fits, &remaining); it != nil {
 			return p.take(now, pq, it)
 		}
-		*tries -= share - left
+		*tries -= allowance - remaining
 	}
 	return nil
 }
 
-// lowest gives the profile with work and the smallest pass that was not tried;
-// tried has a bit per profile, profiles beyond 64 share the last one.
-func (p *pool) lowest(tried uint64) (*profileQueue, uint64) {
+// lowestPass returns the profile with work and the smallest pass that is not in tried, and
+// its bit there. Each profile has a bit; those beyond the 64th share the last one.
+func (p *pool) lowestPass(tried uint64) (*profileQueue, uint64) {
 	var best *profileQueue
 	var bestBit uint64
 	for i, pq := range p.profiles {
@@ -107,16 +110,16 @@
 }
 
 func (p *pool) take(now time.Duration, pq *profileQueue, it *item) *item {
-	p.virtual = max(p.virtual, pq.pass)
+	p.virtualTime = max(p.virtualTime, pq.pass)
 	pq.pass += it.work.Cost() / pq.share
 	it.flow.remove(it)
-	pq.drain.served(now, it.work.Cost(), len(pq.active) == 0)
-	p.drain.served(now, it.work.Cost(), false)
+	pq.throughput.record(now, it.work.Cost(), len(pq.active) == 0)
+	p.throughput.record(now, it.work.Cost(), false)
 	return it
 }
 
-// positive gives 1 for a weight that was left out.
-func positive(weight float64) float64 {
+// weightOrDefault returns 1 for a weight that was not set.
+func weightOrDefault(weight float64) float64 {
 	if weight <= 0 {
 		return 1
 	}
--- a/internal/decision/queue/starve_test.go
+++ b/internal/decision/queue/starve_test.go
@@ -9,27 +9,27 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// An engine dies at twice the fleet's load. A dossier that had begun there waits for
-// a place with half of an engine's memory; the questions of other members take each
-// bit of memory as it gets free. Its caller saw it stand still until it gave up.
-func TestBegunWorkIsNotStarvedBySmallNewWork(t *testing.T) {
-	const memory, small, big = 100, 10, 50
+// An engine dies while the load is twice the fleet's capacity. A bulk request that ran there
+// needs half of an engine's memory, and small requests of other members take the memory as
+// it is freed. The stream must go on before its caller gives up.
+func TestResumedWorkIsNotStarvedBySmallNewWork(t *testing.T) {
+	const memory, small, large = 100, 10, 50
 	q := New()
-	work := func(id string, tokens int, at time.Duration) decision.Work {
+	newWork := func(id string, tokens int, at time.Duration) decision.Work {
 		return decision.Work{
 			RequestID: id, Member: id, MemberWeight: 1, Profile: "counter", Kind: declaration.KindModel, Model: "m",
 			Class: declaration.ClassUrgent, PromptTokens: tokens, Arrived: at,
 			FirstTokenBy: at + 10*time.Second, FinishBy: at + time.Minute,
 		}
 	}
-	resumed := work("dossier", big, 0)
+	resumed := newWork("dossier", large, 0)
 	resumed.Resumed, resumed.Class, resumed.Profile = true, declaration.ClassBulk, "dossier"
 	q.Push(resumed)
 	free := 0
 	for step := range 400 {
 		now := time.Duration(step) * 50 * time.Millisecond
-		q.Push(work(fmt.Sprint("q", step), small, now))
-		free += small // one of the questions that run is done
+		q.Push(newWork(fmt.Sprint("q", step), small, now))
+		free += small // one of the running requests finishes
 		for {
 			w, ok := q.Pop(now, func(w *decision.Work) bool { return w.PromptTokens <= free })
 			if !ok {
@@ -37,23 +37,23 @@
 			}
 			if w.RequestID == "dossier" {
 				if now > 3*time.Second {
-					t.Fatalf("it went on only after %v", now)
+					t.Fatalf("the resumed request was served only after %v", now)
 				}
 				return
 			}
 			free -= w.PromptTokens
 		}
 	}
-	t.Fatal("it has not gone on in 20 s")
+	t.Fatal("the resumed request was not served within 20 s")
 }
 
-// Begun work fits nowhere. It must not hold all other work back for good.
-func TestBegunWorkThatFitsNowhereHoldsNobodyForLong(t *testing.T) {
+// A resumed request fits nowhere. It must not hold all others back for good.
+func TestResumedWorkThatFitsNowhereBlocksOthersOnlyBriefly(t *testing.T) {
 	q := New()
 	q.Push(decision.Work{
 		RequestID: "dossier", Profile: "dossier", Kind: declaration.KindModel, Model: "m", Resumed: true, FinishBy: time.Hour,
 	})
-	served, held := 0, time.Duration(0)
+	served, longestHold := 0, time.Duration(0)
 	last := time.Duration(0)
 	for step := range 600 {
 		now := time.Duration(step) * 50 * time.Millisecond
@@ -68,10 +68,10 @@
 			}
 			_ = w
 			served++
-			held, last = max(held, now-last), now
+			longestHold, last = max(longestHold, now-last), now
 		}
 	}
-	if served < 500 || held > holdLimit+100*time.Millisecond {
-		t.Fatalf("%d of 600 served, the longest hold %v", served, held)
+	if served < 500 || longestHold > holdTime+100*time.Millisecond {
+		t.Fatalf("%d of 600 served, longest time without service %v", served, longestHold)
 	}
 }
--- a/internal/decision/queue/summary.go
+++ b/internal/decision/queue/summary.go
@@ -6,20 +6,20 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// Totals sums up waiting work.
+// Totals sums up waiting requests.
 type Totals struct {
 	Requests      int
 	PrefillTokens int
 	DecodeTokens  int
 }
 
-// Cost is the sum in tokens as Work.Cost weighs them.
+// Cost returns the sum in prompt tokens, weighted as in Work.Cost.
 func (t Totals) Cost() float64 {
 	return float64(t.PrefillTokens) + decision.OutputTokenCost*float64(t.DecodeTokens)
 }
 
-// Key names a part of the queue. An empty Member stands for all members, an
-// empty Profile for all profiles.
+// Key names a part of the queue. An empty Member stands for all members, an empty Profile
+// for all profiles.
 type Key struct {
 	Kind    string
 	Service string // of plain services
@@ -28,7 +28,7 @@
 	Member  string
 }
 
-// KeyOf gives the key of the work's pool, profile and member.
+// KeyOf returns the key of the request's pool, profile and member.
 func KeyOf(w *decision.Work) Key {
 	k := Key{Kind: w.Kind, Model: w.Model, Profile: w.Profile, Member: w.Member}
 	if k.Model == "" {
@@ -40,42 +40,42 @@
 // Summary sums up a queue by pool, profile and member.
 type Summary struct {
 	totals map[Key]*Totals
-	// drains is by pool and profile, pools by pool alone.
-	drains, pools map[Key]*drain
+	// profileThroughput is keyed by pool and profile, poolThroughput by pool alone.
+	profileThroughput, poolThroughput map[Key]*throughput
 }
 
 func newSummary() Summary {
-	return Summary{totals: make(map[Key]*Totals), drains: make(map[Key]*drain), pools: make(map[Key]*drain)}
+	return Summary{totals: make(map[Key]*Totals), profileThroughput: make(map[Key]*throughput), poolThroughput: make(map[Key]*throughput)}
 }
 
-// profileKey is KeyOf without the member.
+// profileKey returns KeyOf without the member.
 func profileKey(w *decision.Work) Key {
 	k := KeyOf(w)
 	k.Member = ""
 	return k
 }
 
-// PoolKey is KeyOf without the member and the profile.
+// PoolKey returns KeyOf without the member and the profile.
 func PoolKey(w *decision.Work) Key {
 	k := profileKey(w)
 	k.Profile = ""
 	return k
 }
 
-// Throughput is how much of the profile's work, as Work.Cost weighs it, has left this
-// queue lately and in how many seconds, while some always waited; zero seconds
-// when nothing waits. The key's member counts as empty.
+// Throughput returns how much of the profile's work has left this queue recently, weighted
+// as in Work.Cost, and in how many seconds, counting only time in which some of it always
+// waited. The seconds are zero if nothing waits. The key's Member is ignored.
 func (s *Summary) Throughput(now time.Duration, k Key) (cost, secs float64) {
 	k.Member = ""
-	return s.drains[k].drained(now)
+	return s.profileThroughput[k].recent(now)
 }
 
-// PoolThroughput is Drained of all profiles of the work's pool together.
+// PoolThroughput returns the Throughput of all profiles of the request's pool together.
 func (s *Summary) PoolThroughput(now time.Duration, w *decision.Work) (cost, secs float64) {
-	return s.pools[PoolKey(w)].drained(now)
+	return s.poolThroughput[PoolKey(w)].recent(now)
 }
 
-// Get gives the totals of one part; the zero Totals when nothing waits there.
+// Get returns the totals of one part of the queue, zero if nothing waits there.
 func (s *Summary) Get(k Key) Totals {
 	if t := s.totals[k]; t != nil {
 		return *t
