--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -53,7 +53,7 @@
 	// FinishBy decides whether the request is given up.
 	SoftFirstTokenDeadline bool
 	// EngineSpeed is the known speed of engines for such work; a zero field stands for the
-	// default of the package that uses it.
+	// value of internal/enginemodel.
 	EngineSpeed EngineSpeed
 	// KVTokens is the number of tokens whose KV cache can be imported where the request runs.
 	// If it is positive, there is no prefill.
--- a/internal/decision/others.go
+++ b/internal/decision/others.go
@@ -66,7 +66,7 @@
 //
 // The server's own average fades into the fleet's. A server that looked full gets no
 // requests from this entry, so no answer reports its recovery: without the fading it would
-// look full for ever. A server that has never reported counts as loaded as the others,
+// look full for ever. A server that has never reported counts as being as full as the others,
 // because all entries would choose one that looks empty.
 func (e *PeerLoadEstimator) Estimate(now time.Duration, fleet FleetAverage) (running, waiting float64) {
 	age := max(0, (now - e.reportedAt).Seconds())
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -114,7 +114,7 @@
 func (p *PeerReports) OldestAge(now time.Duration) (time.Duration, bool) {
 	oldest, found := time.Duration(0), false
 	for _, r := range p.reports {
-		if r.current(now) {
+		if r.isCurrent(now) {
 			oldest, found = max(oldest, now-r.receivedAt), true
 		}
 	}
@@ -133,12 +133,12 @@
 	return p.sum(now, func(_ string, r *PeerReport) bool { return r.Entries == 1 })
 }
 
-func (r *PeerReport) current(now time.Duration) bool { return now < r.receivedAt+r.TTL }
+func (r *PeerReport) isCurrent(now time.Duration) bool { return now < r.receivedAt+r.TTL }
 
 func (p *PeerReports) sum(now time.Duration, include func(string, *PeerReport) bool) (map[string]Backlog, int) {
 	sums, entries := make(map[string]Backlog), 0
 	for name, r := range p.reports {
-		if !r.current(now) || !include(name, r) {
+		if !r.isCurrent(now) || !include(name, r) {
 			continue
 		}
 		entries += r.Entries
@@ -160,7 +160,7 @@
 	p.sums, p.reportingEntries = p.sum(now, func(string, *PeerReport) bool { return true })
 	p.sumsValidUntil = now + PeerReportTTL
 	for _, r := range p.reports {
-		if r.current(now) {
+		if r.isCurrent(now) {
 			p.sumsValidUntil = min(p.sumsValidUntil, r.receivedAt+r.TTL)
 		}
 	}
