--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -1,17 +1,16 @@
-// Package admission decides at once whether a request is let in.
+// Package admission decides on arrival whether a request is admitted.
 //
-// It answers the load patterns of saturation (offered work beyond what a fixed
-// fleet can do) and of a few callers that take most of the load. The wait that
-// a request would have is estimated from the prefill and decode tokens that wait
-// and run ahead of it and from the servers' own rates; a request that can't meet
-// its deadline is refused in the same instant, with when to come back.
+// It handles saturation, where more work is offered than a fixed fleet can do, and a few
+// callers that send most of the load. It estimates a request's wait from the prefill and
+// decode tokens that wait and run ahead of it and from the servers' own rates. A request
+// that can't meet its deadline is refused at once, with a Retry-After time.
 //
-// Without it every request waits, all of them are answered too late, and a
-// caller learns after the deadline what was known on arrival. A member is held
-// only to the wait that its own work causes beyond its fair share, so that one
-// member's burst refuses that member's requests and no other's.
+// Without admission every request waits, all are answered too late, and a caller learns
+// after the deadline what was known on arrival. A member is held only to the wait that its
+// own work causes beyond its fair share, so a member's burst causes refusals for that member
+// and for no other.
 //
-// docs/design/admission.md has the ways weighed and the figures.
+// docs/design/admission.md has the alternatives and the measurements.
 package admission
 
 import (
@@ -22,14 +21,14 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// Verdict says whether work is let in.
+// Verdict says whether a request is admitted.
 type Verdict struct {
 	Admit bool
 	// Code is set on a refusal: CodeDeadline, CodeOverloaded or CodeNoServer.
 	Code outcome.Code
-	// RetryAfter is when to come back, set on a refusal.
+	// RetryAfter is set on a refusal: when the caller should retry.
 	RetryAfter time.Duration
-	// Wait is the estimated wait until a server starts on it.
+	// Wait is the estimated time until a server starts on the request.
 	Wait    time.Duration
 	Reason  string
 	Figures []decision.Figure
@@ -37,41 +36,41 @@
 
 // Controller is not safe for concurrent use; the reducer's goroutine owns it.
 type Controller struct {
-	budgets map[string]*budget
-	members *memberUse
+	retryBuckets map[string]*retryBucket
+	usage        *memberUsage
 }
 
-// New gives a controller without history.
+// New returns a controller without history.
 func New() *Controller {
-	return &Controller{budgets: make(map[string]*budget), members: newMemberUse()}
+	return &Controller{retryBuckets: make(map[string]*retryBucket), usage: newMemberUsage()}
 }
 
-// Admit decides on new work. queued is what waits at this entry.
+// Admit decides on a new request. queued sums up what waits at this entry.
 func (c *Controller) Admit(now time.Duration, w *decision.Work, fleet *decision.Fleet, queued *queue.Summary) Verdict {
 	if w.Resumed {
-		return Verdict{Admit: true, Reason: "accepted before"}
+		return Verdict{Admit: true, Reason: "resumed request"}
 	}
-	if b := boundedFor(w, fleet); b.servers > 0 {
-		return b.judge(now, w, fleet.Entries, queued)
+	if throttled := throttledServersFor(w, fleet); throttled.servers > 0 {
+		return throttled.admit(now, w, fleet.Entries, queued)
 	}
-	supply := supplyFor(now, w, fleet)
-	if supply.servers == 0 {
-		return refuse(outcome.CodeNoServer, noServerRetry, "no backend server for it", nil)
+	capacity := capacityFor(now, w, fleet)
+	if capacity.servers == 0 {
+		return refuse(outcome.CodeNoServer, noServerRetryAfter, "no backend server for it", nil)
 	}
-	e := c.estimate(now, w, fleet, &supply, queued)
-	v := judge(now, w, &e)
+	e := c.estimate(now, w, fleet, &capacity, queued)
+	v := checkDeadlines(now, w, &e)
 	if v.Admit {
-		c.members.add(now, w)
+		c.usage.add(now, w)
 	}
 	return v
 }
 
-// noServerRetry is when to come back when there is no server at all: engines
-// restart or change role within about this time.
-const noServerRetry = 5 * time.Second
+// noServerRetryAfter is the Retry-After time when there is no server at all: an engine
+// restarts or changes role within about this time.
+const noServerRetryAfter = 5 * time.Second
 
-// judge holds the estimate against the deadlines.
-func judge(now time.Duration, w *decision.Work, e *estimate) Verdict {
+// checkDeadlines compares the estimate with the request's deadlines.
+func checkDeadlines(now time.Duration, w *decision.Work, e *estimate) Verdict {
 	figures := e.figures()
 	firstSlack := w.FirstTokenBy - now - e.wait - e.prefill
 	finishSlack := w.FinishBy - now - e.wait - e.prefill - e.decode
@@ -80,7 +79,7 @@
 		slack = finishSlack
 	}
 	if slack >= 0 {
-		return Verdict{Admit: true, Wait: e.wait, Reason: "fits its deadline", Figures: figures}
+		return Verdict{Admit: true, Wait: e.wait, Reason: "meets its deadline", Figures: figures}
 	}
 	if e.wait == 0 {
 		v := refuse(outcome.CodeDeadline, retryAfter(w, -slack), "too long for its deadline even without a wait", figures)
@@ -99,23 +98,23 @@
 	return Verdict{Code: code, RetryAfter: after, Reason: reason, Figures: figures}
 }
 
-// Bounds of RetryAfter. Less than a second and refused callers are load of
-// their own; more than a minute and they miss the end of the burst.
+// Bounds of RetryAfter. If it is less than a second, the retries of refused callers are a
+// load of their own; if it is more than a minute, callers stay away after the burst has
+// ended.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
 
-// retryAfter is when the missing time will have been worked off, spread over
-// half as long again by request id: callers that were refused together must not
-// come back together.
+// retryAfter returns the time in which the missing time is worked off, plus up to half of it
+// depending on the request ID: callers that are refused together must not retry together.
 func retryAfter(w *decision.Work, missing time.Duration) time.Duration {
 	base := min(max(missing, minRetryAfter), maxRetryAfter)
-	return base + time.Duration(float64(base)*spread(w.RequestID)/2)
+	return base + time.Duration(float64(base)*spreadFraction(w.RequestID)/2)
 }
 
-// spread gives a number from 0 to 1 that only depends on the id (FNV-1a).
-func spread(id string) float64 {
+// spreadFraction maps an ID to a number from 0 to 1 (FNV-1a).
+func spreadFraction(id string) float64 {
 	hash := uint32(2166136261)
 	for i := range len(id) {
 		hash = (hash ^ uint32(id[i])) * 16777619
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -12,8 +12,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// fleet is size mixed engines whose report is true at time zero.
-func fleet(size int, load engineapi.Load) *decision.Fleet {
+// mixedFleet returns mixed engines whose reports describe time zero.
+func mixedFleet(size int, load engineapi.Load) *decision.Fleet {
 	f := &decision.Fleet{Entries: 1}
 	load.PrefillRate, load.DecodeRate = 5000, 450
 	for i := range size {
@@ -25,7 +25,7 @@
 	return f
 }
 
-func dossier(id, member string, now time.Duration) *decision.Work {
+func bulkWork(id, member string, now time.Duration) *decision.Work {
 	return &decision.Work{
 		RequestID: id, Member: member, Profile: "dossier", ProfileShare: 2,
 		Class: declaration.ClassBulk, Kind: declaration.KindModel, Model: "m",
@@ -34,7 +34,7 @@
 	}
 }
 
-func question(id, member string, now time.Duration) *decision.Work {
+func urgentWork(id, member string, now time.Duration) *decision.Work {
 	return &decision.Work{
 		RequestID: id, Member: member, Profile: "counter", ProfileShare: 3,
 		Class: declaration.ClassUrgent, Kind: declaration.KindModel, Model: "m",
@@ -43,32 +43,32 @@
 	}
 }
 
-// letIn offers n works of a member and pushes those that are let in.
-func letIn(c *Controller, q *queue.Queue, f *decision.Fleet, n int, member string) (int, []Verdict) {
-	in := 0
+// offerBulkWork offers n bulk requests of a member and queues those that are admitted.
+func offerBulkWork(c *Controller, q *queue.Queue, f *decision.Fleet, n int, member string) (int, []Verdict) {
+	admitted := 0
 	var refused []Verdict
 	for i := range n {
-		w := dossier(fmt.Sprint(member, i), member, 0)
+		w := bulkWork(fmt.Sprint(member, i), member, 0)
 		v := c.Admit(0, w, f, q.Summary())
 		if v.Admit {
-			in++
+			admitted++
 			q.Push(*w)
 		} else {
 			refused = append(refused, v)
 		}
 	}
-	return in, refused
+	return admitted, refused
 }
 
-// Dossiers come at many times what the fleet can do. Without the refusal all of
-// them are let in, and their callers learn after five minutes that the summary
-// is late; with it those beyond the deadline hear at once when to come back.
-func TestWhatCannotMeetItsDeadlineIsRefusedAtOnce(t *testing.T) {
-	c, q, f := New(), queue.New(), fleet(9, engineapi.Load{})
-	in, refused := letIn(c, q, f, 1000, "m")
-	// 45,000 tokens/s of prefill do 450 dossiers in five minutes.
-	if in < 200 || in > 450 {
-		t.Fatalf("%d of 1,000 let in", in)
+// Bulk requests arrive at many times the fleet's capacity. If all of them were admitted,
+// callers would learn only after five minutes that their answers are late; those beyond the
+// deadline must be refused at once with spread Retry-After times.
+func TestWorkThatCannotMeetItsDeadlineIsRefusedAtOnce(t *testing.T) {
+	c, q, f := New(), queue.New(), mixedFleet(9, engineapi.Load{})
+	admitted, refused := offerBulkWork(c, q, f, 1000, "m")
+	// 45,000 tokens/s of prefill do 450 bulk requests in five minutes.
+	if admitted < 200 || admitted > 450 {
+		t.Fatalf("%d of 1,000 admitted", admitted)
 	}
 	seen := map[time.Duration]bool{}
 	for _, v := range refused {
@@ -78,38 +78,38 @@
 		seen[v.RetryAfter.Round(100*time.Millisecond)] = true
 	}
 	if len(seen) < 3 {
-		t.Fatalf("all come back together: %v", seen)
+		t.Fatalf("Retry-After times are not spread: %v", seen)
 	}
 }
 
-// One member's burst fills the queue up to the deadline. Another member's first
-// dossier must be let in all the same: fair queueing serves it in its turn.
+// A member's burst fills the queue up to the deadline. Another member's first request must
+// still be admitted, because fair queueing serves it in its turn.
 func TestAMembersBurstRefusesNoOtherMember(t *testing.T) {
-	c, q, f := New(), queue.New(), fleet(9, engineapi.Load{})
-	letIn(c, q, f, 1000, "heavy")
-	if v := c.Admit(0, dossier("light", "light", 0), f, q.Summary()); !v.Admit {
+	c, q, f := New(), queue.New(), mixedFleet(9, engineapi.Load{})
+	offerBulkWork(c, q, f, 1000, "heavy")
+	if v := c.Admit(0, bulkWork("light", "light", 0), f, q.Summary()); !v.Admit {
 		t.Fatalf("refused: %s (%v)", v.Reason, v.Figures)
 	}
-	v := c.Admit(0, dossier("more", "heavy", 0), f, q.Summary())
+	v := c.Admit(0, bulkWork("more", "heavy", 0), f, q.Summary())
 	if v.Admit || v.Code != outcome.CodeOverloaded {
-		t.Fatalf("the heavy member: %+v", v)
+		t.Fatalf("verdict for the heavy member: %+v", v)
 	}
 }
 
-// Bulk work waits for minutes. A clerk's question passes it at the engines and in
-// the queue and must not be refused for it.
-func TestQuestionsAreNotRefusedForBulkThatWaits(t *testing.T) {
+// Bulk requests wait for minutes. Urgent ones go before them at the engines and in the queue
+// and must not be refused because of them.
+func TestUrgentWorkIsNotRefusedForQueuedBulkWork(t *testing.T) {
 	c, q := New(), queue.New()
-	f := fleet(9, engineapi.Load{Running: 20, QueuedPrefillTokens: 20000, RunningDecodeTokens: 10000})
-	letIn(c, q, f, 1000, "m")
-	if v := c.Admit(0, question("q", "m", 0), f, q.Summary()); !v.Admit {
+	f := mixedFleet(9, engineapi.Load{Running: 20, QueuedPrefillTokens: 20000, RunningDecodeTokens: 10000})
+	offerBulkWork(c, q, f, 1000, "m")
+	if v := c.Admit(0, urgentWork("q", "m", 0), f, q.Summary()); !v.Admit {
 		t.Fatalf("refused: %s (%v)", v.Reason, v.Figures)
 	}
 }
 
 func TestPlainServicesDoNotWaitForModels(t *testing.T) {
-	c, q, f := New(), queue.New(), fleet(1, engineapi.Load{QueuedPrefillTokens: 1e9})
-	letIn(c, q, f, 100, "m")
+	c, q, f := New(), queue.New(), mixedFleet(1, engineapi.Load{QueuedPrefillTokens: 1e9})
+	offerBulkWork(c, q, f, 100, "m")
 	f.Servers = append(f.Servers, decision.Server{
 		ID: "plain-0", Kind: declaration.KindPlain, Services: []string{"portal"}, Usable: true, Slots: 8,
 	})
@@ -127,7 +127,7 @@
 }
 
 func TestResumedWorkIsNeverRefused(t *testing.T) {
-	w := dossier("d", "m", 0)
+	w := bulkWork("d", "m", 0)
 	w.Resumed = true
 	if v := New().Admit(time.Hour, w, &decision.Fleet{}, queue.New().Summary()); !v.Admit {
 		t.Fatalf("refused: %s", v.Reason)
@@ -145,7 +145,7 @@
 			}
 		}
 	}
-	if granted < 200 || granted > 200+minRetries {
+	if granted < 200 || granted > 200+initialRetries {
 		t.Fatalf("%d retries for 1,000 served at 0.2", granted)
 	}
 }
@@ -153,11 +153,11 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, engines := range []int{9, 90, 450, 2700} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			c, q, f := New(), queue.New(), fleet(engines, engineapi.Load{Running: 10, KVTokens: 600000})
+			c, q, f := New(), queue.New(), mixedFleet(engines, engineapi.Load{Running: 10, KVTokens: 600000})
 			for i := range 100 {
-				q.Push(*dossier(fmt.Sprint(i), fmt.Sprint("m", i%10), 0))
+				q.Push(*bulkWork(fmt.Sprint(i), fmt.Sprint("m", i%10), 0))
 			}
-			w := question("q", "m1", 0)
+			w := urgentWork("q", "m1", 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				c.Admit(0, w, f, q.Summary())
--- a/internal/decision/admission/estimate.go
+++ b/internal/decision/admission/estimate.go
@@ -8,7 +8,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// estimate is what a request has to expect.
+// estimate is the expected timing of a request.
 type estimate struct {
 	wait      time.Duration // until a server starts on it
 	prefill   time.Duration // its own prefill
@@ -26,25 +26,25 @@
 	}
 }
 
-// tokenTime is one token of a stream on a full engine (internal/enginemodel:
-// 36 ms for 32 streams). On mixed engines prefill slows it down to about twice
-// that; refusing on that would refuse work that mostly is in time.
-const tokenTime = 36 * time.Millisecond
+// fullEngineTokenTime is the time per output token on a full engine (internal/enginemodel:
+// 36 ms with 32 streams). On mixed engines prefill about doubles it; using that would refuse
+// requests that mostly finish in time.
+const fullEngineTokenTime = 36 * time.Millisecond
 
-func (c *Controller) estimate(now time.Duration, w *decision.Work, fleet *decision.Fleet, s *supply, queued *queue.Summary) estimate {
-	share, over := c.members.share(now, w)
+func (c *Controller) estimate(now time.Duration, w *decision.Work, fleet *decision.Fleet, s *serverCapacity, queued *queue.Summary) estimate {
+	share, over := c.usage.share(now, w)
 	e := estimate{share: share, overShare: over}
-	x := query{
-		now: now, work: w, supply: s, queued: queued, share: share,
-		entries: float64(max(1, fleet.Entries)), othersRate: c.members.othersRate(now, w),
+	q := waitQuery{
+		now: now, work: w, capacity: s, queued: queued, share: share,
+		entries: float64(max(1, fleet.Entries)), othersRate: c.usage.othersRate(now, w),
 	}
 	if w.Kind == declaration.KindPlain {
-		e.wait = x.plainWait()
+		e.wait = q.plainWait()
 		return e
 	}
-	e.wait = serverWait(w, s) + x.queueWait()
-	e.prefill = seconds(float64(w.PromptTokens) / max(1, s.bestPrefill))
-	e.decode = time.Duration(w.OutputTokens) * tokenTime
+	e.wait = serverWait(w, s) + q.queueWait()
+	e.prefill = seconds(float64(w.PromptTokens) / max(1, s.maxPrefillRate))
+	e.decode = time.Duration(w.OutputTokens) * fullEngineTokenTime
 	switch {
 	case w.OutputUncertain:
 		e.decode = 0
@@ -54,80 +54,80 @@
 	return e
 }
 
-// query is all that the wait of one work is estimated from.
-type query struct {
-	now     time.Duration
-	work    *decision.Work
-	supply  *supply
-	queued  *queue.Summary
-	entries float64
-	// share is the member's fair part of its profile, othersRate the cost per
-	// second that the other members were let in with lately.
+// waitQuery holds the inputs for the estimated wait of one request.
+type waitQuery struct {
+	now      time.Duration
+	work     *decision.Work
+	capacity *serverCapacity
+	queued   *queue.Summary
+	entries  float64
+	// share is the member's fair share of its profile, othersRate the cost per second of the
+	// other members' recently admitted requests.
 	share, othersRate float64
 }
 
-// plainWait is the wait for a server of a plain service.
+// plainWait estimates the wait for a server of a plain service.
 //
-// It answers the load of a service that has lost most of its servers. Calls leave the queue
-// at the rate at which they were seen to while some always waited; the places that are left
-// and the usual time of a call promise too much where other entries and slow servers take
-// their part. A call that can't be served is refused as it comes and its caller keeps its
-// time to come back: where calls take 60 ms, refused ones were kept for 728 ms of 800, now
-// for 13 ms, and as many are served (virtual time, twice the load that two places can take).
-func (x *query) plainWait() time.Duration {
-	ahead := float64(x.queued.Get(queue.PoolKey(x.work)).Requests)
+// It handles a service that has lost most of its servers. The rate is the one at which calls
+// leave the queue while some always wait; the remaining slots and the average duration of a
+// call promise too much where other entries and slow servers take their part. A call that
+// can't be served is refused on arrival, so that its caller has time left to retry. With
+// calls of 60 ms and twice the load that two slots can take, refused callers lose 13 ms
+// instead of 728 ms of their 800 ms, and as many calls are served.
+func (q *waitQuery) plainWait() time.Duration {
+	ahead := float64(q.queued.Get(queue.PoolKey(q.work)).Requests)
 	if ahead == 0 {
 		return 0
 	}
-	usual := float64(x.supply.slots) / decision.PlainCallTime.Seconds() / x.entries
-	cost, secs := x.queued.PoolThroughput(x.now, x.work)
-	return waitBehind(ahead, cost/decision.PlainCallCost, secs, usual, plainPrior)
+	expectedRate := float64(q.capacity.slots) / decision.PlainCallTime.Seconds() / q.entries
+	cost, secs := q.queued.PoolThroughput(q.now, q.work)
+	return waitBehind(ahead, cost/decision.PlainCallCost, secs, expectedRate, plainPriorSeconds)
 }
 
-// waitBehind is the wait behind so many requests where done of them have left the queue in secs
-// seconds; the usual rate counts as prior seconds of that.
-func waitBehind(ahead, done, secs, usual, prior float64) time.Duration {
-	rate := (done + prior*usual) / (secs + prior)
-	return seconds((ahead + 1) / max(tiny, rate))
+// waitBehind returns the wait behind ahead requests if served requests left the queue in
+// secs seconds. The expected rate weighs as much as priorSeconds seconds of measurement.
+func waitBehind(ahead, served, secs, expectedRate, priorSeconds float64) time.Duration {
+	rate := (served + priorSeconds*expectedRate) / (secs + priorSeconds)
+	return seconds((ahead + 1) / max(epsilon, rate))
 }
 
-// plainPrior is how many seconds of measurement the usual rate of a plain service counts
-// as: ten calls, so that a service that has lost most of its servers shows within a second.
-const plainPrior = 0.2
+// plainPriorSeconds is the weight of the expected rate of a plain service, in seconds of
+// measurement: about ten calls, so that the loss of most servers shows within a second.
+const plainPriorSeconds = 0.2
 
-// load is tokens that wait.
-type load struct{ prefill, decode float64 }
+// tokenLoad is a number of waiting tokens.
+type tokenLoad struct{ prefill, decode float64 }
 
-func (l load) cost() float64 { return l.prefill + decision.OutputTokenCost*l.decode }
+func (l tokenLoad) cost() float64 { return l.prefill + decision.OutputTokenCost*l.decode }
 
-// ownAhead is what of its profile is served before the work: under fair
-// queueing the lesser of all that waits and of its member's own work over the
+// ownAhead returns the part of the request's profile that is served before it. Under fair
+// queueing that is the lesser of all that waits and of its member's own work divided by the
 // member's share.
-func ownAhead(mine, profile queue.Totals, share float64) load {
-	return load{
-		min(float64(mine.PrefillTokens)/share, float64(profile.PrefillTokens)),
-		min(float64(mine.DecodeTokens)/share, float64(profile.DecodeTokens)),
+func ownAhead(member, profile queue.Totals, share float64) tokenLoad {
+	return tokenLoad{
+		min(float64(member.PrefillTokens)/share, float64(profile.PrefillTokens)),
+		min(float64(member.DecodeTokens)/share, float64(profile.DecodeTokens)),
 	}
 }
 
-// others is what of the other profiles is served meanwhile: all of it before
-// bulk work, at worst as much as its own before urgent work.
-func others(w *decision.Work, own load, profile, all queue.Totals) load {
-	rest := load{
+// otherProfilesAhead returns the part of the other profiles that is served meanwhile: all of
+// it before bulk work, at most as much as the request's own profile before other work.
+func otherProfilesAhead(w *decision.Work, own tokenLoad, profile, all queue.Totals) tokenLoad {
+	rest := tokenLoad{
 		float64(all.PrefillTokens - profile.PrefillTokens),
 		float64(all.DecodeTokens - profile.DecodeTokens),
 	}
 	if w.Class == declaration.ClassBulk {
 		return rest
 	}
-	return load{min(rest.prefill, own.prefill), min(rest.decode, own.decode)}
+	return tokenLoad{min(rest.prefill, own.prefill), min(rest.decode, own.decode)}
 }
 
-// serverWait is the wait behind the prefill that servers have already, for urgent
-// work behind that of other urgent work only: engines prefill by priority. A
-// part of the whole backlog in its place refused questions for dossiers that
-// they pass (docs/design/admission.md).
-func serverWait(w *decision.Work, s *supply) time.Duration {
+// serverWait returns the wait behind the prefill that servers already have. Engines prefill
+// by priority, so an urgent request waits only behind other urgent ones; counting a part of
+// the whole backlog would refuse urgent requests because of bulk work that they overtake
+// (docs/design/admission.md).
+func serverWait(w *decision.Work, s *serverCapacity) time.Duration {
 	backlog := s.prefillTokens
 	if w.Class != declaration.ClassBulk {
 		backlog = s.urgentTokens
@@ -135,52 +135,52 @@
 	return seconds(backlog / max(1, s.prefillRate))
 }
 
-// queueWait is the wait in this entry's queue: the member's own work over the part
-// of the profile's rate that is left to it.
+// queueWait estimates the wait in this entry's queue: the member's own work divided by the
+// part of the profile's rate that is left to the member.
 //
-// Under fair queueing others' work that comes later goes before a heavy member's,
-// so what is ahead of it now over the whole rate is too little: it let in 231
-// dossiers of a trace at twice the capacity that were late. Its bare share is too
-// much in a burst, when the others ask for less than theirs. So the others count
-// with what they were let in lately.
-func (x *query) queueWait() time.Duration {
-	key := queue.KeyOf(x.work)
-	mine := x.queued.Get(key)
+// Under fair queueing, later requests of others go before those of a heavy member. Dividing
+// the work that is ahead now by the whole rate is therefore too optimistic: on a trace at
+// twice the capacity it admits 231 bulk requests that are late. The member's bare share is
+// too pessimistic in a burst in which the others ask for less than theirs. So the others
+// count with the rate at which they were recently admitted.
+func (q *waitQuery) queueWait() time.Duration {
+	key := queue.KeyOf(q.work)
+	member := q.queued.Get(key)
 	key.Member = ""
-	profile := x.queued.Get(key)
-	cost, secs := x.queued.Throughput(x.now, key)
+	profile := q.queued.Get(key)
+	cost, secs := q.queued.Throughput(q.now, key)
 	key.Profile = ""
-	all := x.queued.Get(key)
+	all := q.queued.Get(key)
 
-	own := ownAhead(mine, profile, x.share)
-	work := x.supply.workTime(own, others(x.work, own, profile, all), x.entries)
-	if mine.Requests == 0 {
-		return seconds(caution * work)
+	own := ownAhead(member, profile, q.share)
+	work := q.capacity.workTime(own, otherProfilesAhead(q.work, own, profile, all), q.entries)
+	if member.Requests == 0 {
+		return seconds(safetyFactor * work)
 	}
-	rate := own.cost() / max(tiny, work)
-	rate = (cost + priorTime*rate) / (secs + priorTime)
-	left := max(1, x.share*rate, rate-x.othersRate)
-	return seconds(caution * mine.Cost() / left)
+	rate := own.cost() / max(epsilon, work)
+	rate = (cost + throughputPriorSeconds*rate) / (secs + throughputPriorSeconds)
+	left := max(1, q.share*rate, rate-q.othersRate)
+	return seconds(safetyFactor * member.Cost() / left)
 }
 
-// priorTime is how many seconds of measurement the servers' own rates count as in
-// the rate at which the queue is drained. Without them, an entry whose queue has
-// only just begun to wait and has had no turn yet refuses everything.
-const priorTime = 20
+// throughputPriorSeconds is the weight of the servers' own rates in the queue's throughput,
+// in seconds of measurement. Without it, an entry whose queue has only just formed and has
+// not been served yet refuses everything.
+const throughputPriorSeconds = 20
 
-// tiny keeps quotients finite.
-const tiny = 1e-3
+// epsilon avoids division by zero.
+const epsilon = 1e-3
 
-// workTime is the seconds that the servers take for it by their own rates; every
-// entry has its part of them.
-func (s *supply) workTime(own, rest load, entries float64) float64 {
+// workTime returns the seconds that the servers need for the load by their own rates, of
+// which each entry has an equal part.
+func (s *serverCapacity) workTime(own, rest tokenLoad, entries float64) float64 {
 	prefill := (own.prefill + rest.prefill) * entries / max(1, s.prefillRate)
 	decode := (own.decode + rest.decode) * entries / max(1, s.decodeRate)
 	return max(prefill, decode)
 }
 
-// caution lengthens the estimate: dossiers differ by half in size, and one that
-// is let in and then late costs more than one refused at once.
-const caution = 1.35
+// safetyFactor lengthens the estimate: bulk requests differ by half in size, and admitting
+// one that is then late costs more than refusing one at once.
+const safetyFactor = 1.35
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- a/internal/decision/admission/extra.go
+++ b/internal/decision/admission/extra.go
@@ -2,87 +2,86 @@
 
 import "time"
 
-// ResendLimit bounds what a deployment sends beyond the first send of each request.
+// ResendLimit bounds how often a deployment sends requests again after their first send.
 type ResendLimit struct {
-	// Ratio is how many such sends a service may get per request for it.
+	// Ratio is the number of resends that a service may get per request for it.
 	Ratio float64
-	// Constant is how many it may get besides in each window.
+	// Constant is the number of further resends that it may get in each window.
 	Constant int
-	// Window is the sliding span over which both are counted.
+	// Window is the sliding window in which both are counted.
 	Window time.Duration
 }
 
-// ResendLimiter is one entry's part of the limit, per service.
+// ResendLimiter enforces one entry's part of a ResendLimit, per service.
 //
-// It answers the pattern of a fleet that fails or refuses much at once: every
-// request is sent again, the load doubles just when it can't be served, and the
-// fleet never recovers. Each entry takes the ratio of its own requests and an
-// equal part of the constant, so that no entry has to ask another before it sends.
+// It guards against retry storms: when much of a fleet fails or refuses at once, every
+// request is sent again, the load doubles just when it can't be served, and the fleet never
+// recovers. Each entry takes the ratio of its own requests and an equal part of the
+// constant, so entries need not ask each other before they send.
 type ResendLimiter struct {
-	limit    ResendLimit
-	services map[string]*extraUse
+	limit   ResendLimit
+	windows map[string]*resendWindow
 }
 
-// extraUse holds the times of one service's requests and of what was sent beyond
-// their first sends, the oldest first.
-type extraUse struct {
+// serviceUse holds the times of one service's requests and of their resends, oldest first.
+type resendWindow struct {
 	requests []time.Duration
-	extras   []time.Duration
+	resends  []time.Duration
 }
 
-// safeShare is the part of the limit that is used: entries count by their own
-// clocks, and a send counts where it arrives.
-const safeShare = 0.8
+// usableShare is the part of the limit that entries use. Entries count by their own clocks,
+// while the service counts a send when it arrives, so the limit needs a margin.
+const usableShare = 0.8
 
-// NewResendLimiter gives an entry's part of the limit; nil for none.
+// NewResendLimiter returns the limiter of an entry; nil if there is no limit.
 func NewResendLimiter(limit *ResendLimit) *ResendLimiter {
 	if limit == nil || limit.Window <= 0 {
 		return nil
 	}
-	return &ResendLimiter{limit: *limit, services: make(map[string]*extraUse)}
+	return &ResendLimiter{limit: *limit, windows: make(map[string]*resendWindow)}
 }
 
 // RecordArrival counts a request for the service.
-func (x *ResendLimiter) RecordArrival(now time.Duration, service string) {
-	if x == nil {
+func (l *ResendLimiter) RecordArrival(now time.Duration, service string) {
+	if l == nil {
 		return
 	}
-	u := x.use(now, service)
-	u.requests = append(u.requests, now)
+	w := l.prunedWindow(now, service)
+	w.requests = append(w.requests, now)
 }
 
-// AllowResend asks for one more send of a request to the service; entries is how many
-// entries share the limit.
-func (x *ResendLimiter) AllowResend(now time.Duration, service string, entries int) bool {
-	if x == nil {
+// AllowResend asks to send one more request to the service again and counts it if allowed;
+// entries is the number of entries that share the limit.
+func (l *ResendLimiter) AllowResend(now time.Duration, service string, entries int) bool {
+	if l == nil {
 		return true
 	}
-	u := x.use(now, service)
-	constant := float64(x.limit.Constant) / float64(max(1, entries))
-	allowed := safeShare * (x.limit.Ratio*float64(len(u.requests)) + constant)
-	if float64(len(u.extras)+1) > allowed {
+	w := l.prunedWindow(now, service)
+	constant := float64(l.limit.Constant) / float64(max(1, entries))
+	allowed := usableShare * (l.limit.Ratio*float64(len(w.requests)) + constant)
+	if float64(len(w.resends)+1) > allowed {
 		return false
 	}
-	u.extras = append(u.extras, now)
+	w.resends = append(w.resends, now)
 	return true
 }
 
-func (x *ResendLimiter) use(now time.Duration, service string) *extraUse {
-	u := x.services[service]
-	if u == nil {
-		u = &extraUse{}
-		x.services[service] = u
+func (l *ResendLimiter) prunedWindow(now time.Duration, service string) *resendWindow {
+	w := l.windows[service]
+	if w == nil {
+		w = &resendWindow{}
+		l.windows[service] = w
 	}
-	u.requests = since(u.requests, now-x.limit.Window)
-	u.extras = since(u.extras, now-x.limit.Window)
-	return u
+	w.requests = dropBefore(w.requests, now-l.limit.Window)
+	w.resends = dropBefore(w.resends, now-l.limit.Window)
+	return w
 }
 
-// since drops what lies before the time.
-func since(times []time.Duration, from time.Duration) []time.Duration {
-	old := 0
-	for old < len(times) && times[old] < from {
-		old++
+// dropBefore drops the times before from.
+func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
+	expired := 0
+	for expired < len(times) && times[expired] < from {
+		expired++
 	}
-	return times[old:]
+	return times[expired:]
 }
--- a/internal/decision/admission/extra_test.go
+++ b/internal/decision/admission/extra_test.go
@@ -7,17 +7,17 @@
 
 var testLimit = &ResendLimit{Ratio: 0.2, Constant: 90, Window: 10 * time.Second}
 
-// A service fails everything for a while at the usual load of 20 requests/s. Without
-// a bound each request goes out again and again and the load doubles; with it the
-// sends beyond the first stay within the deployment's limit in every window.
+// A service fails every request for a while at its normal load of 20 requests/s. Without a
+// bound, requests are sent again and again and the load doubles. The resends must stay
+// within the deployment's limit in every window.
 func TestFailingServiceGetsNoMoreThanTheLimit(t *testing.T) {
 	const entries, rate, seconds = 9, 20, 60
-	x := NewResendLimiter(testLimit)
+	limiter := NewResendLimiter(testLimit)
 	var sends []time.Duration
 	for i := range rate * seconds {
 		now := time.Duration(i) * time.Second / rate
-		x.RecordArrival(now, "lm")
-		for x.AllowResend(now, "lm", entries) {
+		limiter.RecordArrival(now, "lm")
+		for limiter.AllowResend(now, "lm", entries) {
 			sends = append(sends, now)
 		}
 	}
@@ -30,34 +30,34 @@
 			}
 		}
 		if n > allowed {
-			t.Fatalf("%d sends in the window from %v, at most %d", n, sends[i], allowed)
+			t.Fatalf("%d resends in the window from %v, want %d at most", n, sends[i], allowed)
 		}
 	}
 	if len(sends) < 100 {
-		t.Fatalf("only %d sends: the limit is not used", len(sends))
+		t.Fatalf("only %d resends: the limit is not used", len(sends))
 	}
 }
 
-// One service fails; another one's requests may still be sent again.
+// When one service fails, requests for another service may still be sent again.
 func TestServicesHaveLimitsOfTheirOwn(t *testing.T) {
-	x := NewResendLimiter(testLimit)
-	for x.AllowResend(0, "lm", 1) {
+	limiter := NewResendLimiter(testLimit)
+	for limiter.AllowResend(0, "lm", 1) {
 	}
-	if !x.AllowResend(0, "portal", 1) {
-		t.Fatal("the other service has none left")
+	if !limiter.AllowResend(0, "portal", 1) {
+		t.Fatal("resend refused for the other service")
 	}
 }
 
-// Without a limit nothing is held back.
-func TestNoLimitHoldsNothingBack(t *testing.T) {
-	var x *ResendLimiter
-	x.RecordArrival(0, "lm")
+// Without a limit every resend is allowed.
+func TestNoLimitAllowsEverything(t *testing.T) {
+	var limiter *ResendLimiter
+	limiter.RecordArrival(0, "lm")
 	for range 1000 {
-		if !x.AllowResend(0, "lm", 9) {
-			t.Fatal("held back")
+		if !limiter.AllowResend(0, "lm", 9) {
+			t.Fatal("resend refused without a limit")
 		}
 	}
 	if NewResendLimiter(&ResendLimit{}) != nil {
-		t.Fatal("a limit without a window counts")
+		t.Fatal("a limit without a window gives a limiter")
 	}
 }
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -9,106 +9,107 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// reader is one engine that reads prompts one after the other, in virtual time.
-type reader struct {
-	rate float64 // tokens a second
-	busy time.Duration
+// simulatedEngine prefills prompts one after the other, in virtual time.
+type simulatedEngine struct {
+	rate      float64 // tokens per second
+	busyUntil time.Duration
 }
 
-// served counts by size of the prompt.
-type served struct{ asked, served, onTime int }
+// tally counts the prompts of one size class.
+type tally struct{ arrived, served, onTime int }
 
-func (s served) share() float64 { return float64(s.served) / float64(max(1, s.asked)) }
+func (t tally) servedShare() float64 { return float64(t.served) / float64(max(1, t.arrived)) }
 
-// burst plays prompts of 500 to 60,000 tokens that come at that part of what the engine
-// reads, for two minutes. Those turned away come back once, as callers do.
-func burst(rate, load float64) (small, large served) {
+// simulateBurst offers prompts of 500 to 60,000 tokens for two minutes; load is the offered
+// rate as a fraction of the engine's. Refused prompts are retried once.
+func simulateBurst(rate, load float64) (small, large tally) {
 	const mean = 9000.0
-	e := &reader{rate: rate}
-	draw := rand.New(rand.NewPCG(1, 2))
-	// The target fits the engine: its mean prompt takes a quarter of it.
+	e := &simulatedEngine{rate: rate}
+	rng := rand.New(rand.NewPCG(1, 2))
+	// The target suits the engine: its mean prompt takes a quarter of it.
 	target := time.Duration(4 * mean / rate * float64(time.Second))
-	type comer struct {
-		at, first time.Duration
-		tokens    float64
-		again     bool
+	type prompt struct {
+		arrival, firstArrival time.Duration
+		tokens                float64
+		retried               bool
 	}
-	var waiting []comer
-	every := time.Duration(mean / rate / load * float64(time.Second))
-	for now := time.Duration(0); now < 2*time.Minute; now += every {
-		waiting = append(waiting, comer{at: now, first: now, tokens: min(60000, 500+(mean-500)*draw.ExpFloat64())})
+	var waiting []prompt
+	interval := time.Duration(mean / rate / load * float64(time.Second))
+	for now := time.Duration(0); now < 2*time.Minute; now += interval {
+		waiting = append(waiting, prompt{arrival: now, firstArrival: now, tokens: min(60000, 500+(mean-500)*rng.ExpFloat64())})
 	}
 	for len(waiting) > 0 {
 		next := 0
 		for i := range waiting {
-			if waiting[i].at < waiting[next].at {
+			if waiting[i].arrival < waiting[next].arrival {
 				next = i
 			}
 		}
-		c := waiting[next]
+		p := waiting[next]
 		waiting = append(waiting[:next], waiting[next+1:]...)
-		w := &decision.Work{Arrived: c.at, FirstTokenBy: c.at + target}
-		own := time.Duration(c.tokens / e.rate * float64(time.Second))
-		count := &small
-		if c.tokens > 2*mean {
-			count = &large
+		w := &decision.Work{Arrived: p.arrival, FirstTokenBy: p.arrival + target}
+		ownPrefill := time.Duration(p.tokens / e.rate * float64(time.Second))
+		class := &small
+		if p.tokens > 2*mean {
+			class = &large
 		}
-		if !c.again {
-			count.asked++
+		if !p.retried {
+			class.arrived++
 		}
-		wait := max(0, e.busy-c.at)
-		after, late := LateFromBacklog(w, wait, own)
+		wait := max(0, e.busyUntil-p.arrival)
+		retryAfter, late := LateFromBacklog(w, wait, ownPrefill)
 		switch {
-		case late && !c.again:
-			c.at, c.again = c.at+after, true
-			waiting = append(waiting, c)
+		case late && !p.retried:
+			p.arrival, p.retried = p.arrival+retryAfter, true
+			waiting = append(waiting, p)
 		case !late:
-			e.busy = c.at + wait + own
-			count.served++
-			if e.busy-c.first <= target {
-				count.onTime++
+			e.busyUntil = p.arrival + wait + ownPrefill
+			class.served++
+			if e.busyUntil-p.firstArrival <= target {
+				class.onTime++
 			}
 		}
 	}
 	return small, large
 }
 
-// Prompts of very unequal length are asked for at the engines' limit and beyond. Held
-// against the target as a whole, the longest tenth was turned away by idle engines and
-// never served, at any load. Long ones must be served about as often as short ones, and
-// in a burst most of what is served must be on time.
+// Prompts of very unequal length are offered at and beyond the engines' limit. If a prompt's
+// whole prefill counted against the target, idle engines would refuse the longest tenth at
+// any load. Long prompts must be served about as often as short ones, and in a burst most of
+// the prompts that are served must be in time.
 func TestLongPromptsAreServedAsOftenAsShortOnes(t *testing.T) {
 	for _, rate := range []float64{12000, 40000, 110000} {
 		for _, load := range []float64{0.5, 0.9, 1.3} {
 			t.Run(fmt.Sprint(rate, "/", load), func(t *testing.T) {
-				small, large := burst(rate, load)
-				t.Logf("short ones: %+v, long ones: %+v", small, large)
-				least := 0.9
+				small, large := simulateBurst(rate, load)
+				t.Logf("short prompts: %+v, long prompts: %+v", small, large)
+				minRatio := 0.9
 				if load > 1 {
-					least = 0.65 // most is turned away then, and callers come back once only
+					minRatio = 0.65 // most are refused then, and callers retry only once
 				}
-				if large.share() < least*small.share() {
-					t.Errorf("of the long ones %.2f are served, of the others %.2f", large.share(), small.share())
+				if large.servedShare() < minRatio*small.servedShare() {
+					t.Errorf("%.2f of the long prompts are served, %.2f of the short ones", large.servedShare(), small.servedShare())
 				}
 				if small.onTime < small.served/2 {
-					t.Errorf("of %d short ones that were served, %d are on time", small.served, small.onTime)
+					t.Errorf("of %d short prompts that were served, %d are in time", small.served, small.onTime)
 				}
 			})
 		}
 	}
 }
 
-// An idle engine takes any prompt, and a queue turns away what it alone makes late.
-func TestLateCountsWhatOthersCause(t *testing.T) {
+// An idle engine accepts any prompt, and a backlog refuses only the prompts that it makes
+// late.
+func TestLateCountsOnlyTimeBehindOthers(t *testing.T) {
 	w := &decision.Work{FirstTokenBy: 500 * time.Millisecond}
 	if _, late := LateFromBacklog(w, 0, 2*time.Second); late {
-		t.Error("an idle engine turns a long prompt away")
+		t.Error("an idle engine refuses a long prompt")
 	}
 	if _, late := LateFromBacklog(w, 400*time.Millisecond, 50*time.Millisecond); !late {
-		t.Error("a queue of 0.4 s lets in what has 0.5 s")
+		t.Error("a request with 0.5 s left is admitted behind 0.4 s of prefill")
 	}
-	after, late := LateFromBacklog(w, 5*time.Second, 50*time.Millisecond)
-	if !late || after != maxLateRetry {
-		t.Errorf("behind 5 s of reading: late %v, come back after %v", late, after)
+	retryAfter, late := LateFromBacklog(w, 5*time.Second, 50*time.Millisecond)
+	if !late || retryAfter != maxLateRetryAfter {
+		t.Errorf("behind 5 s of prefill: late %v, retry after %v", late, retryAfter)
 	}
 }
--- a/internal/decision/admission/retry.go
+++ b/internal/decision/admission/retry.go
@@ -1,38 +1,39 @@
 package admission
 
-// minRetries is the retries that are let through before anything was served, so
+// initialRetries is the number of retries that are allowed before any request was served, so
 // that the first server that crashes does not lose its requests.
-const minRetries = 10
+const initialRetries = 10
 
-// maxRetries bounds what a long quiet time saves up: a server that dies has at
+// maxSavedRetries bounds the retries saved up in a quiet time: a server that dies has at
 // most its slots' worth of requests to retry.
-const maxRetries = 100
+const maxSavedRetries = 100
 
-// budget is a token bucket filled by served requests.
-type budget struct{ left float64 }
+// retryBucket is a token bucket filled by served requests.
+type retryBucket struct{ tokens float64 }
 
-// RecordServed notes that a request was answered whole: it earns part of a retry.
+// RecordServed records that a request was answered completely; it adds retryBudget, a
+// fraction of a retry, to the profile's bucket.
 func (c *Controller) RecordServed(profile string, retryBudget float64) {
-	b := c.budget(profile)
-	b.left = min(b.left+retryBudget, maxRetries)
+	b := c.bucketFor(profile)
+	b.tokens = min(b.tokens+retryBudget, maxSavedRetries)
 }
 
-// AllowRetry asks for one retry within the profile's budget. Without the bound a
-// slow fleet gets every request two or three times and never recovers.
+// AllowRetry takes one retry from the profile's bucket and reports whether there was one.
+// Without this bound a slow fleet gets every request two or three times and never recovers.
 func (c *Controller) AllowRetry(profile string) bool {
-	b := c.budget(profile)
-	if b.left < 1 {
+	b := c.bucketFor(profile)
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-func (c *Controller) budget(profile string) *budget {
-	b := c.budgets[profile]
+func (c *Controller) bucketFor(profile string) *retryBucket {
+	b := c.retryBuckets[profile]
 	if b == nil {
-		b = &budget{left: minRetries}
-		c.budgets[profile] = b
+		b = &retryBucket{tokens: initialRetries}
+		c.retryBuckets[profile] = b
 	}
 	return b
 }
--- a/internal/decision/admission/startup.go
+++ b/internal/decision/admission/startup.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// startupShare is the part of a caller's time that it may wait for the entry's first
-	// configuration: as much of it as callers honour in a Retry-After.
+	// startupShare is the fraction of a caller's timeout that it may wait for the entry's
+	// first configuration: as much as callers accept in a Retry-After header.
 	startupShare = 1.0 / 3
-	// maxStartupWait is longer than control takes to lead again after a restart of all
-	// its replicas, 0.6 to 1.1 s by their logs, and an entry to hear of it.
+	// maxStartupWait is longer than control takes to elect a leader after a restart of all its
+	// replicas, 0.6 to 1.1 s, and an entry to get the configuration from it.
 	maxStartupWait = 1500 * time.Millisecond
 )
 
-// StartupWait is how long a request may wait at an entry that has no configuration yet
-// before it is refused; patience is how long its caller waits, 0: not told.
+// StartupWait returns how long a request may wait at an entry that has no configuration yet
+// before it is refused. callerTimeout is how long the caller waits; 0 if unknown.
 //
-// It answers the restart of a whole deployment: for a second all callers reach entries
-// that know no route. Refused, each of them uses up a retry, stays away for its
-// Retry-After and comes back late and all at once; here it goes on in the moment in which
-// the configuration comes. The wait is bounded, so that a
-// caller of an entry that control can't reach is told while it can still ask another.
-func StartupWait(patience time.Duration) time.Duration {
-	if patience <= 0 {
+// It handles the restart of a whole deployment, after which all entries are without routes
+// for about a second. A refused caller uses up a retry, waits for its Retry-After time and
+// returns late, at the same time as all others; a held request goes on as soon as the
+// configuration arrives. The wait is bounded so that the caller of an entry that control
+// can't reach still has time to try another entry.
+func StartupWait(callerTimeout time.Duration) time.Duration {
+	if callerTimeout <= 0 {
 		return maxStartupWait
 	}
-	return min(maxStartupWait, time.Duration(startupShare*float64(patience)))
+	return min(maxStartupWait, time.Duration(startupShare*float64(callerTimeout)))
 }
--- a/internal/decision/admission/supply.go
+++ b/internal/decision/admission/supply.go
@@ -8,28 +8,28 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// supply sums up the servers that can run a work and what they have to do.
-type supply struct {
+// serverCapacity sums up the servers that can run a request and their backlog.
+type serverCapacity struct {
 	servers       int
 	slots         int
 	running       float64
-	prefillRate   float64 // tokens/s of all
-	decodeRate    float64 // tokens/s of all
-	prefillTokens float64 // that wait at servers
-	urgentTokens  float64 // those of them that urgent work waits for
-	decodeTokens  float64 // that run or wait at servers
-	// bestPrefill and bestToken are what one request gets at best: tokens/s
-	// and time per token.
-	bestPrefill float64
+	prefillRate   float64 // tokens/s of all servers
+	decodeRate    float64 // tokens/s of all servers
+	prefillTokens float64 // waiting at servers
+	urgentTokens  float64 // the part that an urgent request waits for
+	decodeTokens  float64 // running or waiting at servers
+	// maxPrefillRate is the rate, in tokens/s, of the server that prefills fastest.
+	maxPrefillRate float64
 }
 
-// supplyFor adds the servers up. A server's report is as old as its lag; what
-// was sent since, by this entry and presumably by each of the others, is added.
-func supplyFor(now time.Duration, w *decision.Work, fleet *decision.Fleet) supply {
-	var s supply
+// capacityFor adds up the servers. A server's report is as old as its lag, so the requests
+// sent since are added: this entry's, multiplied by the number of entries in the assumption
+// that the others have sent as much.
+func capacityFor(now time.Duration, w *decision.Work, fleet *decision.Fleet) serverCapacity {
+	var s serverCapacity
 	for i := range fleet.Servers {
 		server := &fleet.Servers[i]
-		// What a server that names a limit takes has nothing to do with its places.
+		// The slots of a server with a rate limit say nothing about how much it accepts.
 		if server.Serves(w) && server.RateLimit == 0 {
 			s.add(now, w, server, float64(max(1, fleet.Entries)))
 		}
@@ -37,7 +37,7 @@
 	return s
 }
 
-func (s *supply) add(now time.Duration, w *decision.Work, server *decision.Server, entries float64) {
+func (s *serverCapacity) add(now time.Duration, w *decision.Work, server *decision.Server, entries float64) {
 	load := &server.Load
 	s.servers++
 	s.slots += max(1, server.Slots)
@@ -46,31 +46,31 @@
 		return
 	}
 	if server.ReportsCountsOnly {
-		s.addCounted(w, server)
+		s.addCountsOnly(w, server)
 		return
 	}
 	age := max(0, (now - server.ReportedAt).Seconds())
 	prefillRate, decodeRate := server.PrefillRate(), server.DecodeRate()
 	if server.Role != engineapi.RoleDecode {
 		s.prefillRate += prefillRate
-		s.bestPrefill = max(s.bestPrefill, prefillRate)
-		s.prefillTokens += left(float64(load.QueuedPrefillTokens), prefillRate, age) +
+		s.maxPrefillRate = max(s.maxPrefillRate, prefillRate)
+		s.prefillTokens += remaining(float64(load.QueuedPrefillTokens), prefillRate, age) +
 			float64(server.InFlight.PrefillTokensSinceReport)*entries
 	}
 	s.urgentTokens += float64(server.InFlight.UrgentPrefillTokens) * entries
 	if server.Role != engineapi.RolePrefill {
 		s.decodeRate += decodeRate
-		s.decodeTokens += left(float64(load.RunningDecodeTokens), decodeRate, age) +
+		s.decodeTokens += remaining(float64(load.RunningDecodeTokens), decodeRate, age) +
 			float64(server.InFlight.DecodeTokensSinceReport)*entries
 	}
 }
 
-// addCounted adds a server that reports counts only. Its estimate is of all
-// entries' requests, so that nothing is multiplied by them.
-func (s *supply) addCounted(w *decision.Work, server *decision.Server) {
+// addCountsOnly adds a server that reports only counts. Its estimate covers the requests of
+// all entries, so nothing is multiplied by their number.
+func (s *serverCapacity) addCountsOnly(w *decision.Work, server *decision.Server) {
 	if server.Role != engineapi.RoleDecode {
 		s.prefillRate += server.PrefillRate()
-		s.bestPrefill = max(s.bestPrefill, server.PrefillRate())
+		s.maxPrefillRate = max(s.maxPrefillRate, server.PrefillRate())
 		backlog := server.PrefillTokensAhead(w)
 		s.prefillTokens += backlog
 		s.urgentTokens += backlog
@@ -81,5 +81,5 @@
 	}
 }
 
-// left is what remains of reported tokens after age seconds of work at rate.
-func left(tokens, rate, age float64) float64 { return max(0, tokens-rate*age) }
+// remaining returns what is left of the reported tokens after age seconds of work at rate.
+func remaining(tokens, rate, age float64) float64 { return max(0, tokens-rate*age) }
--- a/internal/decision/admission/throttled.go
+++ b/internal/decision/admission/throttled.go
@@ -11,113 +11,116 @@
 )
 
 const (
-	// closedSpread is the part of the time until they may come back by which callers that were
-	// refused together are spread.
-	closedSpread = 0.25
-	// boundedPrior is how many seconds of measurement an entry's equal part of what servers
-	// take counts as: demand is uneven, and the part that it gets shows soon.
-	boundedPrior = 0.5
-	// maxPlace bounds the time of one place in what callers are told.
-	maxPlace = 2 * time.Second
+	// throttledRetrySpread spreads the retries of callers that are refused together, as a
+	// fraction of their Retry-After time.
+	throttledRetrySpread = 0.25
+	// throttledPriorSeconds is the weight, in seconds of measurement, of the assumption that
+	// every entry gets an equal part of the servers' rate limits. Demand is uneven, and the
+	// part that an entry really gets shows soon.
+	throttledPriorSeconds = 0.5
+	// maxRequestInterval bounds what the interval between requests adds to a Retry-After time.
+	maxRequestInterval = 2 * time.Second
 )
 
-// bounded sums up the servers that can run a work where all of them take less than they have
-// places for.
-type bounded struct {
+// throttledServers sums up the servers that can run a request if each of them has a rate
+// limit or has asked for back-off.
+type throttledServers struct {
 	servers int
-	// rate is how many requests a second they take from all entries.
+	// rate is the number of requests per second that they accept from all entries together.
 	rate float64
-	// opensIn is how long the first of them takes nothing.
-	opensIn time.Duration
+	// availableIn is the time until the first of them accepts a request.
+	availableIn time.Duration
 }
 
-// boundedFor adds them up; none where a server takes any work. Engines that only read prompts
-// run none by themselves: work waits for those that decode.
-func boundedFor(w *decision.Work, fleet *decision.Fleet) bounded {
-	var b bounded
+// throttledServersFor adds them up. The result is empty if some server accepts any work.
+// Engines in the prefill role are left out: a request also needs one that decodes.
+func throttledServersFor(w *decision.Work, fleet *decision.Fleet) throttledServers {
+	var sum throttledServers
 	for i := range fleet.Servers {
 		s := &fleet.Servers[i]
 		switch {
 		case !s.ServesNowOrLater(w), s.Role == engineapi.RolePrefill:
 		case s.RateLimit == 0 && s.Usable:
-			return bounded{}
+			return throttledServers{}
 		default:
-			if b.servers == 0 || s.AvailableIn < b.opensIn {
-				b.opensIn = s.AvailableIn
+			if sum.servers == 0 || s.AvailableIn < sum.availableIn {
+				sum.availableIn = s.AvailableIn
 			}
-			b.servers++
-			b.rate += s.RateLimit
+			sum.servers++
+			sum.rate += s.RateLimit
 		}
 	}
-	return b
+	return sum
 }
 
-// startBy is until when work that finds its servers closed may wait to be sent: long work
-// until it can't be finished, other work while it can be on time. More that waits on would be
-// late, and make what comes next late.
-func startBy(w *decision.Work) time.Duration {
-	by := w.FinishBy
+// latestStart returns until when a request whose servers are throttled may wait to be sent:
+// a bulk request until it can't finish in time, any other while its first token can still be
+// in time. If more requests waited on, they would be late and would delay the ones behind
+// them.
+func latestStart(w *decision.Work) time.Duration {
+	latest := w.FinishBy
 	if w.Class != declaration.ClassBulk {
-		by = min(by, w.FirstTokenBy)
+		latest = min(latest, w.FirstTokenBy)
 	}
 	if rate := w.EngineSpeed.PrefillRate; rate > 0 {
-		by -= seconds(float64(w.PromptTokens) / rate)
+		latest -= seconds(float64(w.PromptTokens) / rate)
 	}
-	return by
+	return latest
 }
 
-// ThrottledPastDeadline tells whether all servers of work that waits are closed until it is too late,
-// and when it may come back.
-func ThrottledPastDeadline(now time.Duration, w *decision.Work, fleet *decision.Fleet) (retryAfter time.Duration, closed bool) {
-	b := boundedFor(w, fleet)
-	if b.servers == 0 || now+b.opensIn <= startBy(w) {
+// ThrottledPastDeadline reports whether all servers of a waiting request are throttled for
+// longer than the request can wait, and when its caller should retry.
+func ThrottledPastDeadline(now time.Duration, w *decision.Work, fleet *decision.Fleet) (retryAfter time.Duration, throttled bool) {
+	servers := throttledServersFor(w, fleet)
+	if servers.servers == 0 || now+servers.availableIn <= latestStart(w) {
 		return 0, false
 	}
-	return comeBack(w, b.opensIn+b.place()), true
+	return throttledRetryAfter(w, servers.availableIn+servers.requestInterval()), true
 }
 
-// judge decides on work whose servers all take less than they have places for.
+// admit decides on a request whose servers are all throttled.
 //
-// It answers a service in need. What its servers take goes to the work that comes first by
-// rank and can be on time; all else is refused as it comes, with when the next place is to be
-// had.
-func (b *bounded) judge(now time.Duration, w *decision.Work, entries int, queued *queue.Summary) Verdict {
-	wait := b.wait(now, w, float64(max(1, entries)), queued)
+// It protects overloaded servers. What they accept goes to the requests that come first by
+// rank and can be in time; every other request is refused on arrival, with the time at which
+// the servers accept the next one.
+func (t *throttledServers) admit(now time.Duration, w *decision.Work, entries int, queued *queue.Summary) Verdict {
+	wait := t.wait(now, w, float64(max(1, entries)), queued)
 	figures := []decision.Figure{
-		{Name: "wait_seconds", Value: wait.Seconds()}, {Name: "opens_in_seconds", Value: b.opensIn.Seconds()},
-		{Name: "servers_rate", Value: b.rate},
+		{Name: "wait_seconds", Value: wait.Seconds()}, {Name: "opens_in_seconds", Value: t.availableIn.Seconds()},
+		{Name: "servers_rate", Value: t.rate},
 	}
-	if now+wait <= startBy(w) {
-		return Verdict{Admit: true, Wait: wait, Reason: "its servers take it in time", Figures: figures}
+	if now+wait <= latestStart(w) {
+		return Verdict{Admit: true, Wait: wait, Reason: "its servers accept it in time", Figures: figures}
 	}
-	v := refuse(outcome.CodeDeadline, comeBack(w, max(wait, b.place())), "its servers take no more work until it is too late", figures)
+	v := refuse(outcome.CodeDeadline, throttledRetryAfter(w, max(wait, t.requestInterval())), "its servers take no more work until it is too late", figures)
 	v.Wait = wait
 	return v
 }
 
-// wait is how long the work waits behind what waits already.
-func (b *bounded) wait(now time.Duration, w *decision.Work, entries float64, queued *queue.Summary) time.Duration {
+// wait estimates how long the request waits behind those in the queue.
+func (t *throttledServers) wait(now time.Duration, w *decision.Work, entries float64, queued *queue.Summary) time.Duration {
 	ahead := queued.Get(queue.PoolKey(w))
-	if ahead.Requests == 0 || b.rate == 0 {
-		return b.opensIn
+	if ahead.Requests == 0 || t.rate == 0 {
+		return t.availableIn
 	}
 	cost, secs := queued.PoolThroughput(now, w)
-	each := ahead.Cost() / float64(ahead.Requests)
+	meanCost := ahead.Cost() / float64(ahead.Requests)
 	if w.Kind == declaration.KindPlain {
-		each = decision.PlainCallCost
+		meanCost = decision.PlainCallCost
 	}
-	return max(b.opensIn, waitBehind(float64(ahead.Requests), cost/max(1, each), secs, b.rate/entries, boundedPrior))
+	return max(t.availableIn, waitBehind(float64(ahead.Requests), cost/max(1, meanCost), secs, t.rate/entries, throttledPriorSeconds))
 }
 
-// place is how long the next place takes once the servers are open.
-func (b *bounded) place() time.Duration {
-	if b.rate == 0 {
+// requestInterval is the time between two requests that the servers accept, at most
+// maxRequestInterval.
+func (t *throttledServers) requestInterval() time.Duration {
+	if t.rate == 0 {
 		return 0
 	}
-	return min(seconds(1/b.rate), maxPlace)
+	return min(seconds(1/t.rate), maxRequestInterval)
 }
 
-// comeBack is when work may come back that is refused for so long a wait.
-func comeBack(w *decision.Work, wait time.Duration) time.Duration {
-	return wait + time.Duration(closedSpread*spread(w.RequestID)*float64(wait))
+// throttledRetryAfter returns the Retry-After time of a request that would wait that long.
+func throttledRetryAfter(w *decision.Work, wait time.Duration) time.Duration {
+	return wait + time.Duration(throttledRetrySpread*spreadFraction(w.RequestID)*float64(wait))
 }
