--- a/internal/decision/backpressure/limit.go
+++ b/internal/decision/backpressure/limit.go
@@ -3,58 +3,60 @@
 import "time"
 
 const (
-	// permitFor is how long a permit may be used from its time on. Permits that are held back
-	// and used together add to what the server gets in a short time.
-	permitFor = time.Second
-	// firstUnused is how long nothing is asked after a permit that ran out unused; it doubles
-	// with each further one up to maxUnused. Without it entries that do not need the server
-	// take the permits of those that do.
-	firstUnused = 500 * time.Millisecond
-	maxUnused   = 8 * time.Second
-	maxDoubled  = 4
+	// permitTTL is how long a permit may be used once it is valid. Permits that are saved and
+	// used together add to what the server gets in a short time.
+	permitTTL = time.Second
+	// minUnusedBackoff is how long an entry requests no permit after one has expired unused.
+	// It doubles with each further one, up to maxUnusedBackoff. Without it, entries that do
+	// not need the server take the permits of those that do.
+	minUnusedBackoff    = 500 * time.Millisecond
+	maxUnusedBackoff    = 8 * time.Second
+	maxBackoffDoublings = 4
 )
 
-// RateLimit is what one entry knows of the limit of one life of a server, and its permits.
+// RateLimit is what one entry knows of the rate limit of one server incarnation, with the
+// permits that it holds.
 //
-// Invariant: while a limit is known, nothing is sent without a permit, and each permit counts
-// once. A limit ends by an answer to a request that was sent after the limit was heard:
-// an answer that was on its way longer says nothing newer, and silence says nothing at all.
+// Invariant: while there is a limit, nothing is sent without a permit, and each permit is
+// used once. A limit is raised or removed only by the answer to a request that was sent
+// after the limit was received. The answer to an earlier request may be older than the
+// limit, and silence says nothing.
 type RateLimit struct {
 	rate       float64
 	receivedAt time.Duration
-	// permits are from when each may be used, the earliest first.
-	permits []time.Duration
-	asking  bool
-	askFrom time.Duration
-	// unused counts the permits in a row that ran out.
-	unused int
+	// permits holds the time from which each permit may be used, the earliest first.
+	permits        []time.Duration
+	requestPending bool
+	nextRequestAt  time.Duration
+	// unusedInRow counts the permits that expired unused since the last one was used.
+	unusedInRow int
 }
 
-// Rate is the limit in requests a second; 0 for none.
+// Rate returns the limit in requests per second; 0 if there is none.
 func (l *RateLimit) Rate() float64 { return l.rate }
 
-// ReceivedAt is when the word came that the limit is by.
+// ReceivedAt returns when the signal came that the current state is based on.
 func (l *RateLimit) ReceivedAt() time.Duration { return l.receivedAt }
 
-// Update takes the rate of an answer that came at that time to a request sent at sent, 0 where
-// it names none. It tells whether the limit is another one now.
-func (l *RateLimit) Update(at, sent time.Duration, rate float64) bool {
-	later := sent >= l.receivedAt
+// Update takes the rate in an answer that came at answeredAt to a request sent at sentAt; 0
+// if the answer sets no limit. It reports whether the limit changes.
+func (l *RateLimit) Update(answeredAt, sentAt time.Duration, rate float64) bool {
+	afterLimit := sentAt >= l.receivedAt
 	switch {
-	case rate == 0 && (l.rate == 0 || !later):
+	case rate == 0 && (l.rate == 0 || !afterLimit):
 		return false
 	case rate == 0:
-		*l = RateLimit{receivedAt: at}
+		*l = RateLimit{receivedAt: answeredAt}
 		return true
-	case l.rate > 0 && rate > l.rate && !later:
+	case l.rate > 0 && rate > l.rate && !afterLimit:
 		return false
 	}
 	changed := rate != l.rate
-	l.rate, l.receivedAt = rate, max(l.receivedAt, at)
+	l.rate, l.receivedAt = rate, max(l.receivedAt, answeredAt)
 	return changed
 }
 
-// CanSend tells whether a request may be sent now.
+// CanSend reports whether a request may be sent now.
 func (l *RateLimit) CanSend(now time.Duration) bool {
 	if l.rate == 0 {
 		return true
@@ -63,55 +65,55 @@
 	return len(l.permits) > 0 && l.permits[0] <= now
 }
 
-// TrySend uses a permit up; false if there is none.
+// TrySend uses a permit, if a limit requires one; false if there is none.
 func (l *RateLimit) TrySend(now time.Duration) bool {
 	if !l.CanSend(now) {
 		return false
 	}
 	if l.rate > 0 {
-		l.permits, l.unused = l.permits[1:], 0
+		l.permits, l.unusedInRow = l.permits[1:], 0
 	}
 	return true
 }
 
 // expire drops permits that were not used in time.
 func (l *RateLimit) expire(now time.Duration) {
-	for len(l.permits) > 0 && now-l.permits[0] >= permitFor {
+	for len(l.permits) > 0 && now-l.permits[0] >= permitTTL {
 		l.permits = l.permits[1:]
-		l.askFrom = max(l.askFrom, now+min(firstUnused<<min(l.unused, maxDoubled), maxUnused))
-		l.unused++
+		l.nextRequestAt = max(l.nextRequestAt, now+min(minUnusedBackoff<<min(l.unusedInRow, maxBackoffDoublings), maxUnusedBackoff))
+		l.unusedInRow++
 	}
 }
 
-// ShouldRequest tells whether a permit is to be asked for, if there is work for the server.
+// ShouldRequest reports whether to request a permit, if there is work for the server.
 func (l *RateLimit) ShouldRequest(now time.Duration) bool {
-	if l.rate == 0 || l.asking || now < l.askFrom {
+	if l.rate == 0 || l.requestPending || now < l.nextRequestAt {
 		return false
 	}
 	l.expire(now)
-	return len(l.permits) == 0 && now >= l.askFrom
+	return len(l.permits) == 0 && now >= l.nextRequestAt
 }
 
-// MarkRequested notes that a question for permits is under way.
-func (l *RateLimit) MarkRequested() { l.asking = true }
+// MarkRequested records that a request for permits is in flight.
+func (l *RateLimit) MarkRequested() { l.requestPending = true }
 
-// ApplyGrant takes the answer to it: from when the permits may be used, each so long from now,
-// and how long to wait before the next question.
-func (l *RateLimit) ApplyGrant(now time.Duration, in []time.Duration, again time.Duration) {
-	l.asking = false
-	l.askFrom = max(l.askFrom, now+again)
+// ApplyGrant takes the response to that request: the delays from now after which the permits
+// may be used, and the time until the next request.
+func (l *RateLimit) ApplyGrant(now time.Duration, delays []time.Duration, nextRequestIn time.Duration) {
+	l.requestPending = false
+	l.nextRequestAt = max(l.nextRequestAt, now+nextRequestIn)
 	if l.rate == 0 {
 		return
 	}
-	for _, d := range in {
+	for _, d := range delays {
 		l.permits = append(l.permits, now+d)
 	}
 }
 
-// RequestFailed notes that the question got no answer.
-func (l *RateLimit) RequestFailed() { l.asking = false }
+// RequestFailed records that the request got no response.
+func (l *RateLimit) RequestFailed() { l.requestPending = false }
 
-// AvailableIn is how long it takes until a request may be sent, as far as is known.
+// AvailableIn returns the time until a request may be sent, as far as is known.
 func (l *RateLimit) AvailableIn(now time.Duration) time.Duration {
 	switch {
 	case l.CanSend(now):
@@ -119,6 +121,6 @@
 	case len(l.permits) > 0:
 		return l.permits[0] - now
 	default:
-		return max(0, l.askFrom-now)
+		return max(0, l.nextRequestAt-now)
 	}
 }
--- a/internal/decision/backpressure/schedule.go
+++ b/internal/decision/backpressure/schedule.go
@@ -6,103 +6,107 @@
 )
 
 const (
-	// ahead is how far ahead of its time a permit is given: long enough that no time passes
-	// unused between two questions, short enough that urgent work may wait for it.
-	ahead = 250 * time.Millisecond
-	// beginFor is how long a schedule that begins runs at half of the limit: another entry
-	// may have kept it until now, and some may still ask that one.
-	beginFor = 2 * time.Second
-	// forgetAfter is how long a schedule stands that nobody asks.
-	forgetAfter = 10 * time.Second
-	// askAgainLeast bounds how soon an entry is to ask again.
-	askAgainLeast = 20 * time.Millisecond
-	// askersPerPermit is how many entries are to ask for each permit: with one alone a permit
-	// goes unused whenever that entry has nothing to send.
-	askersPerPermit = 2.0
+	// grantHorizon is how far ahead of its time a permit is granted: far enough that no permit
+	// is lost between two requests, near enough that urgent work can wait for it.
+	grantHorizon = 250 * time.Millisecond
+	// warmUpTime is how long a new schedule runs at half of the limit: another entry may have
+	// kept the schedule until now, and some entries may still use that one.
+	warmUpTime = 2 * time.Second
+	// idleTimeout is how long a schedule is kept without requests.
+	idleTimeout = 10 * time.Second
+	// minRequestInterval is the least time after which an entry is told to request again.
+	minRequestInterval = 20 * time.Millisecond
+	// requestersPerPermit is the number of entries that are to request each permit. With only
+	// one, a permit is lost whenever that entry has nothing to send.
+	requestersPerPermit = 2.0
 )
 
-// PermitSchedule gives out the permits for one life of a server; one entry keeps it for all.
+// PermitSchedule grants the permits for one server incarnation; one entry keeps it for all
+// entries.
 //
-// It answers a server in need before many entries with uneven demand: shares of the limit
-// would leave it idle for those that have little and keep it from those that have much, and
-// are nothing at all where there are more entries than requests a second. Permits follow each
-// other at the pace of the limit, whoever asks; those that get none come back spread over
-// the time in which all that have asked lately can get one, so that questions grow with the
-// limit and not with the number of entries.
+// It protects an overloaded server that many entries with uneven demand share. Fixed shares
+// of the limit would leave the server idle for entries with little demand and withhold it
+// from those with much, and are useless if there are more entries than requests per second.
+// Instead, permits follow each other at the rate of the limit, whoever requests them.
+// Entries without a permit request again spread over the time in which all recent requesters
+// can get one, so the number of requests grows with the limit and not with the number of
+// entries.
 type PermitSchedule struct {
-	rate   float64
-	wordAt time.Duration
-	// next is when the next permit may be used, began when the schedule did, used when it was
-	// last asked.
-	next, began, used time.Duration
-	// askers are the entries that have asked lately, until when they count.
-	askers map[string]time.Duration
-	turn   int
+	rate     float64
+	signalAt time.Duration
+	// nextPermitAt is when the next permit becomes valid, startedAt when the schedule began,
+	// lastRequestAt when permits were last requested.
+	nextPermitAt, startedAt, lastRequestAt time.Duration
+	// requesters holds the entries that have requested permits recently, and until when each
+	// counts.
+	requesters   map[string]time.Duration
+	requestCount int
 }
 
-// GrantRequest is a question for permits.
+// GrantRequest is a request for permits.
 type GrantRequest struct {
 	Entry string
-	// Rate is the limit as the entry knows it, from a word that came at SignalAt.
+	// Rate is the limit that the entry knows, from a signal received at SignalAt.
 	Rate     float64
 	SignalAt time.Duration
 	Wanted   int
 }
 
-// GrantResponse gives permits: how long from now each may be used, and when to ask again.
+// GrantResponse grants permits: how long from now each becomes valid, and when to request
+// again.
 type GrantResponse struct {
 	Delays        []time.Duration
 	NextRequestIn time.Duration
 }
 
-// Grant answers a question.
-func (s *PermitSchedule) Grant(now time.Duration, ask GrantRequest) GrantResponse {
-	if s.askers == nil || s.Idle(now) {
-		*s = PermitSchedule{next: now, began: now, askers: make(map[string]time.Duration)}
+// Grant answers a request for permits.
+func (s *PermitSchedule) Grant(now time.Duration, req GrantRequest) GrantResponse {
+	if s.requesters == nil || s.Idle(now) {
+		*s = PermitSchedule{nextPermitAt: now, startedAt: now, requesters: make(map[string]time.Duration)}
 	}
-	s.used = now
-	if s.rate == 0 || ask.SignalAt >= s.wordAt {
-		s.rate, s.wordAt = ask.Rate, ask.SignalAt
+	s.lastRequestAt = now
+	if s.rate == 0 || req.SignalAt >= s.signalAt {
+		s.rate, s.signalAt = req.Rate, req.SignalAt
 	}
-	pace := s.rate
-	if now-s.began < beginFor {
-		pace /= 2
+	grantRate := s.rate
+	if now-s.startedAt < warmUpTime {
+		grantRate /= 2
 	}
-	s.count(now)
-	var a GrantResponse
-	for range ask.Wanted {
-		slot := max(s.next, now)
-		if slot-now > ahead {
+	s.expireRequesters(now)
+	var response GrantResponse
+	for range req.Wanted {
+		permitAt := max(s.nextPermitAt, now)
+		if permitAt-now > grantHorizon {
 			break
 		}
-		a.Delays = append(a.Delays, slot-now)
-		s.next = slot + time.Duration(float64(time.Second)/pace)
+		response.Delays = append(response.Delays, permitAt-now)
+		s.nextPermitAt = permitAt + time.Duration(float64(time.Second)/grantRate)
 	}
-	a.NextRequestIn = s.again(now, pace, ask.Entry)
-	s.askers[ask.Entry] = now + a.NextRequestIn + time.Second
-	return a
+	response.NextRequestIn = s.nextRequestIn(now, grantRate, req.Entry)
+	s.requesters[req.Entry] = now + response.NextRequestIn + time.Second
+	return response
 }
 
-// count forgets the entries that have not asked again when they could.
-func (s *PermitSchedule) count(now time.Duration) {
-	for entry, until := range s.askers {
+// expireRequesters drops the entries that have not requested again when they could.
+func (s *PermitSchedule) expireRequesters(now time.Duration) {
+	for entry, until := range s.requesters {
 		if now >= until {
-			delete(s.askers, entry)
+			delete(s.requesters, entry)
 		}
 	}
 }
 
-// again is when an entry is to ask next.
-func (s *PermitSchedule) again(now time.Duration, pace float64, entry string) time.Duration {
-	others := float64(len(s.askers))
-	if _, counted := s.askers[entry]; counted {
+// nextRequestIn returns the time after which an entry is to request again.
+func (s *PermitSchedule) nextRequestIn(now time.Duration, grantRate float64, entry string) time.Duration {
+	others := float64(len(s.requesters))
+	if _, counted := s.requesters[entry]; counted {
 		others--
 	}
-	s.turn++
-	_, part := math.Modf(float64(s.turn) * math.Phi)
-	spread := time.Duration((0.5 + part) * others / (askersPerPermit * pace) * float64(time.Second))
-	return max(askAgainLeast, s.next-now-ahead, spread)
+	s.requestCount++
+	_, fraction := math.Modf(float64(s.requestCount) * math.Phi)
+	spread := time.Duration((0.5 + fraction) * others / (requestersPerPermit * grantRate) * float64(time.Second))
+	return max(minRequestInterval, s.nextPermitAt-now-grantHorizon, spread)
 }
 
-// Idle tells whether nobody has asked for a while.
-func (s *PermitSchedule) Idle(now time.Duration) bool { return now-s.used >= forgetAfter }
+// Idle reports whether no permits have been requested for idleTimeout.
+func (s *PermitSchedule) Idle(now time.Duration) bool { return now-s.lastRequestAt >= idleTimeout }
--- a/internal/decision/backpressure/signal.go
+++ b/internal/decision/backpressure/signal.go
@@ -1,5 +1,5 @@
-// Package backpressure holds what backend servers say in their answers of the work that
-// they want, and how all entries together keep to it.
+// Package backpressure holds the signals by which backend servers limit the work that they
+// get, and how all entries together keep to them.
 package backpressure
 
 import (
@@ -9,62 +9,67 @@
 	"time"
 )
 
-// Signal is what a server says with one answer of the work that it wants.
+// Signal is what one answer of a server says about the work that it accepts.
 type Signal struct {
-	// RateLimit is how many requests a second it takes from all entries together; 0: any.
+	// RateLimit is the number of requests per second that the server accepts from all entries
+	// together; 0 if it sets no limit.
 	RateLimit float64
-	// Backoff is how long it wants nothing from this entry; 0: it has not asked for rest.
+	// Backoff is how long the server accepts nothing from this entry; 0 if it asks for no
+	// back-off.
 	Backoff time.Duration
-	// Leaving tells that it leaves: it wants no new work for the rest of its life.
+	// Leaving is set if the server is leaving: its incarnation accepts no more work.
 	Leaving bool
-	// Malformed is a part of the word that could not be read; empty for none.
+	// Malformed is a part of the signal that could not be parsed; empty if there is none.
 	Malformed string
 }
 
-// minRate is the least rate that is held, in requests a second: a server that takes nothing
-// could never say that it takes requests again.
-const minRate = 0.1
+// minRateLimit is the lowest limit that is applied, in requests per second: a server that
+// got no requests could never signal that it accepts some again.
+const minRateLimit = 0.1
 
-// maxRest bounds how long a server is left alone at its word.
-const maxRest = 24 * time.Hour
+// maxBackoff bounds how long a server's back-off request is obeyed.
+const maxBackoff = 24 * time.Hour
 
-// ParseBackoff reads for how many seconds a server that turns a request away wants no others. Of
-// several times the longest counts. What is no number, or below zero, is unclear and asks for none.
-func (w *Signal) ParseBackoff(values ...string) {
-	for _, secs := range w.numbers(values) {
-		w.Backoff = max(w.Backoff, time.Duration(min(secs, maxRest.Seconds())*float64(time.Second)))
+// ParseBackoff parses the seconds in which a server that refuses a request accepts no
+// others. The longest of several values counts. A value that is negative or not a number is
+// malformed and asks for no back-off.
+func (s *Signal) ParseBackoff(values ...string) {
+	for _, secs := range s.numbers(values) {
+		s.Backoff = max(s.Backoff, time.Duration(min(secs, maxBackoff.Seconds())*float64(time.Second)))
 	}
 }
 
-// numbers reads lists of numbers of zero or more; one that can't be read is noted.
-func (w *Signal) numbers(lists []string) []float64 {
+// numbers parses comma-separated lists of non-negative numbers; it records any other value
+// as malformed.
+func (s *Signal) numbers(lists []string) []float64 {
 	var numbers []float64
 	for _, list := range lists {
 		for value := range strings.SplitSeq(list, ",") {
-			n, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-			if err != nil || n < 0 || math.IsNaN(n) || math.IsInf(n, 0) {
-				w.Malformed = value
+			number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+			if err != nil || number < 0 || math.IsNaN(number) || math.IsInf(number, 0) {
+				s.Malformed = value
 				continue
 			}
-			numbers = append(numbers, n)
+			numbers = append(numbers, number)
 		}
 	}
 	return numbers
 }
 
-// ParseLeaving reads whether the server leaves. Whatever it says but nothing and "0" counts as
-// that it does.
-func (w *Signal) ParseLeaving(value string) {
+// ParseLeaving parses whether the server is leaving: any value except an empty one and "0"
+// says so.
+func (s *Signal) ParseLeaving(value string) {
 	value = strings.TrimSpace(value)
-	w.Leaving = w.Leaving || value != "" && value != "0"
+	s.Leaving = s.Leaving || value != "" && value != "0"
 }
 
-// ParseRateLimit reads the rates that a server names, in requests a second. Of several the least
-// counts. What is no number, or below zero, is unclear and names none.
-func (w *Signal) ParseRateLimit(values ...string) {
-	for _, rate := range w.numbers(values) {
-		if rate = max(rate, minRate); w.RateLimit == 0 || rate < w.RateLimit {
-			w.RateLimit = rate
+// ParseRateLimit parses the limits that a server sets, in requests per second. The lowest of
+// several values counts. A value that is negative or not a number is malformed and sets no
+// limit.
+func (s *Signal) ParseRateLimit(values ...string) {
+	for _, rate := range s.numbers(values) {
+		if rate = max(rate, minRateLimit); s.RateLimit == 0 || rate < s.RateLimit {
+			s.RateLimit = rate
 		}
 	}
 }
--- a/internal/decision/backpressure/signal_test.go
+++ b/internal/decision/backpressure/signal_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A limit that can't be read must neither stop a server's work nor pass in silence.
-func TestRatesAreReadWithADefinedMeaning(t *testing.T) {
+// A limit that can't be parsed must neither stop all work for a server nor go unnoticed.
+func TestParseRateLimit(t *testing.T) {
 	for _, c := range []struct {
-		values  []string
-		rate    float64
-		unclear string
+		values    []string
+		rate      float64
+		malformed string
 	}{
 		{nil, 0, ""},
 		{[]string{"8.6"}, 8.6, ""},
 		{[]string{" 0.5 "}, 0.5, ""},
-		{[]string{"0"}, minRate, ""},
-		{[]string{"1e-9"}, minRate, ""},
+		{[]string{"0"}, minRateLimit, ""},
+		{[]string{"1e-9"}, minRateLimit, ""},
 		{[]string{"1e300"}, 1e300, ""},
 		{[]string{"9", "4"}, 4, ""},
 		{[]string{"9, 4"}, 4, ""},
@@ -27,20 +27,20 @@
 		{[]string{""}, 0, ""},
 		{[]string{"1e999"}, 0, "1e999"},
 	} {
-		var w Signal
-		w.ParseRateLimit(c.values...)
-		if w.RateLimit != c.rate || w.Malformed != c.unclear {
-			t.Errorf("%q: rate %g, unclear %q; want %g, %q", c.values, w.RateLimit, w.Malformed, c.rate, c.unclear)
+		var s Signal
+		s.ParseRateLimit(c.values...)
+		if s.RateLimit != c.rate || s.Malformed != c.malformed {
+			t.Errorf("%q: rate limit %g, malformed %q; want %g, %q", c.values, s.RateLimit, s.Malformed, c.rate, c.malformed)
 		}
 	}
 }
 
-// Guards against a time of rest that is cut short, or that an unreadable value makes endless.
-func TestRestsAreReadWithADefinedMeaning(t *testing.T) {
+// A back-off must not be cut short, and a malformed value must not make it endless.
+func TestParseBackoff(t *testing.T) {
 	for _, c := range []struct {
-		values  []string
-		rest    time.Duration
-		unclear string
+		values    []string
+		backoff   time.Duration
+		malformed string
 	}{
 		{nil, 0, ""},
 		{[]string{"3"}, 3 * time.Second, ""},
@@ -48,15 +48,15 @@
 		{[]string{"3600"}, time.Hour, ""},
 		{[]string{"0"}, 0, ""},
 		{[]string{"2", "5"}, 5 * time.Second, ""},
-		{[]string{"1e300"}, maxRest, ""},
+		{[]string{"1e300"}, maxBackoff, ""},
 		{[]string{"-1"}, 0, "-1"},
 		{[]string{"soon"}, 0, "soon"},
 		{[]string{"2", "soon"}, 2 * time.Second, "soon"},
 	} {
-		var w Signal
-		w.ParseBackoff(c.values...)
-		if w.Backoff != c.rest || w.Malformed != c.unclear {
-			t.Errorf("%q: rest %v, unclear %q; want %v, %q", c.values, w.Backoff, w.Malformed, c.rest, c.unclear)
+		var s Signal
+		s.ParseBackoff(c.values...)
+		if s.Backoff != c.backoff || s.Malformed != c.malformed {
+			t.Errorf("%q: back-off %v, malformed %q; want %v, %q", c.values, s.Backoff, s.Malformed, c.backoff, c.malformed)
 		}
 	}
 }
