--- a/internal/decision/speed/speed.go
+++ b/internal/decision/speed/speed.go
@@ -1,16 +1,16 @@
-// Package speed learns how long engines take to read prompts and to decode, from the
-// times of their own answers.
+// Package speed learns how long engines take to prefill and to decode from the times of
+// their own answers.
 //
-// It answers fleets whose engines differ: from one deployment to another by a factor of
-// ten, within one by half, and over a day when one turns slow. With a figure from the
-// settings in its place queues look shorter or longer than they are: where engines read
-// 75,000 tokens/s and 16,000 were set, one long prompt in ten was served at all, and an
-// engine that reads a third slower than the others got as much as they did and had four
-// times their wait.
+// It handles fleets whose engines differ: by a factor of ten from one deployment to another,
+// by half within one, and over a day when an engine turns slow. With a rate from the
+// settings instead, queues look shorter or longer than they are. Where engines prefill
+// 75,000 tokens/s and the settings say 16,000, only one long prompt in ten is served; and an
+// engine that prefills a third slower than the others gets as many requests as they do and
+// has four times their wait.
 //
-// All trackers follow a median by steps in proportion: one answer moves them by a bounded
-// factor however far off it is, so that an engine that hangs, or a queue that was not
-// seen, teaches little. Their state is a few numbers for each engine.
+// All trackers follow a median by multiplicative steps. One answer moves them by a bounded
+// factor however far off it is, so an engine that hangs or a queue that was not seen has
+// little effect. Their state is a few numbers per engine.
 package speed
 
 import (
@@ -19,61 +19,62 @@
 )
 
 const (
-	// minStep is how far one answer moves a figure, as a factor less one. Some thirty
-	// answers a second of one role come to an entry: an error of two is gone in a second.
+	// minStep is the log of the factor by which one answer moves an estimate after the first
+	// ones. An entry gets about thirty answers a second from the engines of one role, so an
+	// error by a factor of two is corrected within about a second.
 	minStep = 0.02
-	// firstStep is the step of the first answer; the next ones take a part of it by their
-	// number, so that the first ten bridge a factor of four.
+	// firstStep is the step of the first answer. The n-th answer takes an n-th of it, so that
+	// the first ten answers correct a factor of four.
 	firstStep = 0.5
 )
 
-// step is the log of the factor by which the n-th answer moves a figure.
-func step(n int) float64 { return max(minStep, firstStep/float64(n)) }
+// stepSize returns the log of the factor by which the n-th answer moves an estimate.
+func stepSize(n int) float64 { return max(minStep, firstStep/float64(n)) }
 
-// PrefillModel follows how long engines of one role take from the sending of a prompt to its
-// last token read: a fixed time, and a time for each token that is read before it and of
-// its own. It also covers what the counted backlog misses, since it is held against whole
-// waits. Not safe for concurrent use.
+// PrefillModel tracks how long engines of one role take from the sending of a prompt to the
+// end of its prefill: a fixed time, plus a time for each token that is prefilled before it
+// and for each of its own. It is compared with whole waits, so it also makes up for what the
+// counted backlog misses. It is not safe for concurrent use.
 type PrefillModel struct {
 	fixed, perToken float64 // seconds
-	answers         int
+	observations    int
 }
 
-// priorFixed is the fixed time before any answer; some 50 ms were seen.
-const priorFixed = 20 * time.Millisecond
+// initialFixedTime is the fixed time before any answer; real engines take about 50 ms.
+const initialFixedTime = 20 * time.Millisecond
 
-// NewPrefillModel begins with what is assumed of such engines, in tokens a second.
+// NewPrefillModel returns a model that starts with an assumed rate.
 func NewPrefillModel(tokensPerSecond float64) *PrefillModel {
-	return &PrefillModel{fixed: priorFixed.Seconds(), perToken: 1 / max(1, tokensPerSecond)}
+	return &PrefillModel{fixed: initialFixedTime.Seconds(), perToken: 1 / max(1, tokensPerSecond)}
 }
 
-// Rate is the tokens a second beyond the fixed time.
-func (r *PrefillModel) Rate() float64 { return 1 / r.perToken }
+// Rate returns the tokens per second, without the fixed time.
+func (m *PrefillModel) Rate() float64 { return 1 / m.perToken }
 
-// FixedSeconds is the time that a prompt of no tokens takes, in seconds.
-func (r *PrefillModel) FixedSeconds() float64 { return r.fixed }
+// FixedSeconds returns the time that a prompt without tokens would take.
+func (m *PrefillModel) FixedSeconds() float64 { return m.fixed }
 
-// Observe takes in that the tokens, those before the prompt and its own, took so long at
-// an engine of that factor.
-func (r *PrefillModel) Observe(now time.Duration, tokens float64, took time.Duration, factor *SlowdownFactor) {
-	variable := tokens * r.perToken
-	expected := (r.fixed + variable) * factor.Value(now)
+// Observe learns from a prompt that took that long at an engine with the given factor;
+// tokens are those prefilled before it and its own.
+func (m *PrefillModel) Observe(now time.Duration, tokens float64, took time.Duration, factor *SlowdownFactor) {
+	variable := tokens * m.perToken
+	expected := (m.fixed + variable) * factor.Value(now)
 	if expected <= 0 || took <= 0 {
 		return
 	}
-	r.answers++
-	way := sign(took.Seconds() - expected)
-	// Each part moves by its share of the time: short prompts teach the fixed time,
-	// long ones the rate.
-	part := variable / (r.fixed + variable)
-	by := step(r.answers) * way
-	r.fixed = clamp(r.fixed*math.Exp(by*(1-part)), minFixed, maxFixed)
-	r.perToken = clamp(r.perToken*math.Exp(by*part), minPerToken, maxPerToken)
-	factor.move(now, way)
+	m.observations++
+	direction := sign(took.Seconds() - expected)
+	// Each part moves by its share of the time: short prompts correct the fixed time, long
+	// ones the rate.
+	variableShare := variable / (m.fixed + variable)
+	logStep := stepSize(m.observations) * direction
+	m.fixed = clamp(m.fixed*math.Exp(logStep*(1-variableShare)), minFixed, maxFixed)
+	m.perToken = clamp(m.perToken*math.Exp(logStep*variableShare), minPerToken, maxPerToken)
+	factor.update(now, direction)
 }
 
-// Bounds of what is believed of any engine, in seconds: from a tenth of a millisecond
-// and a million tokens/s to a second and 1,000 tokens/s.
+// Bounds for any engine, in seconds: a fixed time of 0.1 ms to 1 s, and 1,000 to a million
+// tokens/s.
 const (
 	minFixed    = 1e-4
 	maxFixed    = 1
@@ -81,63 +82,66 @@
 	maxPerToken = 1e-3
 )
 
-// SlowdownFactor is how much longer one engine takes than its role does; the zero value is 1. It
-// fades while the engine answers nothing, so that one that was slow is tried again.
+// SlowdownFactor is how much longer one engine takes than the engines of its role; the zero
+// value stands for 1. It decays while the engine gives no answers, so that an engine that
+// was slow is tried again.
 type SlowdownFactor struct {
-	log float64
-	// at is when it was learned.
-	at time.Duration
+	logFactor float64
+	// updatedAt is when the factor last changed.
+	updatedAt time.Duration
 }
 
 const (
-	// factorStep lets an engine's factor follow some five answers a second to an entry:
-	// one that turns twice as slow is seen as such within three seconds.
+	// factorStep is the log of the factor by which one answer moves an engine's factor. An
+	// entry gets about five answers a second from an engine, so one that becomes twice as slow
+	// is detected within three seconds.
 	factorStep = 0.05
-	// factorFade draws the factor back to 1 with each answer: without it the role's
-	// figures and all factors could drift apart together.
-	factorFade = 0.01
-	// maxFactorLog bounds it to six: an engine that is shunned altogether would never
-	// show that it is well again.
+	// factorDecay moves the factor back towards 1 with each answer. Without it, the model of
+	// the role and all factors could drift in opposite directions.
+	factorDecay = 0.01
+	// maxFactorLog bounds the factor to about six: an engine that got no requests at all could
+	// never show that it has recovered.
 	maxFactorLog = 1.8
 )
 
-func (f *SlowdownFactor) move(now time.Duration, way float64) {
-	f.log = clamp(f.faded(now)*(1-factorFade)+factorStep*way, -maxFactorLog, maxFactorLog)
-	f.at = now
+func (f *SlowdownFactor) update(now time.Duration, direction float64) {
+	f.logFactor = clamp(f.decayed(now)*(1-factorDecay)+factorStep*direction, -maxFactorLog, maxFactorLog)
+	f.updatedAt = now
 }
 
-func (f *SlowdownFactor) faded(now time.Duration) float64 {
-	return f.log * math.Exp(-max(0, now-f.at).Seconds()/factorMemory.Seconds())
+func (f *SlowdownFactor) decayed(now time.Duration) float64 {
+	return f.logFactor * math.Exp(-max(0, now-f.updatedAt).Seconds()/factorDecayTime.Seconds())
 }
 
-// Value is the factor as it is believed now.
-func (f *SlowdownFactor) Value(now time.Duration) float64 { return math.Exp(f.faded(now)) }
+// Value returns the factor as estimated now.
+func (f *SlowdownFactor) Value(now time.Duration) float64 { return math.Exp(f.decayed(now)) }
 
-// factorMemory is how fast an unused engine's factor fades: slow spells last seconds.
-const factorMemory = 5 * time.Second
+// factorDecayTime is the time constant with which the factor of an unused engine decays:
+// engines are slow for seconds at a time.
+const factorDecayTime = 5 * time.Second
 
-// Median follows the middle of a stream of positive values. The zero value knows nothing.
+// Median tracks the median of a stream of positive values. The zero value has seen none.
 type Median struct {
-	value  float64
-	values int
+	value float64
+	count int
 }
 
-// Observe takes in a value; 0 and less count for nothing.
+// Observe takes in a value; values of 0 or less are ignored.
 func (m *Median) Observe(v float64) {
 	if v <= 0 {
 		return
 	}
-	m.values++
-	if m.values == 1 {
+	m.count++
+	if m.count == 1 {
 		m.value = v
 		return
 	}
-	m.value *= math.Exp(step(m.values) * sign(v-m.value))
+	m.value *= math.Exp(stepSize(m.count) * sign(v-m.value))
 }
 
-// Value is the median, or the one that is assumed before any value.
+// Value returns the median, or the assumed value if there is none yet.
 func (m *Median) Value(assumed float64) float64 {
-	if m.values == 0 {
+	if m.count == 0 {
 		return assumed
 	}
 	return m.value
