--- a/internal/decision/others.go
+++ b/internal/decision/others.go
@@ -13,7 +13,8 @@
 // looked idle last. The older a report is, the less weight its count gets, and the server's
 // average count takes its place.
 type PeerLoadEstimator struct {
-	// running and waiting are the counts of the last report, which came at reportedAt.
+	// running and waiting are the other entries' requests in the last report, which came at
+	// reportedAt.
 	running, waiting float64
 	reportedAt       time.Duration
 	// meanRunning and meanWaiting are averages over the server's reports.
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -48,7 +48,8 @@
 
 const (
 	// PeerReportTTL is how long a peer's report counts. Peers with requests report at least
-	// three times in that time. The report of a peer that is cut off must expire.
+	// three times in that time. A peer that is cut off must not look idle, so estimates stand
+	// in for its backlog once its report has expired.
 	PeerReportTTL = time.Second
 	// IdlePeerReportTTL is how long the report of a peer without requests counts. Such a peer
 	// repeats its report rarely, and reports its next request at once.
--- a/internal/decision/sent.go
+++ b/internal/decision/sent.go
@@ -38,8 +38,8 @@
 	l.InFlight.DecodeTokens -= t.Decode
 }
 
-// AddUrgentPrefill adds prompt tokens of an urgent request that starts to wait for its first
-// token, or, negative, ends to.
+// AddUrgentPrefill adds the prompt tokens of an urgent request that starts to wait for its
+// first token; a negative number removes those of one that stops waiting.
 func (l *InFlightTracker) AddUrgentPrefill(tokens int) { l.InFlight.UrgentPrefillTokens += tokens }
 
 // ApplyReport takes the time that a report describes: requests sent up to then are in the
