--- a/internal/decision/placement/cost.go
+++ b/internal/decision/placement/cost.go
@@ -8,150 +8,153 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// near is the part of the cost within which servers count as alike.
-const near = 0.05
-
-// remotePenalty is the cost in seconds of another data centre: a millisecond
-// each way, and its loss is more likely seen as silence.
-const remotePenalty = 0.005
-
-// unread is how many tokens of the prompt a server must read that holds its first
-// parts.
-func unread(w *decision.Work, held int) int { return max(0, w.PromptTokens-w.HeldTokens(held)) }
-
-// firstToken gives the tokens that a server reads before the prompt, the time that the
-// prompt itself takes there, and the time until it has read both, in seconds.
-func firstToken(now time.Duration, w *decision.Work, server *decision.Server, fleet *decision.Fleet, held int) (before, own, first float64) {
-	l := loadOf(now, w, server, fleet.Entries)
-	before = l.prefill
+// equalCostTolerance is the relative difference up to which costs count as equal.
+const equalCostTolerance = 0.05
+
+// remoteDataCentrePenalty is the cost in seconds of a server in another data centre: a
+// millisecond each way, and a lost server there is more likely to be noticed only by its silence.
+const remoteDataCentrePenalty = 0.005
+
+// uncachedTokens is how many prompt tokens a server must prefill if it has the given number of
+// leading blocks cached.
+func uncachedTokens(w *decision.Work, cachedBlocks int) int {
+	return max(0, w.PromptTokens-w.HeldTokens(cachedBlocks))
+}
+
+// estimateFirstToken returns the tokens that a server prefills before this prompt, the time that
+// the prompt's own prefill takes there, and the time until both are done, in seconds.
+func estimateFirstToken(now time.Duration, w *decision.Work, server *decision.Server, fleet *decision.Fleet, cachedBlocks int) (tokensAhead, prefillSeconds, firstTokenSeconds float64) {
+	l := estimateLoad(now, w, server, fleet.Entries)
+	tokensAhead = l.prefillTokens
 	if w.Class != declaration.ClassBulk {
-		before = l.urgent
+		tokensAhead = l.urgentPrefillTokens
 	}
 	rate := max(1, server.PrefillRate())
-	own = server.FixedReading + float64(unread(w, held))/rate
-	return before, own, own + before/rate
+	prefillSeconds = server.FixedReading + float64(uncachedTokens(w, cachedBlocks))/rate
+	return tokensAhead, prefillSeconds, prefillSeconds + tokensAhead/rate
 }
 
-// moveTime is how long the KV cache takes from one engine to another that holds
-// the prompt's first parts, in seconds. Where parts are not told apart, all of it
-// moves.
-func moveTime(w *decision.Work, held int) float64 {
+// kvTransferTime is the time in seconds to transfer the prompt's KV cache to an engine that has
+// its leading blocks cached. If the sizes of the blocks are unknown, the whole KV cache is
+// transferred.
+func kvTransferTime(w *decision.Work, cachedBlocks int) float64 {
 	if w.PartTokens == nil {
-		held = 0
+		cachedBlocks = 0
 	}
 	rate := w.Pace.MoveRate
 	if rate <= 0 {
-		rate = kvTokenRate
+		rate = defaultKVTransferRate
 	}
-	return float64(unread(w, held)) / rate
+	return float64(uncachedTokens(w, cachedBlocks)) / rate
 }
 
-// kvTokenRate is how many tokens' KV cache move between two engines a second:
-// 160 kB a token over 25 Gbit/s.
-const kvTokenRate = 20000
+// defaultKVTransferRate is how many tokens' KV cache two engines transfer a second: 160 kB a
+// token over 25 Gbit/s.
+const defaultKVTransferRate = 20000
 
-// plainCost is the time of a call with the others before it.
-func plainCost(known *limit, server *decision.Server, l load) float64 {
-	time := known.tokenTime
-	if time == 0 {
-		time = 0.01
+// plainServiceCost is the duration of a call, including the wait for the calls before it.
+func plainServiceCost(limit *serverLimit, server *decision.Server, l load) float64 {
+	callTime := limit.tokenTime
+	if callTime == 0 {
+		callTime = 0.01
 	}
-	return time * (1 + l.requests/float64(max(1, server.Slots)))
+	return callTime * (1 + l.requests/float64(max(1, server.Slots)))
 }
 
-// readingPrice is how much more an own token to read counts than one that is read
-// before it: all that come after wait for it. Without it each request takes the
-// engine where it alone is done first, and reads 13,000 shared tokens anew to save
-// itself a queue of less; in bursts the engines then have no time for anything else.
-const readingPrice = 6
-
-// besideReading is how much more reading costs for each stream beside it, at an
-// engine that reads between the tokens of its streams: all of them stand still
-// for that long. Without it dossiers are read beside twenty streams while
-// prefill engines idle; the streams take twice as long, hold their memory twice as
-// long, and what comes next waits for memory.
-const besideReading = 0.2
-
-// prefillCost is the wait behind the server's prefill and the own prefill
-// without the blocks that it holds. Affinity is so bounded by what it saves: a
-// server with the prefix and a longer queue than that is not chosen.
-func prefillCost(w *decision.Work, server *decision.Server, l load, held int) float64 {
+// bulkPrefillWeight is how much more a token of the request's own prefill counts than a token
+// queued before it, because all later requests wait for it. Without it each request goes to the
+// engine where it alone finishes first, and prefills 13,000 shared tokens again to avoid a
+// shorter queue; during bursts this leaves the engines no time for anything else.
+const bulkPrefillWeight = 6
+
+// prefillInterference is how much the cost of prefill grows with each running stream, at an
+// engine that interleaves prefill with decode steps: every stream stalls for that long. Without
+// it long prompts are prefilled beside twenty streams while prefill engines are idle; the streams
+// take twice as long and hold their memory twice as long, and later requests wait for memory.
+const prefillInterference = 0.2
+
+// prefillCost is the wait behind the server's prefill backlog plus the prefill of the tokens that
+// are not cached there. This bounds cache affinity by what it saves: a server that has the prefix
+// but a queue longer than the saved prefill is not chosen.
+func prefillCost(w *decision.Work, server *decision.Server, l load, cachedBlocks int) float64 {
 	rate := max(1, server.PrefillRate())
-	wait := l.prefill / rate
+	wait := l.prefillTokens / rate
 	if w.Class != declaration.ClassBulk {
-		wait = l.urgent / rate
+		wait = l.urgentPrefillTokens / rate
 	}
-	reading := float64(unread(w, held)) / rate
+	prefill := float64(uncachedTokens(w, cachedBlocks)) / rate
 	if server.CountsOnly && w.Class == declaration.ClassBulk {
-		reading *= readingPrice
+		prefill *= bulkPrefillWeight
 	}
 	if server.CountsOnly && server.Role == engineapi.RoleMixed {
-		reading *= 1 + besideReading*l.requests
+		prefill *= 1 + prefillInterference*l.requests
 	}
-	return wait + reading
+	return wait + prefill
 }
 
-// decodeCost is the own decode at the server's fill. A step takes longer with
-// more streams, and with prefill beside it; beyond its places work waits for those before it.
+// decodeCost is the request's own decode time at the server's occupancy. A step takes longer with
+// more streams and with prefill beside it; requests beyond the slots wait for the ones before
+// them.
 func (p *Picker) decodeCost(i int, w *decision.Work, server *decision.Server, l load) float64 {
 	slots := float64(max(1, server.Slots))
-	fill := min(1, max((l.requests+1)/slots, memoryFill(w, server, l)))
-	perToken := slots / max(1, server.DecodeRate()) * (stepBase + (1-stepBase)*fill)
-	slow := 1 / max(minFactor, p.limits.aligned[i].factor)
+	occupancy := min(1, max((l.requests+1)/slots, kvMemoryShare(w, server, l)))
+	perToken := slots / max(1, server.DecodeRate()) * (singleStreamStepShare + (1-singleStreamStepShare)*occupancy)
+	slowdown := 1 / max(minFactor, p.limits.aligned[i].factor)
 	if server.Role == engineapi.RoleMixed {
-		slow *= interference
+		slowdown *= mixedDecodeWeight
 	}
 	if server.CountsOnly {
-		// Only such servers get more than they have places for.
-		slow *= max(1, (l.requests+1)/slots)
+		// Only such servers are sent more requests than they have slots.
+		slowdown *= max(1, (l.requests+1)/slots)
 	}
-	return float64(w.OutputTokens) * perToken * slow
+	return float64(w.OutputTokens) * perToken * slowdown
 }
 
-// memoryFill is the part of the server's KV memory that is taken with the work;
-// 0 where its size is not known.
-func memoryFill(w *decision.Work, server *decision.Server, l load) float64 {
+// kvMemoryShare is the share of the server's KV memory that is in use once the request is added;
+// 0 if the size of the memory is unknown.
+func kvMemoryShare(w *decision.Work, server *decision.Server, l load) float64 {
 	if server.Load.KVTokens == 0 || !server.CountsOnly {
 		return 0
 	}
-	return (l.kv + float64(w.PromptTokens+w.OutputTokens)) / float64(server.Load.KVTokens)
+	return (l.kvTokens + float64(w.PromptTokens+w.OutputTokens)) / float64(server.Load.KVTokens)
 }
 
-// interference is how much more a stream counts at a mixed engine than its own
-// time there: as long as one decodes, that engine prefills at less than half of
-// its rate. Without it streams go to idle mixed engines while decode engines have
-// slots, and the band is not there when prefill needs it.
-const interference = 2
+// mixedDecodeWeight is how much more a stream counts at a mixed engine than its own decode time
+// there: while a stream decodes, the engine prefills at less than half of its rate. Without it
+// streams go to idle mixed engines while decode engines have free slots, and the mixed engines
+// are not available when prefill needs them.
+const mixedDecodeWeight = 2
 
-// stepBase is the part of a full batch's step that one stream alone takes.
-const stepBase = 0.56
+// singleStreamStepShare is the time of a step with one stream as a share of the time of a step
+// with a full batch.
+const singleStreamStepShare = 0.56
 
-// othersFirstPenalty is the cost in seconds of reading at a server that another group sends
-// to first: about as long as word of what that group has sent takes to come. Without it all
-// groups take the same idle servers in that time, and each finds the others' prompts there;
-// with more, prompts wait at the own ones beside idle ones of others.
-const othersFirstPenalty = 0.05
+// otherGroupPrefillPenalty is the cost in seconds of prefill at a server that another group of
+// entries prefers: about the time until reports of that group's requests arrive. Without it all
+// groups pick the same idle servers within that time and queue behind each other's prompts; with
+// a higher value prompts wait at the group's own servers while others are idle.
+const otherGroupPrefillPenalty = 0.05
 
-// othersFirstDecode takes its place for what is decoded there: a stream more slows the
-// others down a little and stands in no one's way.
-const othersFirstDecode = 0.005
+// otherGroupDecodePenalty is the same for decode. It is smaller, because one more stream slows
+// the others down only a little and blocks none of them.
+const otherGroupDecodePenalty = 0.005
 
-// distance is the cost of another data centre.
-func distance(fleet *decision.Fleet, server *decision.Server) float64 {
+// dataCentrePenalty is the cost in seconds of a server outside the entry's data centre.
+func dataCentrePenalty(fleet *decision.Fleet, server *decision.Server) float64 {
 	if fleet.DataCentre == "" || server.DataCentre == fleet.DataCentre {
 		return 0
 	}
-	return remotePenalty
+	return remoteDataCentrePenalty
 }
 
-// rank orders servers differently for each request.
-func rank(turn uint32, index int) uint32 {
-	h := (turn ^ uint32(index)) * 2654435761
+// tieBreakOrder orders servers differently for each request.
+func tieBreakOrder(requestHash uint32, index int) uint32 {
+	h := (requestHash ^ uint32(index)) * 2654435761
 	return h ^ h>>15
 }
 
-// spread gives a number that only depends on the id (FNV-1a).
-func spread(id string) uint32 {
+// hashID hashes a request id with FNV-1a.
+func hashID(id string) uint32 {
 	hash := uint32(2166136261)
 	for i := range len(id) {
 		hash = (hash ^ uint32(id[i])) * 16777619
--- a/internal/decision/placement/fetch.go
+++ b/internal/decision/placement/fetch.go
@@ -7,35 +7,37 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// fetchOverhead is what a fetch takes beside its bytes, in seconds: the engines say 2 ms;
-// the rest is for a source that has dropped the part, which is then read.
+// fetchOverhead is the duration of a fetch besides its transfer time, in seconds. Engines report
+// 2 ms; the rest covers sources that have evicted the blocks, which then have to be prefilled.
 const fetchOverhead = 0.005
 
-// source is the engine that is known to hold most of a prompt's first parts.
+// fetchSource is the engine from which the leading blocks of a prompt can be fetched: its index
+// in the fleet and how many blocks it has.
 //
-// It answers prompts whose shared parts are long beside links that are fast: a part of
-// 5,400 tokens is read in 72 ms and fetched in 2. Without it such a prompt waits at the
-// engine that holds the part while others idle, or reads it anew: at 6 engines in a burst
-// a tenth of all that was read had been read before.
-type source struct{ index, parts int }
+// Fetching pays off where shared prefixes are long and links are fast: 5,400 tokens are prefilled
+// in 72 ms and fetched in 2 ms. Without it such a prompt waits at the engine that has the prefix
+// while other engines are idle, or prefills it again: in a burst on 6 engines a tenth of all
+// prefilled tokens had been prefilled before.
+type fetchSource struct{ index, blocks int }
 
-// fetches tells whether parts of the work's prompt are fetched at all. Among many entries
-// that don't report to each other what was read, each knows of few copies: fetched from those,
-// parts were read again three times as often, since no home got all requests for them.
-func fetches(w *decision.Work, fleet *decision.Fleet) bool {
+// fetchAllowed reports whether blocks of the request's prompt may be fetched at all. If entries
+// do not report to each other which prefixes were prefilled where, each entry knows few of the
+// copies. Fetching from those made engines prefill the same prefixes three times as often, since
+// no owner received all requests for them.
+func fetchAllowed(w *decision.Work, fleet *decision.Fleet) bool {
 	return fleet.PartsReported && w.Pace.MoveRate > 0 && decision.PartsTold(w)
 }
 
-// source gives the engine to fetch from; index -1 for none. Only engines that have been
-// seen to read the part count, by this entry or by another one's report: a part's home that
-// has not read it yet would have nothing to give, and the part be read where it is not
-// looked for.
-func (p *Picker) source(now time.Duration, w *decision.Work, fleet *decision.Fleet) source {
-	best := source{index: -1}
-	if !fetches(w, fleet) {
+// findFetchSource returns the engine to fetch from; its index is -1 if there is none. Only
+// engines that were observed to prefill the blocks count, by this entry or in another entry's
+// report. An owner that has not prefilled them yet would have nothing to send, and the blocks
+// would end up cached where nobody looks for them.
+func (p *Picker) findFetchSource(now time.Duration, w *decision.Work, fleet *decision.Fleet) fetchSource {
+	best := fetchSource{index: -1}
+	if !fetchAllowed(w, fleet) {
 		return best
 	}
-	var at time.Duration
+	var newest time.Duration
 	for depth := w.Shared; depth > 0 && best.index < 0; depth-- {
 		b := p.cache.blocks[w.Prefix[depth-1]]
 		if b == nil {
@@ -43,8 +45,8 @@
 		}
 		for _, h := range b.holders {
 			i, ok := p.limits.indexOf(fleet, h.server)
-			if ok && fleet.Servers[i].Serves(w) && now-h.at < p.inflow.keeps(now, fleet, i) && (best.index < 0 || h.at > at) {
-				best, at = source{index: i, parts: depth}, h.at
+			if ok && fleet.Servers[i].Serves(w) && now-h.lastSeen < p.kvInflow.retention(now, fleet, i) && (best.index < 0 || h.lastSeen > newest) {
+				best, newest = fetchSource{index: i, blocks: depth}, h.lastSeen
 			}
 		}
 	}
@@ -52,87 +54,89 @@
 }
 
 const (
-	// believeFetch bounds how long an engine counts as a source after it was last seen to
-	// use the part.
-	believeFetch = 30 * time.Second
-	// inflowTime is the time constant of the rate at which tokens come into memory: about as
-	// long as memory keeps what comes in. A shorter one follows single prompts where an entry
-	// sends one every few seconds.
-	inflowTime = 15 * time.Second
+	// maxFetchAge bounds how long an engine counts as a source after its last known use of the
+	// blocks.
+	maxFetchAge = 30 * time.Second
+	// inflowTimeConstant is the time constant of the rate at which tokens are added to KV memory:
+	// about as long as memory retains what is added. A shorter one would follow single prompts
+	// where an entry sends one every few seconds.
+	inflowTimeConstant = 15 * time.Second
 )
 
-// inflow is the rate at which this entry's prompts put tokens into engines' memory.
+// tokenInflow estimates the rate at which this entry's prompts add tokens to the KV memory of
+// engines.
 //
-// Parts that were used longest ago yield to what comes in. An engine that is believed to
-// hold what it has dropped gives nothing; a copy that is forgotten too soon is read again.
-type inflow struct {
+// Added tokens evict the blocks that were used least recently. A fetch from an engine that has
+// evicted the blocks gets nothing; a copy that is forgotten too soon is prefilled again.
+type tokenInflow struct {
 	tokens float64
 	at     time.Duration
 }
 
-func (f *inflow) add(now time.Duration, tokens float64) {
+func (f *tokenInflow) add(now time.Duration, tokens float64) {
 	f.tokens = f.decayed(now) + tokens
 	f.at = now
 }
 
-func (f *inflow) decayed(now time.Duration) float64 {
-	return f.tokens * math.Exp(-(now-f.at).Seconds()/inflowTime.Seconds())
+func (f *tokenInflow) decayed(now time.Duration) float64 {
+	return f.tokens * math.Exp(-(now-f.at).Seconds()/inflowTimeConstant.Seconds())
 }
 
-// keeps is how long that engine keeps a part that is not used: until what comes in has
-// filled the memory that running requests leave, if all entries send as much as this one
-// and the engines that read share it.
-func (f *inflow) keeps(now time.Duration, fleet *decision.Fleet, index int) time.Duration {
+// retention is how long an engine keeps a block that is not used: until added tokens have filled
+// the memory that running requests leave free. It assumes that all entries send as much as this
+// one and that the engines of the same model and role share it evenly.
+func (f *tokenInflow) retention(now time.Duration, fleet *decision.Fleet, index int) time.Duration {
 	server := &fleet.Servers[index]
 	if server.Load.KVTokens == 0 {
-		return believeFetch
+		return maxFetchAge
 	}
 	memory := max(0, float64(server.Load.KVTokens)-server.OthersKV()-float64(server.Sent.KVTokens))
-	readers := 0
+	sharing := 0
 	for i := range fleet.Servers {
 		if s := &fleet.Servers[i]; s.Usable && s.Model == server.Model && s.Role == server.Role {
-			readers++
+			sharing++
 		}
 	}
-	perSecond := f.decayed(now) / inflowTime.Seconds() * float64(max(1, fleet.Entries)) / float64(max(1, readers))
+	perSecond := f.decayed(now) / inflowTimeConstant.Seconds() * float64(max(1, fleet.Entries)) / float64(max(1, sharing))
 	if perSecond < 1 {
-		return believeFetch
+		return maxFetchAge
 	}
-	return min(believeFetch, time.Duration(memory/perSecond*float64(time.Second)))
+	return min(maxFetchAge, time.Duration(memory/perSecond*float64(time.Second)))
 }
 
-// reachable gives how many parts each server has once it has fetched from the source.
-func (p *Picker) reachable(held []int, from source) []int {
-	p.reach = append(p.reach[:0], held...)
-	if from.index < 0 {
-		return p.reach
+// reachableBlocks returns how many leading blocks each server has after a fetch from the source.
+func (p *Picker) reachableBlocks(cached []int, source fetchSource) []int {
+	p.reachableBuf = append(p.reachableBuf[:0], cached...)
+	if source.index < 0 {
+		return p.reachableBuf
 	}
-	for i := range p.reach {
-		p.reach[i] = max(p.reach[i], from.parts)
+	for i := range p.reachableBuf {
+		p.reachableBuf[i] = max(p.reachableBuf[i], source.blocks)
 	}
-	return p.reach
+	return p.reachableBuf
 }
 
-// server gives the engine that the reader fetches from; nil if it holds as much itself.
-func (s source) server(fleet *decision.Fleet, held, reach []int, reader int) *decision.Server {
-	if s.index < 0 || s.index == reader || reach[reader] <= held[reader] {
+// serverFor returns the engine that the prefilling engine fetches from; nil if it has as many
+// blocks itself.
+func (s fetchSource) serverFor(fleet *decision.Fleet, cached, reachable []int, prefiller int) *decision.Server {
+	if s.index < 0 || s.index == prefiller || reachable[prefiller] <= cached[prefiller] {
 		return nil
 	}
 	return &fleet.Servers[s.index]
 }
 
-// copyPrice is what a copy of a part counts beside the time of its fetch, as a share of the
-// time in which the part is read: in the reader's memory it takes the place of others, which
-// are read again then. Without it parts are copied to pass by queues of some milliseconds,
-// until no engine has room for those that it is the only one to hold.
-const copyPrice = 0.25
+// copyWeight is the cost of another copy of a block besides its fetch time, as a share of the
+// time to prefill the block. The copy evicts other blocks from the engine's memory, which are
+// then prefilled again. Without it blocks are copied to avoid queues of a few milliseconds, until
+// engines have no room for the blocks that only they hold.
+const copyWeight = 0.25
 
-// fetchCost is how long the parts beyond those held take to fetch, and the price of their
-// copy, in seconds.
-func fetchCost(w *decision.Work, server *decision.Server, held, reach int) float64 {
-	if reach <= held {
+// fetchCost is the time in seconds to fetch the blocks that are not cached, plus the cost of
+// holding another copy of them.
+func fetchCost(w *decision.Work, server *decision.Server, cached, reachable int) float64 {
+	if reachable <= cached {
 		return 0
 	}
-	tokens := float64(w.HeldTokens(reach) - w.HeldTokens(held))
-	return fetchOverhead + tokens/w.Pace.MoveRate + copyPrice*tokens/max(1, server.PrefillRate())
+	tokens := float64(w.HeldTokens(reachable) - w.HeldTokens(cached))
+	return fetchOverhead + tokens/w.Pace.MoveRate + copyWeight*tokens/max(1, server.PrefillRate())
 }
--- a/internal/decision/placement/fetch_test.go
+++ b/internal/decision/placement/fetch_test.go
@@ -11,96 +11,97 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// fetchingFleet is three engines, the part of sharedWork(_, 1) read at its home.
-func fetchingFleet(t *testing.T) (*Picker, *decision.Fleet, *decision.Server) {
+// fleetWithFetch returns three engines and the owner of the prefix of fetchableWork; the owner
+// has not been recorded as holding it.
+func fleetWithFetch(t *testing.T) (*Picker, *decision.Fleet, *decision.Server) {
 	t.Helper()
 	fleet := &decision.Fleet{Entries: 7, PartsReported: true}
 	for i := range 3 {
-		fleet.Servers = append(fleet.Servers, countingEngine(i, engineapi.RoleMixed))
+		fleet.Servers = append(fleet.Servers, countsOnlyEngine(i, engineapi.RoleMixed))
 	}
 	p := New()
-	home, ok := p.Pick(0, fetched(1), fleet)
-	if !ok || home.FetchFrom != nil {
-		t.Fatalf("the first prompt: %+v", home)
+	owner, ok := p.Pick(0, fetchableWork(1), fleet)
+	if !ok || owner.FetchFrom != nil {
+		t.Fatalf("first prompt: choice %+v", owner)
 	}
-	i := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID == home.Server.ID })
+	i := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID == owner.Server.ID })
 	return p, fleet, &fleet.Servers[i]
 }
 
-func fetched(n int) *decision.Work {
-	w := sharedWork(n, 1)
+func fetchableWork(n int) *decision.Work {
+	w := sharedPrefixWork(n, 1)
 	w.Pace.MoveRate = 2.5e6
 	return w
 }
 
-// The engine that holds a prompt's long shared part has a queue of a second, others idle.
-// Read anew the part takes them half a second; fetched it takes 10 ms, so that the prompt
-// neither waits nor costs others that time. Whoever has not been seen to hold the part is
-// no source, nor one that was seen long ago, or that leaves.
-func TestPartIsFetchedPastABusyHolder(t *testing.T) {
-	p, fleet, home := fetchingFleet(t)
-	home.OthersWaiting, home.UsualUnread = 8, 4000
-	if choice, _ := p.Pick(0, fetched(2), fleet); choice.FetchFrom != nil {
-		t.Fatal("fetches from a home that was not seen to read the part")
+// The engine that holds a prompt's long shared prefix has a queue of a second while others are
+// idle. Prefilling the prefix again takes them half a second, fetching it 10 ms. The prefix must
+// be fetched, but not from an engine that was never observed to hold it, that last used it long
+// ago, or that is leaving.
+func TestSharedPrefixIsFetchedFromBusyHolder(t *testing.T) {
+	p, fleet, owner := fleetWithFetch(t)
+	owner.OthersWaiting, owner.UsualUnread = 8, 4000
+	if choice, _ := p.Pick(0, fetchableWork(2), fleet); choice.FetchFrom != nil {
+		t.Fatal("fetches from an owner that was never observed to prefill the prefix")
 	}
-	p.RecordCachedBlocks(0, home.ID, fetched(1).Prefix[:1])
-	choice, ok := p.Pick(time.Second, fetched(3), fleet)
-	if !ok || choice.FetchFrom == nil || choice.FetchFrom.ID != home.ID || choice.Server.ID == home.ID || choice.UncachedTokens != 3700 {
+	p.RecordCachedBlocks(0, owner.ID, fetchableWork(1).Prefix[:1])
+	choice, ok := p.Pick(time.Second, fetchableWork(3), fleet)
+	if !ok || choice.FetchFrom == nil || choice.FetchFrom.ID != owner.ID || choice.Server.ID == owner.ID || choice.UncachedTokens != 3700 {
 		t.Fatalf("choice %+v", choice)
 	}
-	if late, _ := p.Pick(believeFetch, fetched(4), fleet); late.FetchFrom != nil {
-		t.Errorf("fetches what was seen %v ago", believeFetch)
+	if late, _ := p.Pick(maxFetchAge, fetchableWork(4), fleet); late.FetchFrom != nil {
+		t.Errorf("fetches a prefix that was last used %v ago", maxFetchAge)
 	}
-	home.Usable = false
-	if gone, _ := p.Pick(time.Second, fetched(5), fleet); gone.FetchFrom != nil {
-		t.Error("fetches from an engine that leaves")
+	owner.Usable = false
+	if gone, _ := p.Pick(time.Second, fetchableWork(5), fleet); gone.FetchFrom != nil {
+		t.Error("fetches from an engine that is leaving")
 	}
 }
 
-// Where nothing is told of links nothing is fetched, nor among entries that don't report
-// to each other what was read: there all requests for a part go to its home.
-func TestNothingIsFetchedOverUnknownLinksOrUnreported(t *testing.T) {
-	p, fleet, home := fetchingFleet(t)
-	p.RecordCachedBlocks(0, home.ID, fetched(1).Prefix[:1])
-	home.OthersWaiting, home.UsualUnread = 8, 4000
-	if choice, _ := p.Pick(time.Second, sharedWork(2, 1), fleet); choice.FetchFrom != nil {
-		t.Errorf("unknown links: %+v", choice)
+// Nothing must be fetched if the link rate is unknown or if entries do not report to each other
+// what was prefilled: then all requests for a prefix go to its owner.
+func TestNoFetchWithoutLinkRateOrPeerReports(t *testing.T) {
+	p, fleet, owner := fleetWithFetch(t)
+	p.RecordCachedBlocks(0, owner.ID, fetchableWork(1).Prefix[:1])
+	owner.OthersWaiting, owner.UsualUnread = 8, 4000
+	if choice, _ := p.Pick(time.Second, sharedPrefixWork(2, 1), fleet); choice.FetchFrom != nil {
+		t.Errorf("unknown link rate: choice %+v", choice)
 	}
 	fleet.PartsReported = false
-	if choice, _ := p.Pick(time.Second, fetched(3), fleet); choice.FetchFrom != nil {
-		t.Errorf("not reported: %+v", choice)
+	if choice, _ := p.Pick(time.Second, fetchableWork(3), fleet); choice.FetchFrom != nil {
+		t.Errorf("without reports between entries: choice %+v", choice)
 	}
-	other := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID != home.ID })
-	p.RecordCachedBlocks(time.Second, fleet.Servers[other].ID, fetched(1).Prefix[:1])
-	home.OthersWaiting = 0
-	if choice, _ := p.Pick(time.Minute, fetched(4), fleet); choice.Server.ID != home.ID {
-		t.Errorf("not reported, the home idles: %+v", choice)
+	other := slices.IndexFunc(fleet.Servers, func(s decision.Server) bool { return s.ID != owner.ID })
+	p.RecordCachedBlocks(time.Second, fleet.Servers[other].ID, fetchableWork(1).Prefix[:1])
+	owner.OthersWaiting = 0
+	if choice, _ := p.Pick(time.Minute, fetchableWork(4), fleet); choice.Server.ID != owner.ID {
+		t.Errorf("without reports between entries, idle owner: choice %+v", choice)
 	}
 }
 
-// A burst of prompts with one of 68 shared parts each, at three fifths of what six engines
-// read if each part is read once. By homes alone the hot ones have queues beside engines
-// that idle. Fetched, nine prompts of ten must be read in four fifths of that time or less,
-// at engines of any speed.
+// A burst of prompts with one of 68 shared prefixes each, at 60% of what six engines can prefill
+// if each prefix is prefilled once. Without fetching, frequently used prefixes queue at their
+// owners while other engines are idle. With fetching the 90th percentile of the time to prefill
+// must fall by at least a fifth, whatever the engines' speed.
 func TestBurstWithFetchingWaitsLess(t *testing.T) {
 	for _, rate := range []float64{20000, 60000, 150000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			play := func(moveRate float64) (p90 time.Duration, again int) {
-				const seconds, own = 20, 3700
-				f, p, draw := newReadingFleet(6), New(), rand.New(rand.NewPCG(1, 2))
-				f.rate, f.room = rate, 45
+			play := func(moveRate float64) (p90 time.Duration, repeated int) {
+				const seconds, ownTokens = 20, 3700
+				f, p, rng := newPrefillFleet(6), New(), rand.New(rand.NewPCG(1, 2))
+				f.rate, f.cacheCapacity = rate, 45
 				f.fleet.PartsReported = true
 				for i := range f.fleet.Servers {
 					f.fleet.Servers[i].Load.PrefillRate = rate
 					f.fleet.Servers[i].Load.KVTokens = 1_500_000
 				}
-				perSecond := 0.6 * 6 * rate / own
-				var took []time.Duration
+				perSecond := 0.6 * 6 * rate / ownTokens
+				var latencies []time.Duration
 				for n := range int(perSecond * seconds) {
 					now := time.Duration(float64(n) / perSecond * float64(time.Second))
-					w := sharedWork(n, int(float64(sharedKinds)*draw.Float64()*draw.Float64()))
+					w := sharedPrefixWork(n, int(float64(sharedPrefixCount)*rng.Float64()*rng.Float64()))
 					w.Pace.MoveRate = moveRate
-					f.look(now)
+					f.updateQueues(now)
 					choice, ok := p.Pick(now, w, f.fleet)
 					if !ok {
 						continue
@@ -110,16 +111,16 @@
 					if choice.FetchFrom != nil {
 						f.fetch(i, w)
 					}
-					took = append(took, f.read(now, i, w))
+					latencies = append(latencies, f.prefill(now, i, w))
 				}
-				slices.Sort(took)
-				return took[len(took)*9/10], f.again
+				slices.Sort(latencies)
+				return latencies[len(latencies)*9/10], f.repeatedTokens
 			}
-			read, readAgain := play(0)
-			fetched, fetchedAgain := play(2.5e6)
-			t.Logf("nine of ten are read within %v by homes, %v with fetching; %d and %d tokens again", read, fetched, readAgain, fetchedAgain)
-			if fetched > read*4/5 {
-				t.Errorf("within %v by homes, %v with fetching; %d and %d tokens again", read, fetched, readAgain, fetchedAgain)
+			withoutFetch, repeatedWithout := play(0)
+			withFetch, repeatedWith := play(2.5e6)
+			t.Logf("p90 of the time to prefill: %v without fetching, %v with it; %d and %d tokens prefilled again", withoutFetch, withFetch, repeatedWithout, repeatedWith)
+			if withFetch > withoutFetch*4/5 {
+				t.Errorf("p90 of the time to prefill: %v without fetching, %v with it; %d and %d tokens prefilled again", withoutFetch, withFetch, repeatedWithout, repeatedWith)
 			}
 		})
 	}
--- a/internal/decision/placement/filter.go
+++ b/internal/decision/placement/filter.go
@@ -7,74 +7,74 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// Bounds on bulk work at one server. Without them a burst of dossiers takes all
-// slots and memory for a minute, and a clerk's question finds no place however
-// urgent it is: an engine's priorities order what has a slot, they don't free one.
+// Limits on bulk work at one server. Without them a burst of long prompts takes all slots and
+// memory for a minute, and an urgent request finds no slot: an engine's priorities order the
+// requests that have a slot but free none.
 const (
-	// bulkSlots is the part of the slots that bulk work may fill.
-	bulkSlots = 0.75
-	// bulkSlotsRanked takes its place at engines that begin requests in the order of
-	// rank, as those do that report counts only: a slot that falls free goes to urgent
-	// work first, and with 100 streams one falls free each 20 ms.
-	bulkSlotsRanked = 0.95
-	// queuedDecodes is how many times its places an engine that ranks may get to decode: it
-	// begins them by rank as places fall free. Held at the entries instead, work that is read
-	// already waits for word of a free place, and the place for the work.
-	queuedDecodes = 2
-	// bulkMemory is the part of the KV memory that bulk work may fill; a
-	// question takes a fiftieth of what a dossier does.
-	bulkMemory = 0.9
-	// bulkBacklog is how much prefill may wait at a server before bulk work
-	// waits in the entry's queue instead, where it can still go elsewhere: more
-	// than the second of a report's lag, so that no server idles.
-	bulkBacklog = 3 * time.Second
+	// bulkSlotShare is the share of the slots that bulk work may fill.
+	bulkSlotShare = 0.75
+	// bulkSlotShareByRank is the same at engines that start requests by rank, which are the ones
+	// that report counts only. There urgent work gets the next slot that becomes free, and with
+	// 100 streams one becomes free every 20 ms.
+	bulkSlotShareByRank = 0.95
+	// decodeQueueFactor is how many requests an engine that starts them by rank may have for
+	// decode, as a multiple of its slots. If they were held back at the entries instead,
+	// prefilled requests would wait for the report of a free slot while the slot is idle.
+	decodeQueueFactor = 2
+	// bulkMemoryShare is the share of the KV memory that bulk work may fill; an urgent request
+	// takes about a fiftieth of the memory of a bulk request.
+	bulkMemoryShare = 0.9
+	// maxBulkPrefillWait is the prefill backlog of a server above which bulk work waits in the
+	// entry's queue instead, where it can still go to another server. It exceeds the one second
+	// by which reports lag, so that no server runs idle.
+	maxBulkPrefillWait = 3 * time.Second
 )
 
-// part says which part of a request a server is to do.
-type part int
+// phase tells which part of a request a server is to run.
+type phase int
 
 const (
-	both part = iota
-	prefillEnd
-	decodeEnd
+	prefillAndDecode phase = iota
+	prefillOnly
+	decodeOnly
 )
 
-// hasRoom tells whether the server has a slot, memory and, for bulk work, no
+// hasCapacity reports whether the server has a free slot, enough memory and, for bulk work, no
 // long prefill backlog.
-func hasRoom(w *decision.Work, server *decision.Server, l *load, slots float64, p part) bool {
+func hasCapacity(w *decision.Work, server *decision.Server, l *load, slots float64, p phase) bool {
 	bulk := w.Class == declaration.ClassBulk && w.Kind != declaration.KindPlain
 	if bulk {
-		slots = max(1, slots*bulkSlotsOf(server))
+		slots = max(1, slots*bulkSlotShareOf(server))
 	}
-	if p == decodeEnd && server.CountsOnly {
-		slots *= queuedDecodes
+	if p == decodeOnly && server.CountsOnly {
+		slots *= decodeQueueFactor
 	}
 	if l.requests >= slots {
 		return false
 	}
 	if !bulk {
-		return fitsMemory(w, server, l, 1)
+		return fitsKVMemory(w, server, l, 1)
 	}
-	waits := l.prefill > bulkBacklog.Seconds()*server.PrefillRate()
-	if p != decodeEnd && w.KVTokens == 0 && waits {
+	backlogged := l.prefillTokens > maxBulkPrefillWait.Seconds()*server.PrefillRate()
+	if p != decodeOnly && w.KVTokens == 0 && backlogged {
 		return false
 	}
-	return fitsMemory(w, server, l, bulkMemory)
+	return fitsKVMemory(w, server, l, bulkMemoryShare)
 }
 
-func bulkSlotsOf(server *decision.Server) float64 {
+func bulkSlotShareOf(server *decision.Server) float64 {
 	if server.CountsOnly {
-		return bulkSlotsRanked
+		return bulkSlotShareByRank
 	}
-	return bulkSlots
+	return bulkSlotShare
 }
 
-// fitsMemory tells whether the request's KV cache fits; an empty server takes any
-// that its engine takes.
-func fitsMemory(w *decision.Work, server *decision.Server, l *load, share float64) bool {
+// fitsKVMemory reports whether the request's KV cache fits. An empty server accepts any request
+// that its engine accepts.
+func fitsKVMemory(w *decision.Work, server *decision.Server, l *load, share float64) bool {
 	if server.Load.KVTokens == 0 || l.requests == 0 {
 		return true
 	}
 	need := float64(w.PromptTokens + w.OutputTokens)
-	return l.kv+need <= share*float64(server.Load.KVTokens)
+	return l.kvTokens+need <= share*float64(server.Load.KVTokens)
 }
--- a/internal/decision/placement/groups_test.go
+++ b/internal/decision/placement/groups_test.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// groupReport is how often an aggregator tells the others its sum.
-	groupReport = 100 * time.Millisecond
-	// groupMembers is how many entries report to one.
-	groupMembers = 20
-	// manyFor is how long many engines are played: as many prompts as few get in fewFor.
-	manyFor, fewFor = 2 * time.Second, 20 * time.Second
+	// groupReportInterval is how often an aggregator sends its sum to the others.
+	groupReportInterval = 100 * time.Millisecond
+	// entriesPerGroup is how many entries report to one aggregator.
+	entriesPerGroup = 20
+	// Simulated time with many and with few engines; both get about as many prompts.
+	manyEnginesDuration, fewEnginesDuration = 2 * time.Second, 20 * time.Second
 )
 
-// reportRound lets entries, or aggregators, report to each other and gives when the next
-// round is.
-func (f *sharedEngines) reportRound(now time.Duration, sequence uint64) time.Duration {
+// reportRound makes entries, or aggregators, report to each other and returns the time until the
+// next round.
+func (f *engineSim) reportRound(now time.Duration, sequence uint64) time.Duration {
 	if f.groupSize == 0 {
 		f.reportAll(now, sequence)
-		return sharingReport
+		return entryReportInterval
 	}
 	f.groupSums = f.groupSums[:0]
 	for from := 0; from < len(f.entries); from += f.groupSize {
-		f.groupSums = append(f.groupSums, f.sum(from, -1))
+		f.groupSums = append(f.groupSums, f.sumBacklogs(from, -1))
 	}
-	return groupReport
+	return groupReportInterval
 }
 
-// sum gives the backlogs of the group that begins at an entry, but for one entry's.
-func (f *sharedEngines) sum(from, except int) map[string]decision.Backlog {
+// sumBacklogs returns the backlogs of the group that begins at an entry, without those of one
+// entry.
+func (f *engineSim) sumBacklogs(from, except int) map[string]decision.Backlog {
 	sums := make(map[string]decision.Backlog)
-	for i, list := range f.running {
+	for i, pending := range f.running {
 		b := sums[engineName(i)]
-		for _, r := range list {
+		for _, r := range pending {
 			if r.entry >= from && r.entry < from+f.groupSize && r.entry != except {
 				b.Requests++
 				b.Unread.Put(0, r.tokens)
@@ -47,19 +48,19 @@
 	return sums
 }
 
-// askAggregator gives an entry what its aggregator knows: its own group's backlogs as they
-// are, those of the others as they were told last.
-func (f *sharedEngines) askAggregator(now time.Duration, entry int, sequence uint64) {
+// takeAggregatorReport passes an entry what its aggregator knows: the current backlogs of its own
+// group and the last reported ones of the other groups.
+func (f *engineSim) takeAggregatorReport(now time.Duration, entry int, sequence uint64) {
 	if f.groupSize == 0 {
 		return
 	}
 	own := entry / f.groupSize
-	sums := f.sum(own*f.groupSize, entry)
-	for i, told := range f.groupSums {
+	sums := f.sumBacklogs(own*f.groupSize, entry)
+	for i, groupSum := range f.groupSums {
 		if i == own {
 			continue
 		}
-		for server, b := range told {
+		for server, b := range groupSum {
 			sum := sums[server]
 			sum.Add(b)
 			sums[server] = sum
@@ -70,8 +71,9 @@
 	})
 }
 
-// othersFirst deals the engines out to the groups.
-func (f *sharedEngines) othersFirst(entry, engine int) bool {
+// otherGroupFirst reports whether an engine is preferred by another group than the entry's;
+// engines are assigned to groups in turn.
+func (f *engineSim) otherGroupFirst(entry, engine int) bool {
 	if f.groupSize == 0 {
 		return false
 	}
@@ -79,34 +81,34 @@
 	return engine%groups != entry/f.groupSize
 }
 
-// groupedEngines are engines before entries that report through aggregators.
-func groupedEngines(entries, engines int, rate float64) *sharedEngines {
-	f := sharedEnginesOf(entries, engines, rate, true)
-	groups := (entries + groupMembers - 1) / groupMembers
+// newGroupedSim returns a simulation in which entries report through aggregators.
+func newGroupedSim(entries, engines int, rate float64) *engineSim {
+	f := newEngineSimOf(entries, engines, rate, true)
+	groups := (entries + entriesPerGroup - 1) / entriesPerGroup
 	f.groupSize = (entries + groups - 1) / groups
 	return f
 }
 
-// Nearly two hundred entries share 78 engines and see a few prompts a second each. By the
-// counts in its own answers an entry chooses blindly: prompts wait behind others while
-// engines idle, and the more entries there are the longer. Told by an aggregator, an entry
-// among hundreds must choose about as well as one of nine that tell each other directly,
-// and better by a third at least than by counts, at engines of any speed.
-func TestEntryAmongHundredsChoosesAsWellAsAmongFew(t *testing.T) {
-	p90 := func(f *sharedEngines) time.Duration {
-		took := f.waitsFor(manyFor)
-		return took[len(took)*9/10]
+// Nearly two hundred entries share 78 engines and each sees a few prompts a second. If an entry
+// knows only the counts in its own answers, prompts wait behind others while engines are idle,
+// and the waits grow with the number of entries. With reports through aggregators, the waits must
+// be about as short as with nine entries that report to each other directly, and at least a third
+// shorter than by counts, whatever the engines' speed.
+func TestHundredsOfEntriesWaitAboutAsLongAsNine(t *testing.T) {
+	p90 := func(f *engineSim) time.Duration {
+		waits := f.queueWaitsFor(manyEnginesDuration)
+		return waits[len(waits)*9/10]
 	}
 	for _, rate := range []float64{25000, 60000, 200000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			fewTook := sharedEnginesOf(9, 8, rate, true).waitsFor(fewFor)
-			few := fewTook[len(fewTook)*9/10]
-			counts := p90(sharedEnginesOf(191, 78, rate, false))
+			fewWaits := newEngineSimOf(9, 8, rate, true).queueWaitsFor(fewEnginesDuration)
+			few := fewWaits[len(fewWaits)*9/10]
+			byCounts := p90(newEngineSimOf(191, 78, rate, false))
 			for _, entries := range []int{84, 191, 330} {
-				told := p90(groupedEngines(entries, 78, rate))
-				t.Logf("%d entries: nine waits of ten are shorter than %v; nine entries: %v; by counts: %v", entries, told, few, counts)
-				if told > counts*2/3 || told > few*3/2 {
-					t.Errorf("%d entries: %v, nine entries %v, by counts %v", entries, told, few, counts)
+				aggregated := p90(newGroupedSim(entries, 78, rate))
+				t.Logf("%d entries: p90 of the queue wait %v; nine entries: %v; by counts: %v", entries, aggregated, few, byCounts)
+				if aggregated > byCounts*2/3 || aggregated > few*3/2 {
+					t.Errorf("%d entries: p90 of the queue wait %v, nine entries %v, by counts %v", entries, aggregated, few, byCounts)
 				}
 			}
 		})
--- a/internal/decision/placement/limit.go
+++ b/internal/decision/placement/limit.go
@@ -10,101 +10,100 @@
 
 // Bounds and steps of the factor by which a server's slots are multiplied.
 const (
-	// fullFactor: all slots.
 	fullFactor = 1.0
-	// minFactor keeps a slow server at a few requests: without any it could
-	// never show that it is fast again.
+	// minFactor leaves a slow server a few requests: without any it could never show that it has
+	// recovered.
 	minFactor = 0.1
-	// increase per good result; from minFactor to full in some 45 results.
-	increase = 0.02
-	// decrease on a bad one.
-	decrease = 0.8
-	// slowBy is how many times the median time of the servers that do the same work
-	// counts as slow. They are compared as they are now: a full batch takes 1.8 to 2.9
-	// times what one stream takes alone, which is no fault of the server.
-	slowBy = 2.5
-	// minCompared is how many such servers must be known, itself included: of two,
-	// neither is the usual one.
-	minCompared = 3
-	// decreaseEvery bounds decreases to one per interval: all streams of one
-	// slow second tell the same thing.
-	decreaseEvery = time.Second
-	// smoothing is the weight of a new result in a server's average.
-	smoothing = 0.1
+	// factorIncrease is added per good result: some 45 results lead from minFactor to fullFactor.
+	factorIncrease = 0.02
+	// factorDecrease multiplies the factor on a bad result.
+	factorDecrease = 0.8
+	// slowThreshold is the multiple of the median token time of comparable servers above which a
+	// server counts as slow. A step with a full batch takes 1.8 to 2.9 times as long as one with
+	// a single stream, which is no fault of the server, so only current times are compared.
+	slowThreshold = 2.5
+	// minComparedServers is the number of servers, itself included, that a comparison needs: of
+	// two servers neither is the normal one.
+	minComparedServers = 3
+	// decreaseInterval is the minimum time between decreases: all streams of one slow second show
+	// the same problem.
+	decreaseInterval = time.Second
+	// averageWeight is the weight of a new result in a server's moving average.
+	averageWeight = 0.1
 )
 
-// limit is what is known of one server.
-type limit struct {
-	id   string
-	work sameWork
-	// factor of the slots that may be used.
+// serverLimit is the concurrency limit of one server.
+type serverLimit struct {
+	id    string
+	group comparisonGroup
+	// factor is the share of the slots that may be used.
 	factor float64
-	// tokenTime is the smoothed time per token, in seconds; 0 when not known.
-	tokenTime float64
-	decreased time.Duration
+	// tokenTime is the moving average of the time per token, in seconds; 0 if unknown.
+	tokenTime    float64
+	lastDecrease time.Duration
 }
 
-// sameWork names servers whose times can be compared: a call of a plain service takes
-// 20 ms, ten tokens of a stream 90 ms.
-type sameWork struct {
+// comparisonGroup identifies servers whose times can be compared. A call of a plain service takes
+// 20 ms, ten tokens of a stream take 90 ms.
+type comparisonGroup struct {
 	kind, pool string
 	role       engineapi.Role
 }
 
-func workOf(s *decision.Server) sameWork {
-	w := sameWork{kind: s.Kind, pool: s.Model, role: s.Role}
+func groupOf(s *decision.Server) comparisonGroup {
+	group := comparisonGroup{kind: s.Kind, pool: s.Model, role: s.Role}
 	if len(s.Services) > 0 {
-		w.pool = s.Services[0]
+		group.pool = s.Services[0]
 	}
-	return w
+	return group
 }
 
-// limits has them by id, and aligned with the fleet so that a pick looks nothing
-// up in a map while the fleet stays the same.
-type limits struct {
-	byID    map[string]*limit
-	aligned []*limit
-	// index has each server's place in the fleet.
-	index map[string]int
-	// times is used again for each comparison.
-	times []float64
+// serverLimits holds the limits by server id, and aligned with the fleet so that a pick needs no
+// map lookup while the fleet is unchanged.
+type serverLimits struct {
+	byID    map[string]*serverLimit
+	aligned []*serverLimit
+	// indexByID holds each server's index in the fleet.
+	indexByID map[string]int
+	// timesBuf is reused by every comparison.
+	timesBuf []float64
 }
 
-func newLimits() limits {
-	return limits{byID: make(map[string]*limit), index: make(map[string]int)}
+func newServerLimits() serverLimits {
+	return serverLimits{byID: make(map[string]*serverLimit), indexByID: make(map[string]int)}
 }
 
-func (l *limits) align(fleet *decision.Fleet) {
+func (l *serverLimits) alignWith(fleet *decision.Fleet) {
 	if len(l.aligned) != len(fleet.Servers) {
-		l.aligned = make([]*limit, len(fleet.Servers))
-		clear(l.index)
+		l.aligned = make([]*serverLimit, len(fleet.Servers))
+		clear(l.indexByID)
 	}
 	for i := range fleet.Servers {
 		id := fleet.Servers[i].ID
 		if l.aligned[i] == nil || l.aligned[i].id != id {
-			l.aligned[i] = l.of(id)
-			l.index[id] = i
+			l.aligned[i] = l.get(id)
+			l.indexByID[id] = i
 		}
-		l.aligned[i].work = workOf(&fleet.Servers[i])
+		l.aligned[i].group = groupOf(&fleet.Servers[i])
 	}
 }
 
-// indexOf gives a server's place in the fleet that was aligned last.
-func (l *limits) indexOf(fleet *decision.Fleet, id string) (int, bool) {
-	i, ok := l.index[id]
+// indexOf returns a server's index in the fleet that was aligned last.
+func (l *serverLimits) indexOf(fleet *decision.Fleet, id string) (int, bool) {
+	i, ok := l.indexByID[id]
 	return i, ok && fleet.Servers[i].ID == id
 }
 
-func (l *limits) of(id string) *limit {
-	known := l.byID[id]
-	if known == nil {
-		known = &limit{id: id, factor: fullFactor}
-		l.byID[id] = known
+func (l *serverLimits) get(id string) *serverLimit {
+	limit := l.byID[id]
+	if limit == nil {
+		limit = &serverLimit{id: id, factor: fullFactor}
+		l.byID[id] = limit
 	}
-	return known
+	return limit
 }
 
-func (l *limits) forget(id string) {
+func (l *serverLimits) forget(id string) {
 	delete(l.byID, id)
 	for i := range l.aligned {
 		if l.aligned[i] != nil && l.aligned[i].id == id {
@@ -113,33 +112,33 @@
 	}
 }
 
-func (l *limits) observe(now time.Duration, id string, r Result) {
-	server := l.of(id)
+func (l *serverLimits) observe(now time.Duration, id string, r Result) {
+	server := l.get(id)
 	if r.Failed {
-		server.lower(now)
+		server.decrease(now)
 		return
 	}
 	measured := tokenTime(r)
 	if measured <= 0 {
 		return
 	}
-	server.tokenTime = smooth(server.tokenTime, measured)
-	if usual, ok := l.usual(server.work); ok && server.tokenTime > slowBy*usual {
-		server.lower(now)
+	server.tokenTime = movingAverage(server.tokenTime, measured)
+	if median, ok := l.medianTokenTime(server.group); ok && server.tokenTime > slowThreshold*median {
+		server.decrease(now)
 		return
 	}
-	server.factor = min(fullFactor, server.factor+increase)
+	server.factor = min(fullFactor, server.factor+factorIncrease)
 }
 
-func (s *limit) lower(now time.Duration) {
-	if s.decreased != 0 && now-s.decreased < decreaseEvery {
+func (s *serverLimit) decrease(now time.Duration) {
+	if s.lastDecrease != 0 && now-s.lastDecrease < decreaseInterval {
 		return
 	}
-	s.decreased = now
-	s.factor = max(minFactor, s.factor*decrease)
+	s.lastDecrease = now
+	s.factor = max(minFactor, s.factor*factorDecrease)
 }
 
-// tokenTime is the time per token in seconds, or per call of a plain service.
+// tokenTime is the time per token in seconds, or the time per call of a plain service.
 func tokenTime(r Result) float64 {
 	if r.Tokens > 1 {
 		return r.DecodeTime.Seconds() / float64(r.Tokens-1)
@@ -147,35 +146,35 @@
 	return r.TotalTime.Seconds()
 }
 
-// usual is the median of the present times of the servers that do the same work, which
-// a third of slow ones does not move; false while too few are known.
+// medianTokenTime is the median of the current token times of a group. It is not affected if up
+// to a third of the servers are slow. It returns false if too few times are known.
 //
-// Failure: held against the time that was usual before, all engines of a fleet counted as
-// slow when its load rose, and as slow beside plain services, whose calls are short. Their
-// places fell to a half and less, and requests waited two seconds, beside engines that had
-// room.
-func (l *limits) usual(work sameWork) (float64, bool) {
-	l.times = l.times[:0]
+// Two simpler comparisons fail. Compared with their own earlier times, all engines of a fleet
+// count as slow when its load rises; compared with plain services, whose calls are short, they
+// count as slow as well. In both cases the limits fell to half of the slots and less, and
+// requests waited two seconds although engines had free slots.
+func (l *serverLimits) medianTokenTime(group comparisonGroup) (float64, bool) {
+	l.timesBuf = l.timesBuf[:0]
 	for _, s := range l.aligned {
-		if s != nil && s.work == work && s.tokenTime > 0 {
-			l.times = append(l.times, s.tokenTime)
+		if s != nil && s.group == group && s.tokenTime > 0 {
+			l.timesBuf = append(l.timesBuf, s.tokenTime)
 		}
 	}
-	if len(l.times) < minCompared {
+	if len(l.timesBuf) < minComparedServers {
 		return 0, false
 	}
-	slices.Sort(l.times)
-	return l.times[len(l.times)/2], true
+	slices.Sort(l.timesBuf)
+	return l.timesBuf[len(l.timesBuf)/2], true
 }
 
-func smooth(old, value float64) float64 {
-	if old == 0 {
+func movingAverage(average, value float64) float64 {
+	if average == 0 {
 		return value
 	}
-	return old + smoothing*(value-old)
+	return average + averageWeight*(value-average)
 }
 
-// slots is how many requests the server may have, at least one.
-func (s *limit) slots(server *decision.Server) float64 {
+// allowedSlots is how many requests the server may have, at least one.
+func (s *serverLimit) allowedSlots(server *decision.Server) float64 {
 	return max(1, s.factor*float64(max(1, server.Slots)))
 }
--- a/internal/decision/placement/limit_test.go
+++ b/internal/decision/placement/limit_test.go
@@ -10,16 +10,16 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// The load of three engines rises within seconds from some streams each to full batches,
-// in which a token takes three times as long; beside them plain services answer calls in
-// 20 ms. No engine is slow, but each was held against the time that was usual before and
-// against the calls: their places fell to 50 of 128 and less just when all were needed.
-func TestRisingLoadIsNoSlowServer(t *testing.T) {
+// The load of three engines rises within seconds from a few streams each to full batches, in
+// which a token takes three times as long. Beside them plain services answer calls in 20 ms. No
+// engine is slow. If engines are compared with their earlier times or with the plain services,
+// their limits fall to 50 of 128 slots and less just when all slots are needed.
+func TestRisingLoadIsNotTakenForSlowServer(t *testing.T) {
 	for _, step := range []time.Duration{8 * time.Millisecond, 30 * time.Millisecond, 150 * time.Millisecond} {
 		t.Run(step.String(), func(t *testing.T) {
 			p, fleet := New(), &decision.Fleet{Entries: 1}
 			for i := range 3 {
-				s := countingEngine(i, engineapi.RoleMixed)
+				s := countsOnlyEngine(i, engineapi.RoleMixed)
 				s.Slots = 128
 				fleet.Servers = append(fleet.Servers, s)
 			}
@@ -29,17 +29,17 @@
 					Role: engineapi.RoleMixed, Usable: true, Slots: 6,
 				})
 			}
-			p.limits.align(fleet)
+			p.limits.alignWith(fleet)
 			now := time.Duration(0)
 			for n := range 600 {
 				now += 20 * time.Millisecond
 				fill := min(1, float64(n)/200)
-				event := time.Duration(float64(step) * (1 + 2*fill))
-				p.Observe(now, fleet.Servers[n%3].ID, Result{DecodeTime: 20 * event, Tokens: 21})
+				tokenTime := time.Duration(float64(step) * (1 + 2*fill))
+				p.Observe(now, fleet.Servers[n%3].ID, Result{DecodeTime: 20 * tokenTime, Tokens: 21})
 				p.Observe(now, fleet.Servers[3+n%5].ID, Result{TotalTime: 20 * time.Millisecond})
 				for i := range 3 {
-					if got := p.limits.of(fleet.Servers[i].ID).slots(&fleet.Servers[i]); got < 128 {
-						t.Fatalf("after %v %s may have %.0f of 128", now, fleet.Servers[i].ID, got)
+					if slots := p.limits.get(fleet.Servers[i].ID).allowedSlots(&fleet.Servers[i]); slots < 128 {
+						t.Fatalf("after %v the limit of %s is %.0f of 128 slots", now, fleet.Servers[i].ID, slots)
 					}
 				}
 			}
--- a/internal/decision/placement/load.go
+++ b/internal/decision/placement/load.go
@@ -6,54 +6,54 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// load is a server's load as it is reckoned to be now.
+// load is the estimated current load of a server.
 type load struct {
-	requests float64
-	prefill  float64 // tokens that wait for prefill
-	urgent   float64 // those of them that urgent work waits for
-	decode   float64 // tokens that are still to be decoded
-	kv       float64 // tokens of KV memory in use
+	requests            float64
+	prefillTokens       float64 // tokens that wait for prefill
+	urgentPrefillTokens float64 // tokens whose prefill urgent work has to wait for
+	decodeTokens        float64 // tokens still to be decoded
+	kvTokens            float64 // tokens of KV memory in use
 }
 
-// others is how much of what this entry sent since the last report each of the
-// other entries is reckoned to have sent too. With 1 a single request would
-// count nine times and a server just used would be shunned; with 0 nine entries
-// would each fill the same free slots.
-const others = 0.3
+// otherEntriesFactor is how much each of the other entries is assumed to have sent since the last
+// report, relative to what this entry has sent. With 1 a single request would count nine times on
+// nine entries, and a server just used would be avoided; with 0 each of the nine entries would
+// fill the same free slots.
+const otherEntriesFactor = 0.3
 
-// loadOf corrects the report for its lag: what the server has worked off since
-// is taken away, what was sent since is added. Without that every request
-// between two reports goes to the same server.
-func loadOf(now time.Duration, w *decision.Work, server *decision.Server, entries int) load {
+// estimateLoad corrects the report for its age: it subtracts what the server has processed since
+// and adds what was sent since. Otherwise every request between two reports would go to the same
+// server.
+func estimateLoad(now time.Duration, w *decision.Work, server *decision.Server, entries int) load {
 	report, sent := &server.Load, &server.Sent
 	age := max(0, (now - server.ReportedAt).Seconds())
-	scale := 1 + others*float64(max(1, entries)-1)
+	scale := 1 + otherEntriesFactor*float64(max(1, entries)-1)
 	l := load{
 		requests: float64(report.Running+report.Queued) + scale*float64(sent.SinceRequests),
-		prefill: max(0, float64(report.QueuedPrefillTokens)-age*server.PrefillRate()) +
+		prefillTokens: max(0, float64(report.QueuedPrefillTokens)-age*server.PrefillRate()) +
 			scale*float64(sent.SincePrefillTokens),
-		decode: max(0, float64(report.RunningDecodeTokens)-age*server.DecodeRate()) +
+		decodeTokens: max(0, float64(report.RunningDecodeTokens)-age*server.DecodeRate()) +
 			scale*float64(sent.SinceDecodeTokens),
-		kv: float64(report.KVUsed) + scale*float64(sent.SinceKVTokens),
+		kvTokens: float64(report.KVUsed) + scale*float64(sent.SinceKVTokens),
 	}
-	l.urgent = scale * float64(sent.UrgentPrefillTokens)
+	l.urgentPrefillTokens = scale * float64(sent.UrgentPrefillTokens)
 	if server.CountsOnly {
-		return countedLoad(w, server)
+		return loadFromCounts(w, server)
 	}
 	l.requests = max(l.requests, float64(sent.Requests))
 	return l
 }
 
-// countedLoad is the load of a server that reports counts only; prefill and urgent are
-// what is read before the work.
-func countedLoad(w *decision.Work, server *decision.Server) load {
+// loadFromCounts is the load of a server that reports counts only. Both prefill fields hold the
+// tokens that are prefilled before this request.
+func loadFromCounts(w *decision.Work, server *decision.Server) load {
 	sent := &server.Sent
-	prefill := server.Backlog(w)
+	tokensAhead := server.Backlog(w)
 	return load{
-		requests: server.Others() + float64(sent.Requests),
-		prefill:  prefill,
-		urgent:   prefill,
-		decode:   float64(sent.DecodeTokens),
-		kv:       server.OthersKV() + float64(sent.KVTokens),
+		requests:            server.Others() + float64(sent.Requests),
+		prefillTokens:       tokensAhead,
+		urgentPrefillTokens: tokensAhead,
+		decodeTokens:        float64(sent.DecodeTokens),
+		kvTokens:            server.OthersKV() + float64(sent.KVTokens),
 	}
 }
--- a/internal/decision/placement/peers_test.go
+++ b/internal/decision/placement/peers_test.go
@@ -12,29 +12,29 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// sharedEngines are engines that read one prompt after the other for several entries, in
-// virtual time. An entry knows its own prompts, the count of all in its answers, and what
-// the others report to it.
-type sharedEngines struct {
-	rate    float64
-	slower  []float64
-	busy    []time.Duration
-	running [][]sharedRead
-	entries []*sharingEntry
-	reports bool
-	// groupSize is how many entries an aggregator sums up; 0: there are no aggregators.
-	// groupSums is what each of them has told the others last.
+// engineSim simulates engines that prefill one prompt after the other for several entries, in
+// virtual time. An entry knows its own prompts, the total count from its answers, and what other
+// entries report to it.
+type engineSim struct {
+	rate      float64
+	slowdown  []float64
+	busyUntil []time.Duration
+	running   [][]simPrefill
+	entries   []*simEntry
+	reports   bool
+	// groupSize is how many entries report to one aggregator; 0 if there are no aggregators.
+	// groupSums holds the last sum that each aggregator sent to the others.
 	groupSize int
 	groupSums []map[string]decision.Backlog
 }
 
-type sharedRead struct {
+type simPrefill struct {
 	done   time.Duration
 	tokens int
 	entry  int
 }
 
-type sharingEntry struct {
+type simEntry struct {
 	picker *Picker
 	peers  *decision.Peers
 	others []decision.Others
@@ -42,45 +42,46 @@
 }
 
 const (
-	sharingEntries = 7
-	sharingEngines = 6
-	sharingReport  = 20 * time.Millisecond
+	defaultSimEntries   = 7
+	defaultSimEngines   = 6
+	entryReportInterval = 20 * time.Millisecond
 )
 
-func newSharedEngines(rate float64, reports bool) *sharedEngines {
-	return sharedEnginesOf(sharingEntries, sharingEngines, rate, reports)
+func newEngineSim(rate float64, reports bool) *engineSim {
+	return newEngineSimOf(defaultSimEntries, defaultSimEngines, rate, reports)
 }
 
-func sharedEnginesOf(entries, engines int, rate float64, reports bool) *sharedEngines {
-	f := &sharedEngines{rate: rate, reports: reports, busy: make([]time.Duration, engines), running: make([][]sharedRead, engines)}
+func newEngineSimOf(entries, engines int, rate float64, reports bool) *engineSim {
+	f := &engineSim{rate: rate, reports: reports, busyUntil: make([]time.Duration, engines), running: make([][]simPrefill, engines)}
 	for i := range engines {
-		slower := 1.0
+		slowdown := 1.0
 		if i%3 == 2 {
-			slower = 1.3
+			slowdown = 1.3
 		}
-		f.slower = append(f.slower, slower)
+		f.slowdown = append(f.slowdown, slowdown)
 	}
 	for range entries {
-		f.entries = append(f.entries, &sharingEntry{
+		f.entries = append(f.entries, &simEntry{
 			picker: New(), peers: decision.NewPeers(), others: make([]decision.Others, engines),
 		})
 	}
 	return f
 }
 
-// advance ends what has been read by now; each answer tells its entry the counts.
-func (f *sharedEngines) advance(now time.Duration) {
+// advance finishes the prompts that are prefilled by now; each answer reports the engine's counts
+// to its entry.
+func (f *engineSim) advance(now time.Duration) {
 	for i := range f.running {
 		for len(f.running[i]) > 0 && f.running[i][0].done <= now {
 			r := f.running[i][0]
 			f.running[i] = f.running[i][1:]
 			e := f.entries[r.entry]
-			e.others[i].Reported(r.done, len(f.running[i]), 0, f.own(r.entry, i).Requests, &e.usual)
+			e.others[i].Reported(r.done, len(f.running[i]), 0, f.ownBacklog(r.entry, i).Requests, &e.usual)
 		}
 	}
 }
 
-func (f *sharedEngines) own(entry, engine int) decision.Backlog {
+func (f *engineSim) ownBacklog(entry, engine int) decision.Backlog {
 	var b decision.Backlog
 	for _, r := range f.running[engine] {
 		if r.entry == entry {
@@ -91,12 +92,12 @@
 	return b
 }
 
-// reportAll lets each entry report to the others.
-func (f *sharedEngines) reportAll(now time.Duration, sequence uint64) {
+// reportAll makes each entry report to all others.
+func (f *engineSim) reportAll(now time.Duration, sequence uint64) {
 	for from := range f.entries {
 		servers := make(map[string]decision.Backlog)
 		for i := range f.running {
-			servers[engineName(i)] = f.own(from, i)
+			servers[engineName(i)] = f.ownBacklog(from, i)
 		}
 		for to, e := range f.entries {
 			if to != from {
@@ -108,19 +109,19 @@
 
 func engineName(i int) string { return fmt.Sprint("engine-", i) }
 
-func (f *sharedEngines) fleet(now time.Duration, entry int, usual float64) *decision.Fleet {
+func (f *engineSim) fleet(now time.Duration, entry int, usual float64) *decision.Fleet {
 	e := f.entries[entry]
 	fleet := &decision.Fleet{Entries: len(f.entries)}
 	for i := range f.running {
-		own := f.own(entry, i)
+		own := f.ownBacklog(entry, i)
 		running, waiting := e.others[i].Estimate(now, e.usual)
 		s := decision.Server{
 			ID: engineName(i), Kind: declaration.KindModel, Model: "m", Role: engineapi.RoleMixed, Usable: true, Slots: 128,
 			CountsOnly: true, OthersRunning: running, OthersWaiting: waiting, UsualUnread: usual,
-			Load: engineapi.Load{PrefillRate: f.rate / f.slower[i], DecodeRate: 1e6},
+			Load: engineapi.Load{PrefillRate: f.rate / f.slowdown[i], DecodeRate: 1e6},
 			Sent: decision.Sent{Requests: own.Requests, Unread: own.Unread},
 		}
-		s.OthersFirst = f.othersFirst(entry, i)
+		s.OthersFirst = f.otherGroupFirst(entry, i)
 		if f.reports {
 			s.Peers, s.PeersKnown = e.peers.At(now, s.ID), e.peers.Known(now, len(f.entries)-1)
 		}
@@ -129,72 +130,72 @@
 	return fleet
 }
 
-// waits plays prompts of very unequal length at 65% of what the engines read, for 20 s,
-// and gives how long each took, the shortest first.
-func (f *sharedEngines) waits() []time.Duration { return f.waitsFor(20 * time.Second) }
+// queueWaits runs queueWaitsFor for 20 s.
+func (f *engineSim) queueWaits() []time.Duration { return f.queueWaitsFor(20 * time.Second) }
 
-// waitsFor plays them for that long.
-func (f *sharedEngines) waitsFor(length time.Duration) []time.Duration {
+// queueWaitsFor sends prompts of very unequal length at 65% of the engines' capacity and returns
+// their queue waits, shortest first.
+func (f *engineSim) queueWaitsFor(duration time.Duration) []time.Duration {
 	const mean, load = 3000, 0.65
-	draw := rand.New(rand.NewPCG(11, 12))
+	rng := rand.New(rand.NewPCG(11, 12))
 	capacity := 0.0
-	for _, s := range f.slower {
+	for _, s := range f.slowdown {
 		capacity += f.rate / s
 	}
-	every := mean / (capacity * load)
-	var took []time.Duration
+	meanInterval := mean / (capacity * load)
+	var waits []time.Duration
 	var sequence uint64
 	nextReport, now := time.Duration(0), time.Duration(0)
-	for n := 0; now < length; n++ {
-		now += time.Duration(draw.ExpFloat64() * every * float64(time.Second))
+	for n := 0; now < duration; n++ {
+		now += time.Duration(rng.ExpFloat64() * meanInterval * float64(time.Second))
 		for f.reports && nextReport <= now {
 			f.advance(nextReport)
 			sequence++
 			nextReport += f.reportRound(nextReport, sequence)
 		}
 		f.advance(now)
-		tokens := 300 + draw.IntN(1200)
-		if draw.IntN(6) == 0 {
-			tokens = 3000 + int(10000*draw.ExpFloat64())
+		tokens := 300 + rng.IntN(1200)
+		if rng.IntN(6) == 0 {
+			tokens = 3000 + int(10000*rng.ExpFloat64())
 		}
-		entry := draw.IntN(len(f.entries))
+		entry := rng.IntN(len(f.entries))
 		w := &decision.Work{
 			RequestID: fmt.Sprint("r", n), Kind: declaration.KindModel, Model: "m", Class: declaration.ClassUrgent,
 			PromptTokens: tokens, OutputTokens: 1, Prefix: []uint64{uint64(n) + 1}, PartTokens: []int{tokens},
 		}
-		f.askAggregator(now, entry, uint64(n)+1)
+		f.takeAggregatorReport(now, entry, uint64(n)+1)
 		choice, ok := f.entries[entry].picker.Pick(now, w, f.fleet(now, entry, mean))
 		if !ok {
 			continue
 		}
-		i := slices.IndexFunc(f.slower, func(float64) bool { return false })
+		i := slices.IndexFunc(f.slowdown, func(float64) bool { return false })
 		_, _ = fmt.Sscanf(choice.Server.ID, "engine-%d", &i)
-		own := time.Duration(float64(tokens) / f.rate * f.slower[i] * float64(time.Second))
-		done := max(now, f.busy[i]) + own
-		f.busy[i] = done
-		f.running[i] = append(f.running[i], sharedRead{done, tokens, entry})
-		took = append(took, done-now-own)
+		prefillTime := time.Duration(float64(tokens) / f.rate * f.slowdown[i] * float64(time.Second))
+		done := max(now, f.busyUntil[i]) + prefillTime
+		f.busyUntil[i] = done
+		f.running[i] = append(f.running[i], simPrefill{done, tokens, entry})
+		waits = append(waits, done-now-prefillTime)
 	}
-	slices.Sort(took)
-	return took
+	slices.Sort(waits)
+	return waits
 }
 
-// Seven entries share six engines that report how many requests they have and nothing of
-// their length, a third of the engines a third slower. Judged by counts, an urgent prompt
-// waits about as long as at an engine taken by chance: behind prompts of 40,000 tokens,
-// beside engines that idle. With the entries' reports of their own backlogs nine waits of
-// ten must be shorter by a third or more, whatever the engines' speed.
+// Seven entries share six engines that report how many requests they have but not their length; a
+// third of the engines are slower by a third. Chosen by counts, urgent prompts wait about as long
+// as at a random engine: behind prompts of 40,000 tokens while other engines are idle. With the
+// entries' reports of their own backlogs the 90th percentile of the queue wait must be shorter by
+// at least a third, whatever the engines' speed.
 func TestPeerReportsShortenTheWait(t *testing.T) {
 	for _, rate := range []float64{25000, 75000, 200000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			p90 := func(reports bool) time.Duration {
-				took := newSharedEngines(rate, reports).waits()
-				return took[len(took)*9/10]
+				waits := newEngineSim(rate, reports).queueWaits()
+				return waits[len(waits)*9/10]
 			}
-			counts, reported := p90(false), p90(true)
-			t.Logf("nine waits of ten are shorter than %v by counts, %v with reports", counts, reported)
-			if reported > counts*2/3 {
-				t.Errorf("with reports %v, by counts %v", reported, counts)
+			byCounts, withReports := p90(false), p90(true)
+			t.Logf("p90 of the queue wait: %v by counts, %v with reports", byCounts, withReports)
+			if withReports > byCounts*2/3 {
+				t.Errorf("p90 of the queue wait: %v with reports, %v by counts", withReports, byCounts)
 			}
 		})
 	}
--- a/internal/decision/placement/placement.go
+++ b/internal/decision/placement/placement.go
@@ -1,20 +1,18 @@
 // Package placement picks the backend server for a request.
 //
-// It answers load that is uneven over servers: prompts that share a prefix, a
-// server that has become slow, reports that are older than what was sent since.
-// Filters take out servers that can't or should not get the work; a cost in
-// seconds, the same unit for everything, is worked out for those that are left:
-// the wait behind their prefill, the own prefill less what their cache holds, the
-// own decode at their fill, and the transfer of KV cache where prefill and decode
-// are at two engines. The lowest cost wins; among servers of nearly the same
-// cost the request's id decides, so that nine entries with the same reports do
-// not all choose the same server.
+// It balances load where prompts share prefixes, where a server has become slow, and where load
+// reports are older than the requests sent since. Filters exclude servers that cannot or should
+// not take the request. Each remaining server gets a cost in seconds: the wait behind its prefill
+// backlog, the prefill of the tokens that its cache lacks, the decode time at its occupancy, and
+// the KV cache transfer if prefill and decode run on different engines. The lowest cost wins.
+// Among servers of nearly equal cost a hash of the request id decides, so that nine entries with
+// the same reports do not all choose the same server.
 //
-// Without it the least loaded server of the last report gets everything until
-// the next report (herding), a slow server gets as much as the others, and a
-// dossier's follow-up question prefills 60,000 tokens again.
+// Otherwise the server that was least loaded in the last report would get every request until the
+// next report (herding), a slow server would get as many requests as the others, and a follow-up
+// question on a document of 60,000 tokens would prefill it again.
 //
-// docs/design/placement.md has the ways weighed and the figures.
+// docs/design/placement.md describes the alternatives considered and the measurements.
 package placement
 
 import (
@@ -24,155 +22,158 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Choice is where a request goes.
+// Choice is the result of a placement decision.
 type Choice struct {
-	// Server runs it, or only its decode when Prefill is set.
+	// Server runs the request, or only its decode when Prefill is set.
 	Server *decision.Server
-	// Prefill is the engine that prefills first, nil when Server does.
+	// Prefill is the engine that runs the prefill when it is not Server; nil otherwise.
 	Prefill *decision.Server
-	// FetchFrom is the engine from which the reader fetches the parts that it lacks, nil
-	// where it reads all that it does not hold.
+	// FetchFrom is the engine from which the prefilling engine fetches KV cache blocks that it
+	// lacks; nil if it computes all of them itself.
 	FetchFrom *decision.Server
-	// UncachedTokens is how many tokens of the prompt are to be read there, as far as is
-	// known: the others are in the server's cache.
+	// UncachedTokens is the estimated number of prompt tokens that have to be prefilled there;
+	// the others are in the engine's cache or are fetched.
 	UncachedTokens int
-	// NewKVTokens is how many tokens come into the reader's memory: those that it reads, and
-	// those that it fetches.
+	// NewKVTokens is how many tokens are added to the prefilling engine's KV cache, computed or
+	// fetched.
 	NewKVTokens int
-	// TokensAhead is how many tokens are read before it there.
+	// TokensAhead is how many prompt tokens are prefilled there before this prompt.
 	TokensAhead float64
-	// FirstTokenSeconds is the time to the first token that is to be expected,
-	// PrefillSeconds the part of it that its own prompt takes, in seconds.
+	// FirstTokenSeconds is the expected time to the first token. PrefillSeconds is the part of it
+	// that this prompt's own prefill takes.
 	FirstTokenSeconds, PrefillSeconds float64
 	Reason                            string
 	Figures                           []decision.Figure
 }
 
-// Result is how an attempt at a server went.
+// Result is the outcome of an attempt at a server.
 type Result struct {
-	// Failed: it ended without a whole answer through the server's fault.
+	// Failed tells that the attempt ended without a complete answer through the server's fault.
 	Failed bool
-	// FirstToken is the time to the first token; zero when not known.
+	// FirstToken is the time to the first token; zero if unknown.
 	FirstToken time.Duration
-	// ExpectedFirstToken is the time to the first token that the choice reckoned with;
-	// zero when not known.
+	// ExpectedFirstToken is the time to the first token that the choice was based on; zero if
+	// unknown.
 	ExpectedFirstToken time.Duration
-	// DecodeTime is the time from the first token to the last, for Tokens tokens.
+	// DecodeTime is the time from the first token to the last one, for Tokens tokens.
 	DecodeTime time.Duration
 	Tokens     int
-	// TotalTime is the whole time, for plain services.
+	// TotalTime is the duration of the whole call; it is used for plain services.
 	TotalTime time.Duration
 }
 
-// Picker is not safe for concurrent use; the reducer's goroutine owns it.
+// Picker chooses servers and keeps what is known of their caches and speed. It is not safe for
+// concurrent use; the reducer's goroutine owns it.
 type Picker struct {
-	limits limits
+	limits serverLimits
 	cache  *prefixIndex
-	// scratch holds how many blocks of the prompt each server has, reach how many it has
-	// once it has fetched what another one holds; both are used again for each pick.
-	scratch, reach []int
-	// seen holds how many blocks each server is known to have, homes not counted.
-	seen   []int
-	inflow inflow
+	// cachedBuf holds for each server how many leading blocks of the prompt it is assumed to have
+	// cached, reachableBuf how many it has after a fetch from another engine. Both are reused by
+	// every pick.
+	cachedBuf, reachableBuf []int
+	// observedBuf is cachedBuf without the assumption that owners of a prefix hold it.
+	observedBuf []int
+	kvInflow    tokenInflow
 }
 
-// New gives a picker without history.
+// New returns a picker without history.
 func New() *Picker {
-	return &Picker{limits: newLimits(), cache: newPrefixIndex()}
+	return &Picker{limits: newServerLimits(), cache: newPrefixIndex()}
 }
 
-// Pick chooses a server, or none when no server has room. The fleet is only
-// read; the choice points into it.
+// Pick chooses a server; it returns false if no server has capacity. It does not modify the
+// fleet, and the choice points into it.
 func (p *Picker) Pick(now time.Duration, w *decision.Work, fleet *decision.Fleet) (Choice, bool) {
-	p.limits.align(fleet)
-	from := p.source(now, w, fleet)
-	held := p.held(now, w, fleet, from)
-	reach := p.reachable(held, from)
-	b := p.scan(now, w, fleet, held, reach)
-	pair := b.pair(w, held)
+	p.limits.alignWith(fleet)
+	source := p.findFetchSource(now, w, fleet)
+	cached := p.cachedBlocks(now, w, fleet, source)
+	reachable := p.reachableBlocks(cached, source)
+	candidates := p.evaluateServers(now, w, fleet, cached, reachable)
+	pair := candidates.bestPair(w, cached)
 	switch {
-	case b.whole.index < 0 && pair.decode < 0:
+	case candidates.singleServer.index < 0 && pair.decode < 0:
 		return Choice{}, false
-	case pair.decode >= 0 && (b.whole.index < 0 || pair.cost < b.whole.cost):
+	case pair.decode >= 0 && (candidates.singleServer.index < 0 || pair.cost < candidates.singleServer.cost):
 		server := &fleet.Servers[pair.decode]
-		has := p.firstHeld(w, fleet, from, reach, pair.prefill)
-		before, own, first := firstToken(now, w, &fleet.Servers[pair.prefill], fleet, has)
+		atPrefill := p.blocksAtPrefill(w, fleet, source, reachable, pair.prefill)
+		tokensAhead, prefillSeconds, firstTokenSeconds := estimateFirstToken(now, w, &fleet.Servers[pair.prefill], fleet, atPrefill)
 		return Choice{
-			Server: server, Prefill: &fleet.Servers[pair.prefill], UncachedTokens: unread(w, has),
-			NewKVTokens: unread(w, held[pair.prefill]),
-			FetchFrom:   from.server(fleet, held, reach, pair.prefill),
-			TokensAhead: before, FirstTokenSeconds: first, PrefillSeconds: own,
-			Reason:  "lowest cost: prefill and decode apart",
-			Figures: p.figures(pair.cost, reach[pair.prefill], pair.decode, server),
+			Server: server, Prefill: &fleet.Servers[pair.prefill], UncachedTokens: uncachedTokens(w, atPrefill),
+			NewKVTokens: uncachedTokens(w, cached[pair.prefill]),
+			FetchFrom:   source.serverFor(fleet, cached, reachable, pair.prefill),
+			TokensAhead: tokensAhead, FirstTokenSeconds: firstTokenSeconds, PrefillSeconds: prefillSeconds,
+			Reason:  "lowest cost: prefill and decode on separate engines",
+			Figures: p.figures(pair.cost, reachable[pair.prefill], pair.decode, server),
 		}, true
 	default:
-		server := &fleet.Servers[b.whole.index]
-		has := p.firstHeld(w, fleet, from, reach, b.whole.index)
-		before, own, first := firstToken(now, w, server, fleet, has)
+		server := &fleet.Servers[candidates.singleServer.index]
+		atPrefill := p.blocksAtPrefill(w, fleet, source, reachable, candidates.singleServer.index)
+		tokensAhead, prefillSeconds, firstTokenSeconds := estimateFirstToken(now, w, server, fleet, atPrefill)
 		return Choice{
-			Server: server, Reason: "lowest cost", UncachedTokens: unread(w, has),
-			NewKVTokens: unread(w, held[b.whole.index]),
-			FetchFrom:   from.server(fleet, held, reach, b.whole.index),
-			TokensAhead: before, FirstTokenSeconds: first, PrefillSeconds: own,
-			Figures: p.figures(b.whole.cost, reach[b.whole.index], b.whole.index, server),
+			Server: server, Reason: "lowest cost", UncachedTokens: uncachedTokens(w, atPrefill),
+			NewKVTokens: uncachedTokens(w, cached[candidates.singleServer.index]),
+			FetchFrom:   source.serverFor(fleet, cached, reachable, candidates.singleServer.index),
+			TokensAhead: tokensAhead, FirstTokenSeconds: firstTokenSeconds, PrefillSeconds: prefillSeconds,
+			Figures: p.figures(candidates.singleServer.cost, reachable[candidates.singleServer.index], candidates.singleServer.index, server),
 		}, true
 	}
 }
 
-func (p *Picker) figures(cost float64, held, index int, server *decision.Server) []decision.Figure {
+func (p *Picker) figures(cost float64, cached, index int, server *decision.Server) []decision.Figure {
 	return []decision.Figure{
 		{Name: "cost_seconds", Value: cost},
-		{Name: "cached_blocks", Value: float64(held)},
-		{Name: "limit", Value: p.limits.aligned[index].slots(server)},
+		{Name: "cached_blocks", Value: float64(cached)},
+		{Name: "limit", Value: p.limits.aligned[index].allowedSlots(server)},
 		{Name: "own_there", Value: float64(server.Sent.Requests)},
 		{Name: "others_running", Value: server.OthersRunning},
 		{Name: "others_waiting", Value: server.OthersWaiting},
 	}
 }
 
-// RecordSent notes that the choice was carried out: the server that reads the prompt will
-// hold it. One that only decodes does so once it has the KV cache: call RecordCached then.
+// RecordSent records that the choice was carried out: the engine that prefills the prompt will
+// have it cached. An engine that only decodes has it once the KV cache has arrived; call
+// RecordCached then.
 func (p *Picker) RecordSent(now time.Duration, w *decision.Work, choice Choice) {
-	reader := choice.Server
+	prefiller := choice.Server
 	if choice.Prefill != nil {
-		reader = choice.Prefill
+		prefiller = choice.Prefill
 	}
-	p.RecordCached(now, reader.ID, w)
-	if reader.CountsOnly {
-		p.inflow.add(now, float64(choice.NewKVTokens))
+	p.RecordCached(now, prefiller.ID, w)
+	if prefiller.CountsOnly {
+		p.kvInflow.add(now, float64(choice.NewKVTokens))
 	}
 }
 
-// RecordCached notes that a server has, or is about to have, the prompt's KV cache.
+// RecordCached records that a server has the prompt's KV cache or is about to have it.
 func (p *Picker) RecordCached(now time.Duration, server string, w *decision.Work) {
 	p.RecordCachedBlocks(now, server, w.Prefix)
 }
 
-// RecordCachedBlocks notes that a server is known to have read these first parts of a prompt.
-func (p *Picker) RecordCachedBlocks(now time.Duration, server string, chain []uint64) {
-	p.cache.add(now, server, chain)
+// RecordCachedBlocks records that a server is known to have these leading blocks of a prompt.
+func (p *Picker) RecordCachedBlocks(now time.Duration, server string, prefix []uint64) {
+	p.cache.add(now, server, prefix)
 }
 
-// Observe adapts the server's concurrency limit to how an attempt went.
+// Observe adapts the server's concurrency limit to the outcome of an attempt.
 func (p *Picker) Observe(now time.Duration, server string, result Result) {
 	p.limits.observe(now, server, result)
 }
 
-// ApplyCacheEvents takes in a server's cache events. They come late and with gaps;
-// with a gap nothing more is done than what the events say, since a block that
-// is wrongly believed to be there costs its prefill and no error.
+// ApplyCacheEvents applies a server's cache events. They arrive late and with gaps. A gap needs
+// no special treatment: a block that is wrongly assumed to be cached costs its prefill and causes
+// no error.
 func (p *Picker) ApplyCacheEvents(now time.Duration, server string, events []engineapi.CacheEvent) {
 	for _, e := range events {
 		if e.Dropped {
-			p.cache.drop(server, e.Hash)
+			p.cache.removeHolder(server, e.Hash)
 			continue
 		}
 		p.cache.addBlock(now, server, e.Hash)
 	}
 }
 
-// Forget drops what is known of a server: it is gone or has a new incarnation.
+// Forget drops everything known of a server that is gone or has a new incarnation.
 func (p *Picker) Forget(server string) {
 	p.limits.forget(server)
-	p.cache.forget(server)
+	p.cache.removeServer(server)
 }
--- a/internal/decision/placement/placement_test.go
+++ b/internal/decision/placement/placement_test.go
@@ -25,7 +25,7 @@
 	return f
 }
 
-func mixed(n int) *decision.Fleet {
+func mixedFleet(n int) *decision.Fleet {
 	roles := make([]engineapi.Role, n)
 	for i := range roles {
 		roles[i] = engineapi.RoleMixed
@@ -33,21 +33,22 @@
 	return fleetOf(roles...)
 }
 
-func question(id string) *decision.Work {
+func urgentWork(id string) *decision.Work {
 	return &decision.Work{
 		RequestID: id, Member: "m", Class: declaration.ClassUrgent, Kind: declaration.KindModel,
 		Model: "m", PromptTokens: 1000, OutputTokens: 200,
 	}
 }
 
-func dossier(id string) *decision.Work {
-	w := question(id)
+func bulkWork(id string) *decision.Work {
+	w := urgentWork(id)
 	w.Class, w.PromptTokens, w.OutputTokens = declaration.ClassBulk, 30000, 1000
 	return w
 }
 
-// send picks and accounts like an entry does, and gives the server's id.
-func send(t testing.TB, p *Picker, f *decision.Fleet, logs map[string]*decision.SentLog, w *decision.Work) string {
+// pickAndRecord picks a server, records the request as an entry does, and returns the server's
+// id.
+func pickAndRecord(t testing.TB, p *Picker, f *decision.Fleet, logs map[string]*decision.SentLog, w *decision.Work) string {
 	t.Helper()
 	c, ok := p.Pick(0, w, f)
 	if !ok {
@@ -64,17 +65,17 @@
 	return c.Server.ID
 }
 
-// Ninety requests come between two load reports. By the reports alone all nine
-// servers look equally idle all the time, and one of them gets far too many.
+// Ninety requests arrive between two load reports. By the reports alone all nine servers look
+// equally idle throughout, and one of them gets far too many requests.
 func TestRequestsBetweenTwoReportsSpreadOut(t *testing.T) {
-	p, f, logs := New(), mixed(9), map[string]*decision.SentLog{}
+	p, f, logs := New(), mixedFleet(9), map[string]*decision.SentLog{}
 	got := map[string]int{}
 	for i := range 90 {
-		got[send(t, p, f, logs, question(fmt.Sprint(i)))]++
+		got[pickAndRecord(t, p, f, logs, urgentWork(fmt.Sprint(i)))]++
 	}
 	for id, n := range got {
 		if n > 16 {
-			t.Errorf("%s got %d of 90", id, n)
+			t.Errorf("%s got %d of 90 requests", id, n)
 		}
 	}
 	if len(got) != 9 {
@@ -82,12 +83,12 @@
 	}
 }
 
-// Nine entries hold the same reports and know nothing of each other. If all of
-// them break ties alike, the first request of each goes to the same server.
+// Nine entries have the same reports and no knowledge of each other. If all of them break ties
+// alike, the first request of each goes to the same server.
 func TestEntriesWithTheSameReportsDoNotHerd(t *testing.T) {
 	got := map[string]int{}
 	for entry := range 9 {
-		c, _ := New().Pick(0, question(fmt.Sprint("entry", entry)), mixed(9))
+		c, _ := New().Pick(0, urgentWork(fmt.Sprint("entry", entry)), mixedFleet(9))
 		got[c.Server.ID]++
 	}
 	if len(got) < 4 {
@@ -95,89 +96,89 @@
 	}
 }
 
-// A server has become four times slower but reports nothing wrong. It must get
-// less and less, and still a little, so that it is found when it is fast again.
-func TestSlowServerGetsLessBeforeNone(t *testing.T) {
-	p, f := New(), mixed(3)
+// A server has become four times slower but reports no problem. It must get fewer and fewer
+// requests, but still a few, so that its recovery is noticed.
+func TestSlowServerGetsFewerRequests(t *testing.T) {
+	p, f := New(), mixedFleet(3)
 	slow := f.Servers[0].ID
 	at := time.Duration(0)
-	feed := func(seconds int, times float64) {
+	observe := func(seconds int, slowdown float64) {
 		for range seconds * 3 {
 			at += 333 * time.Millisecond
 			for i := range f.Servers {
 				took := 100 * 40 * time.Millisecond
 				if f.Servers[i].ID == slow {
-					took = time.Duration(float64(took) * times)
+					took = time.Duration(float64(took) * slowdown)
 				}
 				p.Observe(at, f.Servers[i].ID, Result{Tokens: 101, DecodeTime: took})
 			}
 		}
 	}
-	p.Pick(at, question("w"), f)
-	feed(10, 1)
-	before := p.limits.of(slow).slots(&f.Servers[0])
-	feed(5, 4)
-	early := p.limits.of(slow).slots(&f.Servers[0])
-	feed(60, 4)
-	late := p.limits.of(slow).slots(&f.Servers[0])
+	p.Pick(at, urgentWork("w"), f)
+	observe(10, 1)
+	before := p.limits.get(slow).allowedSlots(&f.Servers[0])
+	observe(5, 4)
+	early := p.limits.get(slow).allowedSlots(&f.Servers[0])
+	observe(60, 4)
+	late := p.limits.get(slow).allowedSlots(&f.Servers[0])
 	if before != 32 || early >= before || late >= early || late < 1 {
-		t.Fatalf("slots %v, then %v, then %v", before, early, late)
+		t.Fatalf("limit %v, then %v, then %v", before, early, late)
 	}
-	if healthy := p.limits.of(f.Servers[1].ID).slots(&f.Servers[1]); healthy != 32 {
-		t.Fatalf("a healthy server has %v slots", healthy)
+	if healthy := p.limits.get(f.Servers[1].ID).allowedSlots(&f.Servers[1]); healthy != 32 {
+		t.Fatalf("a healthy server has limit %v", healthy)
 	}
-	feed(60, 1)
-	if again := p.limits.of(slow).slots(&f.Servers[0]); again != 32 {
-		t.Fatalf("%v slots once it is fast again", again)
+	observe(60, 1)
+	if recovered := p.limits.get(slow).allowedSlots(&f.Servers[0]); recovered != 32 {
+		t.Fatalf("limit %v after the server has recovered", recovered)
 	}
 }
 
-// A follow-up on a dossier should go where the dossier's KV cache is, unless the
-// queue there costs more than the prefill that it saves.
+// A follow-up question on a document must go to the server that has the document's KV cache,
+// unless the queue there costs more than the prefill that it saves.
 func TestAffinityIsBoundedByWhatItSaves(t *testing.T) {
-	p, f := New(), mixed(9)
-	w := dossier("a")
+	p, f := New(), mixedFleet(9)
+	w := bulkWork("a")
 	for i := range 100 {
 		w.Prefix = append(w.Prefix, uint64(i+1))
 	}
 	first, _ := p.Pick(0, w, f)
 	p.RecordSent(0, w, first)
 	w.RequestID = "b"
-	again, _ := p.Pick(time.Minute, w, f)
-	if again.Server.ID != first.Server.ID {
-		t.Fatalf("went to %s, cached at %s", again.Server.ID, first.Server.ID)
+	second, _ := p.Pick(time.Minute, w, f)
+	if second.Server.ID != first.Server.ID {
+		t.Fatalf("went to %s, cached at %s", second.Server.ID, first.Server.ID)
 	}
 	first.Server.Load.QueuedPrefillTokens = 40000
 	first.Server.ReportedAt = time.Minute
 	if c, _ := p.Pick(time.Minute, w, f); c.Server.ID == first.Server.ID {
-		t.Fatal("ten seconds of queue for six seconds of prefill")
+		t.Fatal("accepts a queue of ten seconds to save six seconds of prefill")
 	}
 	first.Server.Load.QueuedPrefillTokens = 0
 	p.ApplyCacheEvents(time.Minute, first.Server.ID, []engineapi.CacheEvent{{Hash: 1, Dropped: true}})
 	if c, _ := p.Pick(time.Minute, w, f); c.Figures[1].Value != 0 {
-		t.Fatal("counts on blocks whose first one was dropped")
+		t.Fatal("counts blocks as cached after the first one was evicted")
 	}
 }
 
-// Bulk work fills every server, long prompts by their prefill and short ones by
-// the slots. A clerk's question must still find a place.
+// Bulk work fills every server, long prompts by their prefill and short ones by the slots. An
+// urgent request must still find a slot.
 func TestBulkLeavesRoomForUrgentWork(t *testing.T) {
 	for _, prompt := range []int{30000, 100} {
-		p, f, logs := New(), mixed(3), map[string]*decision.SentLog{}
+		p, f, logs := New(), mixedFleet(3), map[string]*decision.SentLog{}
 		bulk := func(id string) *decision.Work {
-			w := dossier(id)
+			w := bulkWork(id)
 			w.PromptTokens = prompt
 			return w
 		}
 		for i := range 200 {
-			send(t, p, f, logs, bulk(fmt.Sprint(i)))
+			pickAndRecord(t, p, f, logs, bulk(fmt.Sprint(i)))
 		}
 		if _, ok := p.Pick(0, bulk("one more"), f); ok {
 			t.Fatal("bulk work is not bounded")
 		}
 		for i := range 6 {
-			if id := send(t, p, f, logs, question(fmt.Sprint("q", i))); id == "" {
-				t.Fatalf("prompts of %d: question %d found no place", prompt, i)
+			if id := pickAndRecord(t, p, f, logs, urgentWork(fmt.Sprint("q", i))); id == "" {
+				t.Fatalf("prompts of %d tokens: urgent request %d got no server", prompt, i)
 			}
 		}
 	}
@@ -185,22 +186,22 @@
 
 func TestPrefillAndDecodeArePairedWhenThatCostsLess(t *testing.T) {
 	f := fleetOf(engineapi.RolePrefill, engineapi.RoleMixed, engineapi.RoleDecode)
-	c, ok := New().Pick(0, dossier("a"), f)
+	c, ok := New().Pick(0, bulkWork("a"), f)
 	if !ok || c.Prefill == nil || c.Prefill.ID != "engine-0" || c.Server.ID != "engine-2" {
 		t.Fatalf("%+v", c)
 	}
 	f.Servers[0].Load.QueuedPrefillTokens = 60000
-	if c, _ := New().Pick(0, dossier("b"), f); c.Prefill != nil && c.Prefill.ID == "engine-0" {
-		t.Fatal("paired with a prefill engine that is behind")
+	if c, _ := New().Pick(0, bulkWork("b"), f); c.Prefill != nil && c.Prefill.ID == "engine-0" {
+		t.Fatal("paired with a prefill engine that has a long backlog")
 	}
-	held := dossier("c")
-	held.KVTokens = 30000
-	if c, _ := New().Pick(0, held, f); c.Prefill != nil || c.Server.Role == engineapi.RolePrefill {
+	imported := bulkWork("c")
+	imported.KVTokens = 30000
+	if c, _ := New().Pick(0, imported, f); c.Prefill != nil || c.Server.Role == engineapi.RolePrefill {
 		t.Fatalf("imported KV cache was placed as %+v", c)
 	}
 	f.Servers[0].Usable = false
-	if c, ok := New().Pick(0, dossier("d"), f); !ok || c.Server.ID == "engine-0" || c.Prefill == &f.Servers[0] {
-		t.Fatal("a server that leaves got work")
+	if c, ok := New().Pick(0, bulkWork("d"), f); !ok || c.Server.ID == "engine-0" || c.Prefill == &f.Servers[0] {
+		t.Fatal("an unusable server got a request")
 	}
 }
 
@@ -210,9 +211,9 @@
 		x.addBlock(0, "s", uint64(i))
 	}
 	if len(x.blocks) != maxBlocks || x.blocks[0] != nil || x.blocks[maxBlocks] == nil {
-		t.Fatalf("%d blocks", len(x.blocks))
+		t.Fatalf("index holds %d blocks", len(x.blocks))
 	}
-	x.forget("s")
+	x.removeServer("s")
 	for _, b := range x.blocks {
 		if len(b.holders) > 0 {
 			t.Fatal("a forgotten server is still a holder")
@@ -223,7 +224,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{9, 90, 450, 2700} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			p, f, w := New(), mixed(engines), question("q")
+			p, f, w := New(), mixedFleet(engines), urgentWork("q")
 			for i := range f.Servers {
 				f.Servers[i].Load.Running = uint32(i % 20)
 			}
--- a/internal/decision/placement/prefix.go
+++ b/internal/decision/placement/prefix.go
@@ -9,27 +9,28 @@
 // maxBlocks bounds the index. A block takes some 120 bytes: 8 MB in all.
 const maxBlocks = 1 << 16
 
-// holdersPerBlock bounds the servers that are remembered per block; more do not
-// make the choice better and would make hot prefixes costly.
+// holdersPerBlock bounds the servers that are remembered per block. More would not improve the
+// choice and would make lookups of frequently used prefixes expensive.
 const holdersPerBlock = 4
 
-// believeFor is how long a block is believed to be cached without news. Cache
-// events come late and with gaps, so a dropped block may never be told of.
-const believeFor = 5 * time.Minute
+// blockTTL is how long a block is assumed to be cached after its last known use. Cache events
+// arrive late and with gaps, so the eviction of a block may never be reported.
+const blockTTL = 5 * time.Minute
 
-// believeCopy takes its place for shared parts at servers that are not their homes.
+// copyTTL is the same for shared prefixes at servers that do not own them.
 //
-// A home gets a part's requests of all entries and so keeps it. Another server got it
-// once, past a busy home, and drops it after some seconds for what it reads since:
-// believed for minutes, such copies draw prompts that are then read whole while they count
-// as almost read. Engines of 450,000 tokens that read 14,000 others a second keep a part
-// for some 30 s; of 4, 8 and 300 s, 8 s gave the best mean worth on six days of two sites.
-const believeCopy = 8 * time.Second
-
-// holder is a server that is believed to hold a block.
+// An owner gets the requests for a prefix from all entries and so keeps it. Another server got it
+// once, while the owner was busy, and evicts it within seconds in favour of newer prompts. If
+// such copies were trusted for minutes, prompts would be sent there as if almost all of their
+// prefix were cached, and then be prefilled completely. An engine with 450,000 tokens of memory
+// that prefills 14,000 other tokens a second keeps a block for some 30 s; of 4, 8 and 300 s, 8 s
+// gave the best mean value of answers over six days of traffic at two sites.
+const copyTTL = 8 * time.Second
+
+// holder is a server that is assumed to have a block cached.
 type holder struct {
-	server string
-	at     time.Duration
+	server   string
+	lastSeen time.Duration
 }
 
 type block struct {
@@ -38,22 +39,23 @@
 	prev, next *block
 }
 
-// prefixIndex knows which server holds which prompt blocks, the block used last
-// at the front. Hashes are salted by member, so members never share one.
+// prefixIndex records which server has which prompt blocks cached, in least-recently-used order
+// with the latest block at the front. Hashes are salted by member, so members never share a
+// block.
 type prefixIndex struct {
 	blocks map[uint64]*block
-	// list is the ring's anchor.
-	list block
+	// lru is the anchor of the circular list.
+	lru block
 }
 
 func newPrefixIndex() *prefixIndex {
 	x := &prefixIndex{blocks: make(map[uint64]*block)}
-	x.list.prev, x.list.next = &x.list, &x.list
+	x.lru.prev, x.lru.next = &x.lru, &x.lru
 	return x
 }
 
-func (x *prefixIndex) add(now time.Duration, server string, chain []uint64) {
-	for _, hash := range chain {
+func (x *prefixIndex) add(now time.Duration, server string, prefix []uint64) {
+	for _, hash := range prefix {
 		x.addBlock(now, server, hash)
 	}
 }
@@ -61,21 +63,21 @@
 func (x *prefixIndex) addBlock(now time.Duration, server string, hash uint64) {
 	b := x.blocks[hash]
 	if b == nil {
-		x.makeRoom()
+		x.evictOldest()
 		b = &block{hash: hash}
 		x.blocks[hash] = b
 	} else {
 		b.unlink()
 	}
 	x.toFront(b)
-	b.set(now, server)
+	b.addHolder(now, server)
 }
 
-func (x *prefixIndex) makeRoom() {
+func (x *prefixIndex) evictOldest() {
 	if len(x.blocks) < maxBlocks {
 		return
 	}
-	oldest := x.list.prev
+	oldest := x.lru.prev
 	oldest.unlink()
 	delete(x.blocks, oldest.hash)
 }
@@ -85,18 +87,18 @@
 }
 
 func (x *prefixIndex) toFront(b *block) {
-	b.prev, b.next = &x.list, x.list.next
+	b.prev, b.next = &x.lru, x.lru.next
 	b.prev.next, b.next.prev = b, b
 }
 
-func (b *block) set(now time.Duration, server string) {
+func (b *block) addHolder(now time.Duration, server string) {
 	oldest := 0
 	for i := range b.holders {
 		if b.holders[i].server == server {
-			b.holders[i].at = now
+			b.holders[i].lastSeen = now
 			return
 		}
-		if b.holders[i].at < b.holders[oldest].at {
+		if b.holders[i].lastSeen < b.holders[oldest].lastSeen {
 			oldest = i
 		}
 	}
@@ -107,7 +109,7 @@
 	b.holders[oldest] = holder{server, now}
 }
 
-func (x *prefixIndex) drop(server string, hash uint64) {
+func (x *prefixIndex) removeHolder(server string, hash uint64) {
 	b := x.blocks[hash]
 	if b == nil {
 		return
@@ -120,25 +122,26 @@
 	}
 }
 
-func (x *prefixIndex) forget(server string) {
+func (x *prefixIndex) removeServer(server string) {
 	for hash := range x.blocks {
-		x.drop(server, hash)
+		x.removeHolder(server, hash)
 	}
 }
 
-// held gives for each server of the fleet how many leading blocks of the prompt
-// it is believed to hold; from is the source of its shared parts. The result is valid
-// until the next call.
+// cachedBlocks returns for each server of the fleet how many leading blocks of the prompt it is
+// assumed to have cached; source is the engine from which shared blocks can be fetched. The
+// result is valid until the next call.
 //
-// A home is believed to hold the shared parts from the first request on, so that all go
-// there. Where entries tell each other what was read, and none has told of these, the home
-// has yet to read them: firstHeld tells how much the chosen one really has.
-func (p *Picker) held(now time.Duration, w *decision.Work, fleet *decision.Fleet, from source) []int {
-	if len(p.scratch) != len(fleet.Servers) {
-		p.scratch = make([]int, len(fleet.Servers))
+// An owner is assumed to hold the shared prefix from the first request on, so that all requests
+// for it go there. If entries report prefilled prefixes to each other and none has reported this
+// one, the owner still has to prefill it; blocksAtPrefill returns how much the chosen server
+// really has.
+func (p *Picker) cachedBlocks(now time.Duration, w *decision.Work, fleet *decision.Fleet, source fetchSource) []int {
+	if len(p.cachedBuf) != len(fleet.Servers) {
+		p.cachedBuf = make([]int, len(fleet.Servers))
 	}
-	clear(p.scratch)
-	homes := homesOf(w, fleet)
+	clear(p.cachedBuf)
+	owners := prefixOwners(w, fleet)
 	for depth, hash := range w.Prefix {
 		b := p.cache.blocks[hash]
 		if b == nil {
@@ -146,35 +149,35 @@
 		}
 		for _, h := range b.holders {
 			i, ok := p.limits.indexOf(fleet, h.server)
-			if ok && p.scratch[i] == depth && now-h.at < p.believes(now, w, fleet, homes, i) {
-				p.scratch[i] = depth + 1
+			if ok && p.cachedBuf[i] == depth && now-h.lastSeen < p.cacheEntryTTL(now, w, fleet, owners, i) {
+				p.cachedBuf[i] = depth + 1
 			}
 		}
 	}
-	if from.index >= 0 {
-		return p.scratch
+	if source.index >= 0 {
+		return p.cachedBuf
 	}
-	p.seen = append(p.seen[:0], p.scratch...)
-	for _, i := range homes {
-		p.scratch[i] = max(p.scratch[i], w.Shared)
+	p.observedBuf = append(p.observedBuf[:0], p.cachedBuf...)
+	for _, i := range owners {
+		p.cachedBuf[i] = max(p.cachedBuf[i], w.Shared)
 	}
-	return p.scratch
+	return p.cachedBuf
 }
 
-// believes is how long that server is believed to hold a block without news. Where parts
-// are fetched engines hold many copies, and no server has a part for being its home.
-func (p *Picker) believes(now time.Duration, w *decision.Work, fleet *decision.Fleet, homes homes, index int) time.Duration {
-	if fetches(w, fleet) {
-		return p.inflow.keeps(now, fleet, index)
+// cacheEntryTTL is how long a server is assumed to hold a block after its last known use. If
+// blocks are fetched, engines hold many copies, and an owner is treated like any other server.
+func (p *Picker) cacheEntryTTL(now time.Duration, w *decision.Work, fleet *decision.Fleet, owners owners, index int) time.Duration {
+	if fetchAllowed(w, fleet) {
+		return p.kvInflow.retention(now, fleet, index)
 	}
-	return homes.believe(index)
+	return owners.cacheEntryTTL(index)
 }
 
-// firstHeld is how many leading blocks the reader has or fetches, for reckoning how long it
-// reads.
-func (p *Picker) firstHeld(w *decision.Work, fleet *decision.Fleet, from source, reach []int, reader int) int {
-	if from.index < 0 && fetches(w, fleet) {
-		return p.seen[reader]
+// blocksAtPrefill is how many leading blocks the prefilling engine has cached or fetches; it
+// serves to estimate the duration of the prefill.
+func (p *Picker) blocksAtPrefill(w *decision.Work, fleet *decision.Fleet, source fetchSource, reachable []int, prefiller int) int {
+	if source.index < 0 && fetchAllowed(w, fleet) {
+		return p.observedBuf[prefiller]
 	}
-	return reach[reader]
+	return reachable[prefiller]
 }
--- a/internal/decision/placement/scan.go
+++ b/internal/decision/placement/scan.go
@@ -8,159 +8,165 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// candidate is a server with its cost in seconds; index -1 for none.
+// candidate is a server with its cost in seconds; its index is -1 for none.
 type candidate struct {
 	index int
 	cost  float64
 }
 
-// offer takes the server if it costs less, or alike and is first by rank.
-func (c *candidate) offer(index int, cost float64, turn uint32) {
-	better := c.index < 0 || cost < c.cost*(1-near)
-	alike := !better && cost < c.cost*(1+near) && rank(turn, index) < rank(turn, c.index)
-	if better || alike {
+// consider takes the server if it is cheaper, or of about equal cost and first in tie-break
+// order.
+func (c *candidate) consider(index int, cost float64, requestHash uint32) {
+	better := c.index < 0 || cost < c.cost*(1-equalCostTolerance)
+	tie := !better && cost < c.cost*(1+equalCostTolerance) && tieBreakOrder(requestHash, index) < tieBreakOrder(requestHash, c.index)
+	if better || tie {
 		c.index, c.cost = index, cost
 	}
 }
 
-// best are the best candidates for the whole work and for both ends of a pair, by
-// role.
-type best struct {
-	whole                 candidate
+// candidates are the cheapest servers for running the whole request and, by role, for its prefill
+// and its decode.
+type candidates struct {
+	singleServer          candidate
 	prefill, mixedPrefill candidate
 	decode, mixedDecode   candidate
 }
 
-// pair is a candidate with prefill and decode at two servers; -1 for none.
-type pair struct {
+// enginePair is a pair of engines for prefill and decode with its cost; the indices are -1 for
+// none.
+type enginePair struct {
 	prefill, decode int
 	cost            float64
 }
 
-// scan looks once at every server.
-func (p *Picker) scan(now time.Duration, w *decision.Work, fleet *decision.Fleet, held, reach []int) best {
+// evaluateServers computes the cost of every server once.
+func (p *Picker) evaluateServers(now time.Duration, w *decision.Work, fleet *decision.Fleet, cached, reachable []int) candidates {
 	none := candidate{index: -1}
-	b := best{none, none, none, none, none}
-	turn := spread(w.RequestID)
+	found := candidates{none, none, none, none, none}
+	requestHash := hashID(w.RequestID)
 	for i := range fleet.Servers {
 		server := &fleet.Servers[i]
 		if !server.Serves(w) {
 			continue
 		}
-		s := scored{picker: p, work: w, server: server, index: i, held: held[i], reach: reach[i]}
-		s.load = loadOf(now, w, server, fleet.Entries)
-		s.slots = p.limits.aligned[i].slots(server)
-		s.far = distance(fleet, server)
-		s.offer(&b, turn)
+		s := evaluation{picker: p, work: w, server: server, index: i, cachedBlocks: cached[i], reachableBlocks: reachable[i]}
+		s.load = estimateLoad(now, w, server, fleet.Entries)
+		s.slots = p.limits.aligned[i].allowedSlots(server)
+		s.remotePenalty = dataCentrePenalty(fleet, server)
+		s.evaluate(&found, requestHash)
 	}
-	return b
+	return found
 }
 
-// scored is one server while it is looked at.
-type scored struct {
+// evaluation is the state of evaluating one server.
+type evaluation struct {
 	picker *Picker
 	work   *decision.Work
 	server *decision.Server
 	index  int
-	// held is how many parts it has, reach how many with those that it would fetch.
-	held, reach int
-	load        load
-	slots       float64
-	far         float64
+	// cachedBlocks is how many leading blocks the server has cached, reachableBlocks how many it
+	// has after a fetch.
+	cachedBlocks, reachableBlocks int
+	load                          load
+	slots                         float64
+	remotePenalty                 float64
 }
 
-// offer offers the server for the parts that its role does.
-func (s *scored) offer(b *best, turn uint32) {
+// evaluate considers the server for the phases that its role serves.
+func (s *evaluation) evaluate(c *candidates, requestHash uint32) {
 	if s.work.Kind == declaration.KindPlain {
-		if s.room(both) {
-			b.whole.offer(s.index, s.far+plainCost(s.picker.limits.aligned[s.index], s.server, s.load), turn)
+		if s.hasCapacity(prefillAndDecode) {
+			c.singleServer.consider(s.index, s.remotePenalty+plainServiceCost(s.picker.limits.aligned[s.index], s.server, s.load), requestHash)
 		}
 		return
 	}
 	if s.work.KVTokens > 0 {
-		s.offerImport(b, turn)
+		s.evaluateImport(c, requestHash)
 		return
 	}
 	switch s.server.Role {
 	case engineapi.RolePrefill:
-		if s.room(prefillEnd) {
-			b.prefill.offer(s.index, s.far+s.prefill(), turn)
+		if s.hasCapacity(prefillOnly) {
+			c.prefill.consider(s.index, s.remotePenalty+s.prefillCost(), requestHash)
 		}
 	case engineapi.RoleDecode:
-		if s.room(decodeEnd) {
-			b.decode.offer(s.index, s.far+s.decode(), turn)
+		if s.hasCapacity(decodeOnly) {
+			c.decode.consider(s.index, s.remotePenalty+s.decodeCost(), requestHash)
 		}
 	default:
-		s.offerMixed(b, turn)
+		s.evaluateMixed(c, requestHash)
 	}
 }
 
-// offerImport offers a server that goes on from imported KV cache.
-func (s *scored) offerImport(b *best, turn uint32) {
-	if s.server.Role != engineapi.RolePrefill && s.room(decodeEnd) {
-		b.whole.offer(s.index, s.far+s.decode()+s.importTime(), turn)
+// evaluateImport considers a server for continuing from imported KV cache.
+func (s *evaluation) evaluateImport(c *candidates, requestHash uint32) {
+	if s.server.Role != engineapi.RolePrefill && s.hasCapacity(decodeOnly) {
+		c.singleServer.consider(s.index, s.remotePenalty+s.decodeCost()+s.kvImportTime(), requestHash)
 	}
 }
 
-// offerMixed: a mixed engine can do the whole or be either end, so that a fleet
-// that is short of one role still uses the other.
-func (s *scored) offerMixed(b *best, turn uint32) {
-	if !s.room(decodeEnd) {
+// evaluateMixed considers a mixed engine for the whole request and for either phase, so that a
+// fleet with too few engines of one role can use the other role's engines together with mixed
+// ones.
+func (s *evaluation) evaluateMixed(c *candidates, requestHash uint32) {
+	if !s.hasCapacity(decodeOnly) {
 		return
 	}
-	decode := s.far + s.decode()
-	b.mixedDecode.offer(s.index, decode, turn)
-	if s.room(both) {
-		prefill := s.prefill()
-		b.whole.offer(s.index, decode+prefill, turn)
-		b.mixedPrefill.offer(s.index, s.far+prefill, turn)
+	decode := s.remotePenalty + s.decodeCost()
+	c.mixedDecode.consider(s.index, decode, requestHash)
+	if s.hasCapacity(prefillAndDecode) {
+		prefill := s.prefillCost()
+		c.singleServer.consider(s.index, decode+prefill, requestHash)
+		c.mixedPrefill.consider(s.index, s.remotePenalty+prefill, requestHash)
 	}
 }
 
-// importTime is how long the KV cache takes to get there, in seconds.
-func (s *scored) importTime() float64 {
+// kvImportTime is the time in seconds to transfer the KV cache to this server.
+func (s *evaluation) kvImportTime() float64 {
 	if s.work.Pace.MoveRate > 0 {
-		return moveTime(s.work, s.held)
+		return kvTransferTime(s.work, s.cachedBlocks)
 	}
-	return float64(s.work.KVTokens) / kvTokenRate
+	return float64(s.work.KVTokens) / defaultKVTransferRate
 }
 
-func (s *scored) room(p part) bool { return hasRoom(s.work, s.server, &s.load, s.slots, p) }
+func (s *evaluation) hasCapacity(p phase) bool {
+	return hasCapacity(s.work, s.server, &s.load, s.slots, p)
+}
 
-func (s *scored) prefill() float64 {
-	cost := prefillCost(s.work, s.server, s.load, s.reach) + fetchCost(s.work, s.server, s.held, s.reach)
+func (s *evaluation) prefillCost() float64 {
+	cost := prefillCost(s.work, s.server, s.load, s.reachableBlocks) + fetchCost(s.work, s.server, s.cachedBlocks, s.reachableBlocks)
 	if s.server.OthersFirst {
-		cost += othersFirstPenalty
+		cost += otherGroupPrefillPenalty
 	}
 	return cost
 }
 
-func (s *scored) decode() float64 {
+func (s *evaluation) decodeCost() float64 {
 	cost := s.picker.decodeCost(s.index, s.work, s.server, s.load)
 	if s.server.OthersFirst {
-		cost += othersFirstDecode
+		cost += otherGroupDecodePenalty
 	}
 	return cost
 }
 
-// pair joins the ends that cost least, with the transfer of the KV cache.
-func (b *best) pair(w *decision.Work, held []int) pair {
-	out := pair{prefill: -1, decode: -1}
-	out.join(b.prefill, b.decode)
-	out.join(b.prefill, b.mixedDecode)
-	out.join(b.mixedPrefill, b.decode)
-	if out.decode >= 0 {
-		out.cost += moveTime(w, held[out.decode])
+// bestPair combines the cheapest engines for prefill and decode and adds the KV cache transfer.
+func (c *candidates) bestPair(w *decision.Work, cached []int) enginePair {
+	best := enginePair{prefill: -1, decode: -1}
+	best.consider(c.prefill, c.decode)
+	best.consider(c.prefill, c.mixedDecode)
+	best.consider(c.mixedPrefill, c.decode)
+	if best.decode >= 0 {
+		best.cost += kvTransferTime(w, cached[best.decode])
 	}
-	return out
+	return best
 }
 
-// join takes both ends when they cost less.
-func (p *pair) join(prefill, decode candidate) {
+// consider takes the pair if it is cheaper.
+func (p *enginePair) consider(prefill, decode candidate) {
 	if prefill.index < 0 || decode.index < 0 {
 		return
 	}
 	if cost := prefill.cost + decode.cost; p.decode < 0 || cost < p.cost {
-		*p = pair{prefill: prefill.index, decode: decode.index, cost: cost}
+		*p = enginePair{prefill: prefill.index, decode: decode.index, cost: cost}
 	}
 }
