--- a/internal/decision/roles/keep.go
+++ b/internal/decision/roles/keep.go
@@ -6,12 +6,12 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// KeepPrefillShare gives the changes that bring the engines to a share that only prefills;
-// the others do whole requests. One engine of each kind is left at least.
+// KeepPrefillShare returns the changes that bring the share of engines that only prefill to the
+// given value; all other engines run whole requests. At least one engine of each kind remains.
 //
-// It answers a fleet whose engines start in roles that don't fit the work, where
-// the mix swings faster than a change of role pays: the split that serves the
-// usual mix is set once, and again after engines came or went.
+// It is meant for fleets whose engines start in roles that do not fit the workload and whose mix
+// swings faster than role changes pay off: the split for the average mix is set once, and again
+// after engines joined or left.
 func KeepPrefillShare(o *Observation, share float64) []Change {
 	split := CurrentSplit(o)
 	size := split.Size()
--- a/internal/decision/roles/keep_test.go
+++ b/internal/decision/roles/keep_test.go
@@ -8,7 +8,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-func observed(prefill, whole, away int) *Observation {
+func observationWith(prefill, mixed, unavailable int) *Observation {
 	o := &Observation{Bounds: Bounds{MaxUnavailable: 9}}
 	add := func(n int, role engineapi.Role, usable bool) {
 		for range n {
@@ -18,13 +18,13 @@
 		}
 	}
 	add(prefill, engineapi.RolePrefill, true)
-	add(whole, engineapi.RoleMixed, true)
-	add(away, engineapi.RolePrefill, false)
+	add(mixed, engineapi.RoleMixed, true)
+	add(unavailable, engineapi.RolePrefill, false)
 	return o
 }
 
-// Engines start in roles by chance. The split is set once, and left alone then.
-func TestShareIsKept(t *testing.T) {
+// Engines start in arbitrary roles. The split must be set once and not be changed afterwards.
+func TestPrefillShareIsKept(t *testing.T) {
 	for _, c := range []struct {
 		prefill, whole, away int
 		share                float64
@@ -39,7 +39,7 @@
 		{2, 0, 0, 1, 1, engineapi.RoleMixed},
 		{5, 3, 1, 0.67, 0, ""},
 	} {
-		changes := KeepPrefillShare(observed(c.prefill, c.whole, c.away), c.share)
+		changes := KeepPrefillShare(observationWith(c.prefill, c.whole, c.away), c.share)
 		if len(changes) != c.changes {
 			t.Errorf("%+v: %d changes %+v", c, len(changes), changes)
 			continue
@@ -52,16 +52,16 @@
 	}
 }
 
-// Guards against engines that hold prompts and change their role while others that have just
-// begun could.
+// Guards against role changes of engines that have run for long and hold many cached prompts
+// while others that have just started could change instead.
 func TestYoungestEnginesChangeFirst(t *testing.T) {
-	o := observed(0, 6, 0)
+	o := observationWith(0, 6, 0)
 	for i := range o.Engines {
 		o.Engines[i].Age = time.Duration(10-i) * time.Minute
 	}
 	for _, c := range KeepPrefillShare(o, 0.34) {
 		if c.Engine != "5" && c.Engine != "4" {
-			t.Errorf("engine %s changes", c.Engine)
+			t.Errorf("engine %s changes its role, want the youngest", c.Engine)
 		}
 	}
 }
--- a/internal/decision/roles/regret.go
+++ b/internal/decision/roles/regret.go
@@ -5,68 +5,67 @@
 	"time"
 )
 
-// regretTime is the time constant with which regret fades: what was lost an hour
-// ago says little on the next minutes.
-const regretTime = 10 * time.Minute
+// regretTimeConstant is the time constant with which regret decays: work lost an hour ago says
+// little about the next minutes.
+const regretTimeConstant = 10 * time.Minute
 
-// rateTime is the time constant of the rate at which regret grows now, horizon
-// how long that rate is reckoned to go on.
+// regretRateTimeConstant is the time constant of the current growth rate of regret.
+// forecastHorizon is how long that rate is assumed to continue.
 const (
-	rateTime = 20 * time.Second
-	horizon  = 3 * time.Minute
+	regretRateTimeConstant = 20 * time.Second
+	forecastHorizon        = 3 * time.Minute
 )
 
-// regrets keep for each other split how many engine-seconds of offered work the
-// present split lost beyond what that one would have lost, lately, and at what
-// rate it does so now.
-type regrets struct {
-	size     int
-	share    float64
-	current  Split
-	now      backlog // of the present split
-	options  []Split
-	backlogs []backlog
-	sums     []float64
-	rates    []float64
+// regretTracker records for each alternative split its regret: how many engine-seconds of offered
+// work the current split recently lost beyond what the alternative would have lost, and the
+// current growth rate of that difference.
+type regretTracker struct {
+	size           int
+	minMixedShare  float64
+	current        Split
+	currentBacklog backlog // of the current split
+	candidates     []Split
+	backlogs       []backlog
+	regrets        []float64
+	growthRates    []float64
 }
 
-// reset starts anew when the fleet or the bound on mixed engines changed: an
-// engine that is lost for good makes other splits the candidates. The backlog
-// stays.
-func (r *regrets) reset(current Split, minMixedShare float64) {
-	if r.size != current.Size() || r.share != minMixedShare {
-		r.size, r.share = current.Size(), minMixedShare
-		r.options = CandidateSplits(r.size, minMixedShare)
-		r.sums = make([]float64, len(r.options))
-		r.rates = make([]float64, len(r.options))
-		r.backlogs = make([]backlog, len(r.options))
-		r.level()
+// update restarts the comparison when the size of the fleet or the bound on mixed engines
+// changes, because losing an engine for good changes the candidate splits. The backlog is kept.
+func (r *regretTracker) update(current Split, minMixedShare float64) {
+	if r.size != current.Size() || r.minMixedShare != minMixedShare {
+		r.size, r.minMixedShare = current.Size(), minMixedShare
+		r.candidates = CandidateSplits(r.size, minMixedShare)
+		r.regrets = make([]float64, len(r.candidates))
+		r.growthRates = make([]float64, len(r.candidates))
+		r.backlogs = make([]backlog, len(r.candidates))
+		r.levelBacklogs()
 	}
 	if r.current != current {
 		r.current = current
-		r.level()
+		r.levelBacklogs()
 	}
 }
 
-// level gives all splits the backlog that there is: from here on they are
-// compared.
-func (r *regrets) level() {
+// levelBacklogs sets the backlog of every candidate to the actual one, so that the comparison
+// starts from here.
+func (r *regretTracker) levelBacklogs() {
 	for i := range r.backlogs {
-		r.backlogs[i] = r.now
+		r.backlogs[i] = r.currentBacklog
 	}
 }
 
-// add notes what each split would have lost in the interval. A split that would
-// have lost more than the present one loses its regret, down to zero: a swing
-// back takes away what the swing there gave.
-func (r *regrets) add(offered Demand, mixed float64, interval time.Duration) {
-	lost := r.now.step(r.current, offered, mixed, interval)
-	keep := decay(interval, regretTime)
-	keepRate := decay(interval, rateTime)
-	for i, s := range r.options {
-		gain := lost - r.backlogs[i].step(s, offered, mixed, interval)
-		r.sums[i] = max(0, keep*r.sums[i]+gain)
-		r.rates[i] = keepRate*r.rates[i] + (1-keepRate)*gain/interval.Seconds()
+// record adds what each split would have lost in the interval. A split that would have lost more
+// than the current one loses regret, down to zero, so that a swing back cancels the regret from
+// the swing before.
+func (r *regretTracker) record(offered Demand, mixedEfficiency float64, interval time.Duration) {
+	currentLoss := r.currentBacklog.advance(r.current, offered, mixedEfficiency, interval)
+	regretDecay := decay(interval, regretTimeConstant)
+	rateDecay := decay(interval, regretRateTimeConstant)
+	for i, s := range r.candidates {
+		excess := currentLoss - r.backlogs[i].advance(s, offered, mixedEfficiency, interval)
+		r.regrets[i] = max(0, regretDecay*r.regrets[i]+excess)
+		r.growthRates[i] = rateDecay*r.growthRates[i] + (1-rateDecay)*excess/interval.Seconds()
 	}
 }
 
@@ -78,34 +77,35 @@
 type candidate struct {
 	split   Split
 	changes int
-	// regret and expected are in engine-seconds: what was lost lately, and that
-	// with what will be over the horizon at the present rate.
+	// regret is the work lost recently, expected the same plus the work to be lost within the
+	// forecast horizon at the current rate, both in engine-seconds.
 	regret, expected float64
 }
 
-// best gives the split that wins most beyond its cost; false when none does. Two
-// things must hold. What was lost lately must exceed the seconds that engines
-// are away: so an oscillation that is faster than changes pay never gets one.
-// And that with what will be lost over the horizon must exceed the whole cost
-// with its price: so a lasting shift does not have to be paid for in full first.
-func (r *regrets) best(c cost) (candidate, bool) {
+// bestChange returns the split that gains most beyond its cost; false if none gains.
+//
+// Two conditions must hold. The work lost recently must exceed the engine-seconds that the
+// changes take, so that an oscillation too fast for changes to pay off never causes one. The
+// expected loss must exceed the whole cost including its price, so that changes for a lasting
+// shift need not wait until all of it has been lost.
+func (r *regretTracker) bestChange(cost changeCost) (candidate, bool) {
 	var best candidate
 	bestNet := 0.0
-	for i, s := range r.options {
-		changes := r.current.ChangesTo(s)
-		n := float64(changes)
-		expected := r.sums[i] + max(0, r.rates[i])*horizon.Seconds()
-		net := expected - n*(c.away+c.price)
-		if changes > 0 && r.sums[i] > n*c.away && net > bestNet {
-			best, bestNet = candidate{s, changes, r.sums[i], expected}, net
+	for i, s := range r.candidates {
+		count := r.current.ChangesTo(s)
+		changes := float64(count)
+		expected := r.regrets[i] + max(0, r.growthRates[i])*forecastHorizon.Seconds()
+		net := expected - changes*(cost.lostWork+cost.price)
+		if count > 0 && r.regrets[i] > changes*cost.lostWork && net > bestNet {
+			best, bestNet = candidate{s, count, r.regrets[i], expected}, net
 		}
 	}
 	return best, bestNet > 0
 }
 
-// spend takes away the part of the regrets that changes were made for.
-func (r *regrets) spend(regret float64) {
-	for i := range r.sums {
-		r.sums[i] = max(0, r.sums[i]-regret)
+// consume subtracts the regret that changes were made for.
+func (r *regretTracker) consume(regret float64) {
+	for i := range r.regrets {
+		r.regrets[i] = max(0, r.regrets[i]-regret)
 	}
 }
--- a/internal/decision/roles/roles.go
+++ b/internal/decision/roles/roles.go
@@ -1,15 +1,14 @@
-// Package roles decides when which engine changes its role between prefill,
-// decode and mixed.
+// Package roles decides when which engine changes its role between prefill, decode and mixed.
 //
-// It answers a prompt-to-output ratio that swings within minutes and drifts over
-// a day on a fleet that can't grow. Mixed engines form a band that soaks up
-// swings without any change; a change is made only when what it would have won
-// lately outweighs the engine-seconds that it costs and the profile's price.
+// It serves fleets of fixed size whose ratio of prompt to output tokens swings within minutes and
+// drifts over a day. Mixed engines absorb swings without any change. A role is changed only when
+// the work that the change would have saved recently outweighs the engine-seconds that it costs
+// and the price set in the profiles.
 //
-// Without it either the fleet stays split for a mix that is gone, or it follows
-// each swing and has engines away just when they are needed.
+// Without such a rule the fleet either stays split for a mix that has passed, or follows every
+// swing and has engines unavailable just when they are needed.
 //
-// docs/design/roles.md has the ways weighed and the figures.
+// docs/design/roles.md describes the alternatives considered and the measurements.
 package roles
 
 import (
@@ -19,68 +18,66 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Engine is one engine as control knows it.
+// Engine is the state of one engine as the control process sees it.
 type Engine struct {
 	ID   string
 	Role engineapi.Role
-	// TargetRole is the role that it changes to; Role when it does not change.
+	// TargetRole is the role that the engine is changing to; equal to Role if it is not changing.
 	TargetRole engineapi.Role
-	// Changing: away for a change of role, version or adapter.
+	// Changing tells that the engine is unavailable during a change of role, version or adapter.
 	Changing bool
-	// Usable is false while it is leaving, gone or changing.
+	// Usable is false while the engine is leaving, gone or changing.
 	Usable bool
-	// Age is how long its life is known; of engines that are known as long as the planner all
-	// count alike.
+	// Age is how long the engine's incarnation has been known. Engines that were there when the
+	// planner started all have the same age.
 	Age time.Duration
-	// PendingTokens is the tokens that it has to move or finish before it can change,
-	// as Work.Cost weighs them.
+	// PendingTokens are the tokens that the engine must move or finish before it can change its
+	// role. Output tokens are weighted by their cost relative to prompt tokens.
 	PendingTokens float64
 }
 
-// Rates are what one engine does in each role, in tokens/s. Zero fields take
-// their defaults.
+// Rates are the rates of one engine in each role, in tokens/s. Zero fields take their defaults.
 type Rates struct {
-	// Prefill and Decode are of engines with that role.
+	// Prefill and Decode are the rates of engines with that role.
 	Prefill, Decode float64
-	// MixedEfficiency is the part of both that a mixed engine does, 0 to 1.
+	// MixedEfficiency is the share of both rates that a mixed engine achieves, 0 to 1.
 	MixedEfficiency float64
 }
 
-// Bounds are what the operators allow.
+// Bounds are the limits that operators set.
 type Bounds struct {
-	// MaxUnavailable is how many engines may be away at once.
+	// MaxUnavailable is how many engines may be unavailable at once.
 	MaxUnavailable int
 	// MinMixedShare is the smallest share of mixed engines, 0 to 1.
 	MinMixedShare float64
-	// ChangeTime is how long a change takes an engine away.
+	// ChangeTime is how long a role change makes an engine unavailable.
 	ChangeTime time.Duration
 }
 
-// ChangePrice is what a change must win beyond its own cost.
+// ChangePrice is what a change must gain beyond its own cost.
 type ChangePrice struct {
-	// PerChange is in engine-seconds (Profile.RoleChangePrice, weighed over the
-	// profiles by their part of the work).
+	// PerChange is in engine-seconds: Profile.RoleChangePrice, averaged over the profiles by
+	// their share of the work.
 	PerChange time.Duration
-	// GoodputWeight and ChangeWeight are the deployment's; only their ratio
-	// counts.
+	// GoodputWeight and ChangeWeight are settings of the deployment; only their ratio matters.
 	GoodputWeight, ChangeWeight float64
 }
 
-// Observation is what is known of one model's engines and its offered work.
+// Observation is the state of one model's engines and its offered work.
 type Observation struct {
-	// Interval is the time over which tokens were counted.
+	// Interval is the time over which the tokens were counted.
 	Interval time.Duration
-	// PrefillTokens and DecodeTokens were offered in the interval, refused work
-	// included: what was refused for lack of a role is just what calls for it.
+	// PrefillTokens and DecodeTokens were offered in the interval. Refused work is included,
+	// because work refused for lack of engines of a role is the reason to change roles.
 	PrefillTokens, DecodeTokens float64
-	// Engines are all engines of the model, in order of id.
+	// Engines are all engines of the model, ordered by id.
 	Engines []Engine
 	Rates   Rates
 	Bounds  Bounds
 	Price   ChangePrice
 }
 
-// Change is a role change to be ordered.
+// Change is a role change to order.
 type Change struct {
 	Engine   string
 	From, To engineapi.Role
@@ -88,8 +85,8 @@
 	Figures  []decision.Figure
 }
 
-// Planner plans for one model. It is not safe for concurrent use.
-type Planner struct{ regrets regrets }
+// Planner plans the role changes of one model. It is not safe for concurrent use.
+type Planner struct{ regrets regretTracker }
 
-// NewPlanner gives a planner without history.
+// NewPlanner returns a planner without history.
 func NewPlanner() *Planner { return &Planner{} }
