--- a/internal/decision/replicas/replicas.go
+++ b/internal/decision/replicas/replicas.go
@@ -1,13 +1,11 @@
-// Package replicas decides how a control group mends itself.
+// Package replicas decides how a control group replaces lost replicas.
 //
-// It answers replicas that are lost one after the other: a VM is replaced by an
-// empty one at another address, or comes back with an empty disk. A group that
-// waits for an operator bears as many losses as it was laid out for and then
-// stands still; what it has confirmed can't be read any more.
+// Replicas can be lost one after the other: a VM is replaced by an empty one at another address,
+// or restarts with an empty disk. A group that waits for an operator stops as soon as more
+// replicas are lost than it tolerates, and the data that it has committed can no longer be read.
 //
-// A new replica first learns everything and then votes, and only then is a lost
-// one taken off the list: so the voters that are left are a quorum at every step
-// of which the old ones were.
+// A new replica joins as a learner, becomes a voter once it has caught up, and only then is a
+// lost one removed. So the remaining voters form a quorum at every step at which they did before.
 package replicas
 
 import (
@@ -17,23 +15,22 @@
 )
 
 const (
-	// lostAfter is how long a voter may be silent before another one takes its
-	// place: longer than a restart with a slow start, shorter than the time after
-	// which the next one may be lost.
-	lostAfter = 2500 * time.Millisecond
-	// learnerLostAfter is the same for a learner, which costs no quorum while it is
-	// away, but keeps others from being added.
+	// voterLostAfter is how long a voter may be silent before another replica replaces it: longer
+	// than a slow restart, shorter than the time after which the next voter may be lost.
+	voterLostAfter = 2500 * time.Millisecond
+	// learnerLostAfter is the same for a learner, which costs no quorum while it is silent but
+	// keeps others from being added.
 	learnerLostAfter = 4 * time.Second
 )
 
-// Member is one replica on the list.
+// Member is one replica in the member list.
 type Member struct {
 	ID      uint64
 	Address string
 	Voter   bool
-	// Leader is the leader, which decides.
+	// Leader tells that the member is the leader, which makes the decision.
 	Leader bool
-	// SilentFor is how long the leader has not heard it.
+	// SilentFor is how long the leader has received nothing from the member.
 	SilentFor time.Duration
 }
 
@@ -43,78 +40,78 @@
 	Address string
 }
 
-// Group is what the leader knows.
+// Group is the leader's view of the group.
 type Group struct {
-	// TargetVoters is how many the group is to have.
+	// TargetVoters is how many voters the group is configured to have.
 	TargetVoters int
 	Members      []Member
 	Joiners      []Joiner
 }
 
-// Change is the next change of the list: Add, if it is set, or Remove.
+// Change is the next change of the member list: an addition if Add is set, otherwise a removal.
 type Change struct {
 	Add    *Joiner
 	Remove uint64
 	Reason string
 }
 
-// NextChange gives the next change, false for none. The same group gives the same change.
+// NextChange returns the next change, or false for none. It depends on nothing but the group.
 func NextChange(g Group) (Change, bool) {
 	if m := g.lostLearner(); m != nil {
 		return Change{Remove: m.ID, Reason: "the learner is lost"}, true
 	}
 	lost := g.lostVoter()
-	if lost != nil && g.voters() > g.TargetVoters {
-		return Change{Remove: lost.ID, Reason: "another voter has taken the lost one's place"}, true
+	if lost != nil && g.voterCount() > g.TargetVoters {
+		return Change{Remove: lost.ID, Reason: "a new voter has replaced the lost one"}, true
 	}
-	if g.learners() > 0 || lost == nil && g.voters() >= g.TargetVoters {
+	if g.learnerCount() > 0 || lost == nil && g.voterCount() >= g.TargetVoters {
 		return Change{}, false
 	}
-	j := g.joiner()
+	j := g.nextJoiner()
 	if j == nil {
 		return Change{}, false
 	}
-	reason := "the group lacks voters"
+	reason := "the group has fewer voters than configured"
 	if lost != nil {
 		reason = "a voter is lost"
 	}
 	return Change{Add: j, Reason: reason}, true
 }
 
-// replaced tells whether another life has the member's address: its folder is
-// lost for good.
-func (g *Group) replaced(m *Member) bool {
+// addressTaken reports whether a replica with another id waits to join at the member's address.
+// The member's data directory is then lost for good.
+func (g *Group) addressTaken(m *Member) bool {
 	return slices.ContainsFunc(g.Joiners, func(j Joiner) bool { return j.Address == m.Address && j.ID != m.ID })
 }
 
 func (g *Group) lostLearner() *Member {
 	for i := range g.Members {
 		m := &g.Members[i]
-		if !m.Voter && (g.replaced(m) || m.SilentFor >= learnerLostAfter) {
+		if !m.Voter && (g.addressTaken(m) || m.SilentFor >= learnerLostAfter) {
 			return m
 		}
 	}
 	return nil
 }
 
-// lostVoter gives the voter that is lost for good if there is one, else the one
-// that has been silent longest, if for long enough.
+// lostVoter returns a voter that is lost for good if there is one; otherwise the one that has
+// been silent longest, if that is long enough.
 func (g *Group) lostVoter() *Member {
 	var lost *Member
 	for i := range g.Members {
 		m := &g.Members[i]
 		switch {
 		case !m.Voter || m.Leader:
-		case g.replaced(m):
+		case g.addressTaken(m):
 			return m
-		case m.SilentFor >= lostAfter && (lost == nil || m.SilentFor > lost.SilentFor):
+		case m.SilentFor >= voterLostAfter && (lost == nil || m.SilentFor > lost.SilentFor):
 			lost = m
 		}
 	}
 	return lost
 }
 
-func (g *Group) voters() int {
+func (g *Group) voterCount() int {
 	n := 0
 	for _, m := range g.Members {
 		if m.Voter {
@@ -124,17 +121,17 @@
 	return n
 }
 
-func (g *Group) learners() int { return len(g.Members) - g.voters() }
+func (g *Group) learnerCount() int { return len(g.Members) - g.voterCount() }
 
-// joiner gives the one to add: of those that are not on the list yet the first by
-// address.
-func (g *Group) joiner() *Joiner {
+// nextJoiner returns the replica to add: the first by address of those that are not in the member
+// list.
+func (g *Group) nextJoiner() *Joiner {
 	var first *Joiner
 	for i := range g.Joiners {
-		j := &g.Joiners[i]
-		known := slices.ContainsFunc(g.Members, func(m Member) bool { return m.ID == j.ID })
-		if !known && (first == nil || cmp.Less(j.Address, first.Address)) {
-			first = j
+		candidate := &g.Joiners[i]
+		member := slices.ContainsFunc(g.Members, func(m Member) bool { return m.ID == candidate.ID })
+		if !member && (first == nil || cmp.Less(candidate.Address, first.Address)) {
+			first = candidate
 		}
 	}
 	return first
