--- a/internal/decision/autoscaling/autoscaling.go
+++ b/internal/decision/autoscaling/autoscaling.go
@@ -1,12 +1,12 @@
-// Package autoscaling decides how many servers of a service are ordered where, and of which
-// kind: spot servers cost a part of the others, and all of a data centre may be taken away at
-// once after seconds of notice, or not be to be had.
+// Package autoscaling decides how many servers of a service are ordered in which data centre, and
+// of which kind. Spot servers cost a fraction of on-demand servers, but all of a data centre's
+// spot servers may be withdrawn at once with seconds of notice, or be unavailable.
 //
-// It answers a fleet that is paid for by the second and sized for its bursts, which come and
-// go faster than a server boots: the number follows the size that is aimed at, the kind
-// follows the price. Servers are given back only once those that take their places serve.
+// It serves fleets that are paid by the second and sized for bursts, which come and go faster
+// than a server boots. The number of servers follows the target size and their kind follows the
+// price. Servers are released only once their replacements are serving.
 //
-// docs/design/autoscaling.md has the ways weighed and the figures.
+// docs/design/autoscaling.md describes the alternatives considered and the measurements.
 package autoscaling
 
 import (
@@ -15,52 +15,52 @@
 )
 
 const (
-	// steadyShare is how many servers that are no spot servers there are at least, as a part of
-	// the size that is aimed at: what is left while all spot servers of all data centres are
-	// gone and others boot.
-	steadyShare = 0.5
-	// spotShare is how many spot servers are ordered besides, as the same part. Together with
-	// steadyShare it is more than 1: the loss of one data centre's spot servers of three leaves
-	// the size that is aimed at.
+	// onDemandShare is the smallest number of on-demand servers as a share of the target size:
+	// what remains while the spot servers of all data centres are gone and replacements boot.
+	onDemandShare = 0.5
+	// spotShare is the number of spot servers as a share of the target size. Together with
+	// onDemandShare it is more than 1, so that losing the spot servers of one data centre out of
+	// three leaves the target size.
 	spotShare = 0.84
-	// giveBackAfter is how long the servers that take their places must have served before
-	// servers are given back: a spot server that goes again at once has cost caches twice.
-	giveBackAfter = time.Second
-	// scarceFor is how long no servers of a kind are ordered where none were to be had.
-	scarceFor = 5 * time.Second
-	// orderAgainAfter is how long beyond their boot the servers may differ from what was
-	// ordered before that is ordered again: an older order may have been carried out late.
-	orderAgainAfter = 6 * time.Second
+	// releaseDelay is how long replacements must have served before servers are released. A spot
+	// server that is withdrawn at once would otherwise cost warm caches twice.
+	releaseDelay = time.Second
+	// unavailableBackoff is how long no servers of a kind are ordered after none were available.
+	unavailableBackoff = 5 * time.Second
+	// reorderDelay is how long beyond the boot time the number of servers may differ from the
+	// last order before it is ordered again: an older order may have been carried out late.
+	reorderDelay = 6 * time.Second
 )
 
-// Kind tells spot servers from others.
+// Kind is whether servers are on-demand or spot servers.
 type Kind bool
 
-// The kinds.
+// The kinds of servers.
 const (
 	OnDemand Kind = false
 	Spot     Kind = true
 )
 
-// Bounds are what is declared of a service.
+// Bounds are the declared limits of a service.
 type Bounds struct {
-	// Min and Max bound the servers of one data centre, of both kinds together.
+	// Min and Max bound the number of servers in one data centre, both kinds together.
 	Min, Max int
 	BootTime time.Duration
-	// SpotPrice is the price of a spot server as a part of another one's; 0: there are none.
+	// SpotPrice is the price of a spot server relative to an on-demand server; 0 if there are no
+	// spot servers.
 	SpotPrice float64
 }
 
-// DataCentre is what is known of a service's servers in one.
+// DataCentre is the state of a service's servers in one data centre.
 type DataCentre struct {
 	Name string
-	// Target is how many there should be, of both kinds together.
+	// Target is how many servers there should be, both kinds together.
 	Target int
-	// OnDemand and Spot are those that serve.
+	// OnDemand and Spot are the numbers of servers that are serving.
 	OnDemand, Spot int
 }
 
-// Order says how many servers of a kind a data centre is to have.
+// Order sets how many servers of a kind a data centre is to have.
 type Order struct {
 	DataCentre string
 	Kind       Kind
@@ -68,133 +68,135 @@
 	Reason     string
 }
 
-// Planner plans for one service. It is not safe for concurrent use.
-type Planner struct{ centres map[string]*centre }
-
-// centre is what a planner remembers of a data centre.
-type centre struct {
-	orders map[Kind]*ordered
-	// coveredAt is since when the servers that serve are enough without those that would be
-	// given back; zero while they are not.
-	coveredAt time.Duration
-	// scarceUntil is until when none of a kind are ordered.
-	scarceUntil map[Kind]time.Duration
+// Planner plans the servers of one service. It is not safe for concurrent use.
+type Planner struct{ dataCentres map[string]*dataCentreState }
+
+// dataCentreState is what the planner remembers of a data centre.
+type dataCentreState struct {
+	orders map[Kind]*lastOrder
+	// coveredSince is when the serving servers became enough without those to be released; zero
+	// while they are not enough.
+	coveredSince time.Duration
+	// unavailableUntil is when servers of a kind may be ordered again.
+	unavailableUntil map[Kind]time.Duration
 }
 
-// ordered is the last order of a kind.
-type ordered struct {
+// lastOrder is the last accepted order of a kind.
+type lastOrder struct {
 	servers int
-	// since is when the servers began to differ from it, or when it was taken.
-	since time.Duration
+	// differsSince is when the number of servers began to differ from the order, or when the
+	// order was accepted.
+	differsSince time.Duration
 }
 
-// NewPlanner gives a planner that knows of no order.
-func NewPlanner() *Planner { return &Planner{centres: make(map[string]*centre)} }
+// NewPlanner returns a planner without history.
+func NewPlanner() *Planner { return &Planner{dataCentres: make(map[string]*dataCentreState)} }
 
-func (p *Planner) of(name string) *centre {
-	c := p.centres[name]
+func (p *Planner) state(dataCentre string) *dataCentreState {
+	c := p.dataCentres[dataCentre]
 	if c == nil {
-		c = &centre{orders: make(map[Kind]*ordered), scarceUntil: make(map[Kind]time.Duration)}
-		p.centres[name] = c
+		c = &dataCentreState{orders: make(map[Kind]*lastOrder), unavailableUntil: make(map[Kind]time.Duration)}
+		p.dataCentres[dataCentre] = c
 	}
 	return c
 }
 
-// OrderAccepted notes that an order was taken.
+// OrderAccepted records that an order was accepted.
 func (p *Planner) OrderAccepted(now time.Duration, o Order) {
-	p.of(o.DataCentre).orders[o.Kind] = &ordered{servers: o.Servers, since: now}
+	p.state(o.DataCentre).orders[o.Kind] = &lastOrder{servers: o.Servers, differsSince: now}
 }
 
-// OrderUnavailable notes that there are no servers to be had for an order.
+// OrderUnavailable records that no servers were available for an order.
 func (p *Planner) OrderUnavailable(now time.Duration, o Order) {
-	c := p.of(o.DataCentre)
-	c.scarceUntil[o.Kind] = now + scarceFor
+	c := p.state(o.DataCentre)
+	c.unavailableUntil[o.Kind] = now + unavailableBackoff
 	delete(c.orders, o.Kind)
 }
 
-// Plan gives the orders to give now, in order of data centre.
+// Plan returns the orders to place now, in the order of the data centres.
 func (p *Planner) Plan(now time.Duration, b Bounds, list []DataCentre) []Order {
 	var orders []Order
 	for i := range list {
-		orders = append(orders, p.planCentre(now, b, &list[i])...)
+		orders = append(orders, p.planDataCentre(now, b, &list[i])...)
 	}
 	return orders
 }
 
-// sizeOf is how many servers a data centre is to have.
-func sizeOf(b Bounds, d *DataCentre) int { return min(b.Max, max(b.Min, d.Target)) }
+// targetSize is the target number of servers within the bounds.
+func targetSize(b Bounds, d *DataCentre) int { return min(b.Max, max(b.Min, d.Target)) }
 
-// steadyFor is how many of them are no spot servers while there are spot servers enough.
-func steadyFor(b Bounds, d *DataCentre) int {
-	if !hasSpot(b) {
-		return sizeOf(b, d)
+// onDemandTarget is how many servers are on-demand servers while there are enough spot servers.
+func onDemandTarget(b Bounds, d *DataCentre) int {
+	if !spotIsCheaper(b) {
+		return targetSize(b, d)
 	}
-	return part(steadyShare, sizeOf(b, d))
+	return shareOf(onDemandShare, targetSize(b, d))
 }
 
-// hasSpot tells whether there are spot servers that cost less than others.
-func hasSpot(b Bounds) bool { return b.SpotPrice > 0 && b.SpotPrice < 1 }
-
-// planCentre gives the orders of a data centre: others stand in for spot servers that it lacks.
-func (p *Planner) planCentre(now time.Duration, b Bounds, d *DataCentre) []Order {
-	c := p.of(d.Name)
-	size := sizeOf(b, d)
-	spot := spotFor(b, size)
-	steady := c.giveBack(now, d, max(steadyFor(b, d), size-d.Spot))
-	spot = min(spot, b.Max-max(steady, d.OnDemand))
+// spotIsCheaper reports whether there are spot servers and they cost less than on-demand ones.
+func spotIsCheaper(b Bounds) bool { return b.SpotPrice > 0 && b.SpotPrice < 1 }
+
+// planDataCentre returns the orders for one data centre. On-demand servers replace missing spot
+// servers.
+func (p *Planner) planDataCentre(now time.Duration, b Bounds, d *DataCentre) []Order {
+	c := p.state(d.Name)
+	size := targetSize(b, d)
+	spot := spotTarget(b, size)
+	onDemand := c.releaseExcess(now, d, max(onDemandTarget(b, d), size-d.Spot))
+	spot = min(spot, b.Max-max(onDemand, d.OnDemand))
 	var out []Order
-	if o, due := c.order(now, b, d.Name, OnDemand, steady, d.OnDemand); due {
+	if o, due := c.orderIfDue(now, b, d.Name, OnDemand, onDemand, d.OnDemand); due {
 		out = append(out, o)
 	}
-	if o, due := c.order(now, b, d.Name, Spot, spot, d.Spot); due && spot+d.Spot > 0 {
+	if o, due := c.orderIfDue(now, b, d.Name, Spot, spot, d.Spot); due && spot+d.Spot > 0 {
 		out = append(out, o)
 	}
 	return out
 }
 
-// spotFor is how many spot servers a data centre of so many servers has.
-func spotFor(b Bounds, total int) int {
-	if !hasSpot(b) {
+// spotTarget is how many spot servers a data centre of the given size is to have.
+func spotTarget(b Bounds, total int) int {
+	if !spotIsCheaper(b) {
 		return 0
 	}
-	return part(spotShare, total)
+	return shareOf(spotShare, total)
 }
 
-// part is a part of so many servers, rounded up.
-func part(share float64, total int) int { return int(math.Ceil(share * float64(total))) }
+// shareOf is a share of a number of servers, rounded up.
+func shareOf(share float64, total int) int { return int(math.Ceil(share * float64(total))) }
 
-// giveBack is how many servers that are no spot servers there should be: fewer than there are
-// only after giveBackAfter.
-func (c *centre) giveBack(now time.Duration, d *DataCentre, steady int) int {
-	if steady >= d.OnDemand {
-		c.coveredAt = 0
-		return steady
+// releaseExcess returns how many on-demand servers to have. It goes below the current number only
+// after releaseDelay.
+func (c *dataCentreState) releaseExcess(now time.Duration, d *DataCentre, wanted int) int {
+	if wanted >= d.OnDemand {
+		c.coveredSince = 0
+		return wanted
 	}
-	if c.coveredAt == 0 {
-		c.coveredAt = now
+	if c.coveredSince == 0 {
+		c.coveredSince = now
 	}
-	if now-c.coveredAt < giveBackAfter {
+	if now-c.coveredSince < releaseDelay {
 		return d.OnDemand
 	}
-	return steady
+	return wanted
 }
 
-// order gives the order of a kind if it is due: it differs from the last one, or has not
-// come about.
-func (c *centre) order(now time.Duration, b Bounds, name string, kind Kind, servers, serve int) (Order, bool) {
-	o := Order{DataCentre: name, Kind: kind, Servers: servers, Reason: "another number is needed"}
+// orderIfDue returns the order of a kind and whether it is due: it differs from the last one, or
+// the last one has not taken effect in time.
+func (c *dataCentreState) orderIfDue(now time.Duration, b Bounds, dataCentre string, kind Kind, wanted, serving int) (Order, bool) {
+	o := Order{DataCentre: dataCentre, Kind: kind, Servers: wanted, Reason: "the required number of servers has changed"}
 	last := c.orders[kind]
 	switch {
-	case now < c.scarceUntil[kind]:
+	case now < c.unavailableUntil[kind]:
 		return o, false
-	case last == nil && servers == serve && kind == OnDemand:
+	case last == nil && wanted == serving && kind == OnDemand:
 		return o, false
-	case last == nil || last.servers != servers:
+	case last == nil || last.servers != wanted:
 		return o, true
-	case serve == servers:
-		last.since = now
+	case serving == wanted:
+		last.differsSince = now
 		return o, false
 	}
-	o.Reason = "the servers are not those that were ordered"
-	return o, now-last.since >= b.BootTime+orderAgainAfter
+	o.Reason = "the number of servers differs from the last order"
+	return o, now-last.differsSince >= b.BootTime+reorderDelay
 }
--- a/internal/decision/autoscaling/autoscaling_test.go
+++ b/internal/decision/autoscaling/autoscaling_test.go
@@ -6,128 +6,128 @@
 	"time"
 )
 
-// market is a data centre's servers in virtual time: ordered ones boot, and spot servers may
-// be taken away.
-type market struct {
-	boot time.Duration
-	// scarce tells when no spot servers are to be had.
-	scarce func(now time.Duration) bool
-	serve  map[Kind]int
-	coming []coming
-	// paid is in servers times seconds, spot servers at their price.
-	paid, price float64
-	orders      int
+// simMarket simulates the servers of a data centre in virtual time: ordered servers boot, and
+// spot servers may be withdrawn.
+type simMarket struct {
+	bootTime time.Duration
+	// spotUnavailable tells when no spot servers can be had.
+	spotUnavailable func(now time.Duration) bool
+	serving         map[Kind]int
+	booting         []bootingServers
+	// cost is in server-seconds, spot servers weighted by their price.
+	cost, spotPrice float64
+	orders          int
 }
 
-type coming struct {
+type bootingServers struct {
 	kind    Kind
 	servers int
-	at      time.Duration
+	readyAt time.Duration
 }
 
-func (m *market) order(now time.Duration, p *Planner, o Order) {
+func (m *simMarket) order(now time.Duration, p *Planner, o Order) {
 	m.orders++
-	if o.Kind == Spot && m.scarce(now) && o.Servers > m.serve[Spot] {
+	if o.Kind == Spot && m.spotUnavailable(now) && o.Servers > m.serving[Spot] {
 		p.OrderUnavailable(now, o)
 		return
 	}
 	p.OrderAccepted(now, o)
 	booting := 0
-	for _, c := range m.coming {
+	for _, c := range m.booting {
 		if c.kind == o.Kind {
 			booting += c.servers
 		}
 	}
-	if more := o.Servers - m.serve[o.Kind] - booting; more > 0 {
-		m.coming = append(m.coming, coming{o.Kind, more, now + m.boot})
+	if missing := o.Servers - m.serving[o.Kind] - booting; missing > 0 {
+		m.booting = append(m.booting, bootingServers{o.Kind, missing, now + m.bootTime})
 	}
-	m.serve[o.Kind] = min(m.serve[o.Kind], o.Servers)
+	m.serving[o.Kind] = min(m.serving[o.Kind], o.Servers)
 }
 
-func (m *market) step(now, tick time.Duration) {
-	var left []coming
-	for _, c := range m.coming {
-		if now >= c.at {
-			m.serve[c.kind] += c.servers
+func (m *simMarket) step(now, tick time.Duration) {
+	var remaining []bootingServers
+	for _, c := range m.booting {
+		if now >= c.readyAt {
+			m.serving[c.kind] += c.servers
 		} else {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	m.coming = left
-	m.paid += tick.Seconds() * (float64(m.serve[OnDemand]) + m.price*float64(m.serve[Spot]))
+	m.booting = remaining
+	m.cost += tick.Seconds() * (float64(m.serving[OnDemand]) + m.spotPrice*float64(m.serving[Spot]))
 }
 
-// play lets a planner keep a data centre at 30 servers; at is called each tick.
-func play(t *testing.T, m *market, b Bounds, length time.Duration, at func(now time.Duration)) {
+// runMarket lets a planner keep a data centre at 30 servers; it calls eachTick at every tick.
+func runMarket(t *testing.T, m *simMarket, b Bounds, duration time.Duration, eachTick func(now time.Duration)) {
 	const tick = 200 * time.Millisecond
 	p := NewPlanner()
-	for now := tick; now < length; now += tick {
-		at(now)
+	for now := tick; now < duration; now += tick {
+		eachTick(now)
 		m.step(now, tick)
-		for _, o := range p.Plan(now, b, []DataCentre{{Name: "a", Target: 30, OnDemand: m.serve[OnDemand], Spot: m.serve[Spot]}}) {
+		for _, o := range p.Plan(now, b, []DataCentre{{Name: "a", Target: 30, OnDemand: m.serving[OnDemand], Spot: m.serving[Spot]}}) {
 			m.order(now, p, o)
 		}
-		if all := m.serve[OnDemand] + m.serve[Spot]; all > b.Max {
-			t.Fatalf("%v: %d servers, %d are allowed", now, all, b.Max)
+		if total := m.serving[OnDemand] + m.serving[Spot]; total > b.Max {
+			t.Fatalf("%v: %d servers, want at most %d", now, total, b.Max)
 		}
 	}
 }
 
-// settled tells whether the servers are those that are to be there in the end.
-func (m *market) settled() bool {
-	return m.serve[OnDemand] == part(steadyShare, 30) && m.serve[Spot] == part(spotShare, 30)
+// atTarget reports whether the numbers of both kinds are the final ones.
+func (m *simMarket) atTarget() bool {
+	return m.serving[OnDemand] == shareOf(onDemandShare, 30) && m.serving[Spot] == shareOf(spotShare, 30)
 }
 
-func newMarket(boot time.Duration) *market {
-	return &market{
-		boot: boot, price: 0.25, serve: map[Kind]int{OnDemand: 30}, scarce: func(time.Duration) bool { return false },
+func newSimMarket(boot time.Duration) *simMarket {
+	return &simMarket{
+		bootTime: boot, spotPrice: 0.25, serving: map[Kind]int{OnDemand: 30}, spotUnavailable: func(time.Duration) bool { return false },
 	}
 }
 
-// Guards against servers that are given back before others serve in their places, and against
-// orders that go on once nothing changes. Load: a day without trouble.
-func TestSpotServersTakeTheOthersPlaces(t *testing.T) {
+// Guards against releasing servers before their replacements serve, and against further orders
+// once nothing changes. Spot servers are available all the time.
+func TestSpotServersReplaceOnDemandServers(t *testing.T) {
 	for _, boot := range []time.Duration{time.Second, 4 * time.Second, 30 * time.Second} {
 		t.Run(fmt.Sprint(boot), func(t *testing.T) {
-			m := newMarket(boot)
-			play(t, m, Bounds{Min: 1, Max: 60, BootTime: boot, SpotPrice: 0.25}, 10*time.Minute, func(now time.Duration) {
-				if all := m.serve[OnDemand] + m.serve[Spot]; all < 30 {
-					t.Fatalf("%v: %d servers, 30 are aimed at", now, all)
+			m := newSimMarket(boot)
+			runMarket(t, m, Bounds{Min: 1, Max: 60, BootTime: boot, SpotPrice: 0.25}, 10*time.Minute, func(now time.Duration) {
+				if total := m.serving[OnDemand] + m.serving[Spot]; total < 30 {
+					t.Fatalf("%v: %d servers, want 30", now, total)
 				}
 			})
-			if !m.settled() || m.orders > 4 {
-				t.Errorf("%v after %d orders", m.serve, m.orders)
+			if !m.atTarget() || m.orders > 4 {
+				t.Errorf("%v after %d orders", m.serving, m.orders)
 			}
-			// A fifth less than the same servers without spot servers cost.
-			if most := 0.8 * 30 * 600; m.paid > most {
-				t.Errorf("paid for %.0f server-seconds, at most %.0f", m.paid, most)
+			// A fifth less than the same servers cost without spot servers.
+			if maxCost := 0.8 * 30 * 600; m.cost > maxCost {
+				t.Errorf("cost %.0f server-seconds, want at most %.0f", m.cost, maxCost)
 			}
 		})
 	}
 }
 
-// Guards against a service that is left with a fifth of its servers when all spot servers go
-// and none are to be had, and against orders in each moment of it. Load: all spot servers are
-// taken away at a minute, for a minute.
+// Guards against a service that is left with a fifth of its servers when all spot servers are
+// withdrawn and none are available, and against an order at every tick of that time. All spot
+// servers are withdrawn after one minute, for one minute.
 func TestLostSpotServersAreReplaced(t *testing.T) {
 	for _, boot := range []time.Duration{time.Second, 4 * time.Second, 15 * time.Second} {
 		t.Run(fmt.Sprint(boot), func(t *testing.T) {
-			m := newMarket(boot)
-			m.scarce = func(now time.Duration) bool { return now >= time.Minute && now < 2*time.Minute }
-			play(t, m, Bounds{Min: 1, Max: 60, BootTime: boot, SpotPrice: 0.25}, 5*time.Minute, func(now time.Duration) {
-				if m.scarce(now) {
-					m.serve[Spot] = 0
+			m := newSimMarket(boot)
+			m.spotUnavailable = func(now time.Duration) bool { return now >= time.Minute && now < 2*time.Minute }
+			runMarket(t, m, Bounds{Min: 1, Max: 60, BootTime: boot, SpotPrice: 0.25}, 5*time.Minute, func(now time.Duration) {
+				if m.spotUnavailable(now) {
+					m.serving[Spot] = 0
 				}
-				all := m.serve[OnDemand] + m.serve[Spot]
-				if late := time.Minute + boot + time.Second; all < 30 && (now < time.Minute || now > late) {
-					t.Fatalf("%v: %d servers, 30 are aimed at", now, all)
+				total := m.serving[OnDemand] + m.serving[Spot]
+				if deadline := time.Minute + boot + time.Second; total < 30 && (now < time.Minute || now > deadline) {
+					t.Fatalf("%v: %d servers, want 30", now, total)
 				}
-				if m.serve[OnDemand] < part(steadyShare, 30) {
-					t.Fatalf("%v: %d servers are no spot servers", now, m.serve[OnDemand])
+				if m.serving[OnDemand] < shareOf(onDemandShare, 30) {
+					t.Fatalf("%v: only %d on-demand servers", now, m.serving[OnDemand])
 				}
 			})
-			if !m.settled() {
-				t.Errorf("in the end %v", m.serve)
+			if !m.atTarget() {
+				t.Errorf("in the end %v", m.serving)
 			}
 			if m.orders > 40 {
 				t.Errorf("%d orders", m.orders)
@@ -136,40 +136,39 @@
 	}
 }
 
-// Guards against spot servers where there are none, and against more servers than are allowed
-// while both kinds are there.
+// Guards against ordering spot servers where there are none, and against exceeding the maximum
+// while servers of one kind replace those of the other.
 func TestBoundsAreKept(t *testing.T) {
-	m := newMarket(4 * time.Second)
-	play(t, m, Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second}, time.Minute, func(time.Duration) {})
-	if m.orders != 0 || m.serve[OnDemand] != 30 {
-		t.Errorf("without spot servers: %v after %d orders", m.serve, m.orders)
+	m := newSimMarket(4 * time.Second)
+	runMarket(t, m, Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second}, time.Minute, func(time.Duration) {})
+	if m.orders != 0 || m.serving[OnDemand] != 30 {
+		t.Errorf("without spot servers: %v after %d orders", m.serving, m.orders)
 	}
-	m = newMarket(4 * time.Second)
-	play(t, m, Bounds{Min: 1, Max: 40, BootTime: 4 * time.Second, SpotPrice: 0.25}, 3*time.Minute, func(time.Duration) {})
-	if m.serve[OnDemand] != part(steadyShare, 30) || m.serve[OnDemand]+m.serve[Spot] != 40 {
-		t.Errorf("with room for ten more: %v", m.serve)
+	m = newSimMarket(4 * time.Second)
+	runMarket(t, m, Bounds{Min: 1, Max: 40, BootTime: 4 * time.Second, SpotPrice: 0.25}, 3*time.Minute, func(time.Duration) {})
+	if m.serving[OnDemand] != shareOf(onDemandShare, 30) || m.serving[OnDemand]+m.serving[Spot] != 40 {
+		t.Errorf("with a maximum of ten more: %v", m.serving)
 	}
 }
 
-// Guards against a late order that undoes a newer one for good.
-func TestOtherNumberThanOrderedIsOrderedAgain(t *testing.T) {
-	m := newMarket(4 * time.Second)
-	play(t, m, Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second, SpotPrice: 0.25}, 2*time.Minute, func(now time.Duration) {
+// Guards against a late order that overrides a newer one permanently.
+func TestOrderIsRepeatedWhenServerCountDiffers(t *testing.T) {
+	m := newSimMarket(4 * time.Second)
+	runMarket(t, m, Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second, SpotPrice: 0.25}, 2*time.Minute, func(now time.Duration) {
 		if now == time.Minute {
-			m.serve[Spot] = 3
+			m.serving[Spot] = 3
 		}
 	})
-	if !m.settled() {
-		t.Errorf("in the end %v", m.serve)
+	if !m.atTarget() {
+		t.Errorf("in the end %v", m.serving)
 	}
 }
 
-// Guards against an order that is made again in each moment while what it asks for is not to be
-// had, whichever kind that is.
-func TestUnavailableServersAreNotAskedForAtOnceAgain(t *testing.T) {
+// Guards against repeating an order at every tick while servers of that kind are unavailable.
+func TestUnavailableOrderIsNotRepeatedAtOnce(t *testing.T) {
 	b := Bounds{Min: 1, Max: 60, BootTime: 4 * time.Second, SpotPrice: 0.25}
 	for _, kind := range []Kind{OnDemand, Spot} {
-		p, asked := NewPlanner(), 0
+		p, attempts := NewPlanner(), 0
 		list := []DataCentre{{Name: "a", Target: 30, OnDemand: 1, Spot: 1}}
 		for now := time.Duration(0); now < 10*time.Second; now += 200 * time.Millisecond {
 			for _, o := range p.Plan(now, b, list) {
@@ -177,12 +176,12 @@
 					p.OrderAccepted(now, o)
 					continue
 				}
-				asked++
+				attempts++
 				p.OrderUnavailable(now, o)
 			}
 		}
-		if most := int(10*time.Second/scarceFor) + 1; asked > most {
-			t.Errorf("spot %v: asked for %d times in 10 s, at most %d", kind, asked, most)
+		if maxAttempts := int(10*time.Second/unavailableBackoff) + 1; attempts > maxAttempts {
+			t.Errorf("spot %v: ordered %d times in 10 s, want at most %d", kind, attempts, maxAttempts)
 		}
 	}
 }
