--- a/internal/policy/baseline.go
+++ b/internal/policy/baseline.go
@@ -7,43 +7,44 @@
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
 )
 
-// rolePolicy decides on role changes once every planEvery.
+// rolePolicy decides on role changes; it is called once every planEvery.
 type rolePolicy interface {
 	plan(now time.Duration, o roles.Observation) []roles.Change
 }
 
-// ours is the planner that goldcrest-control runs.
-type ours struct{ planner *roles.Planner }
+// productionPolicy is the planner that goldcrest-control runs.
+type productionPolicy struct{ planner *roles.Planner }
 
-func newOurs() rolePolicy { return &ours{roles.NewPlanner()} }
+func newProductionPolicy() rolePolicy { return &productionPolicy{roles.NewPlanner()} }
 
-func (p *ours) plan(now time.Duration, o roles.Observation) []roles.Change {
+func (p *productionPolicy) plan(now time.Duration, o roles.Observation) []roles.Change {
 	return p.planner.Plan(now, o)
 }
 
-// never keeps the split.
-type never struct{}
+// staticPolicy never changes the split.
+type staticPolicy struct{}
 
-func (never) plan(time.Duration, roles.Observation) []roles.Change { return nil }
+func (staticPolicy) plan(time.Duration, roles.Observation) []roles.Change { return nil }
 
-// follow takes the split that serves the last seconds' demand best, at once.
-type follow struct{ window window }
+// followPolicy changes at once to the split that best serves the demand of the last few plans.
+type followPolicy struct{ window demandWindow }
 
-// followWindow is over how long it looks: less is single dossiers.
-const followWindow = 5
+// followWindowPlans is the number of plans that followPolicy averages over. With fewer, a single
+// long prompt would dominate the demand.
+const followWindowPlans = 5
 
-func (p *follow) plan(_ time.Duration, o roles.Observation) []roles.Change {
-	d := p.window.add(&o, followWindow)
+func (p *followPolicy) plan(_ time.Duration, o roles.Observation) []roles.Change {
+	d := p.window.add(&o, followWindowPlans)
 	target := bestSplit(&o, d)
 	return roles.ChangesTowards(&o, target, "follow", nil)
 }
 
-// window is a mean of demand over the last plans.
-type window struct{ demands []roles.Demand }
+// demandWindow is the average demand over the last plans.
+type demandWindow struct{ demands []roles.Demand }
 
-func (w *window) add(o *roles.Observation, length int) roles.Demand {
-	w.demands = append(w.demands, demandOf(o))
-	if len(w.demands) > length {
+func (w *demandWindow) add(o *roles.Observation, maxPlans int) roles.Demand {
+	w.demands = append(w.demands, offeredDemand(o))
+	if len(w.demands) > maxPlans {
 		w.demands = w.demands[1:]
 	}
 	return mean(w.demands)
@@ -59,63 +60,62 @@
 	return roles.Demand{Prefill: sum.Prefill / n, Decode: sum.Decode / n}
 }
 
-func demandOf(o *roles.Observation) roles.Demand {
-	secs := o.Interval.Seconds()
+func offeredDemand(o *roles.Observation) roles.Demand {
+	seconds := o.Interval.Seconds()
 	return roles.Demand{
-		Prefill: o.PrefillTokens / enginemodel.DefaultPrefillRate / secs,
-		Decode:  o.DecodeTokens / enginemodel.Config{}.FullDecodeRate() / secs,
+		Prefill: o.PrefillTokens / enginemodel.DefaultPrefillRate / seconds,
+		Decode:  o.DecodeTokens / enginemodel.Config{}.FullDecodeRate() / seconds,
 	}
 }
 
-// bestSplit is the split that serves most of d; of several that do, the one
-// nearest to the present split.
-func bestSplit(o *roles.Observation, d roles.Demand) roles.Split {
-	now := roles.CurrentSplit(o)
-	best, bestValue := now, roles.ServedDemand(now, d, o.Rates.MixedEfficiency)
-	for _, s := range roles.CandidateSplits(now.Size(), o.Bounds.MinMixedShare) {
-		v := roles.ServedDemand(s, d, o.Rates.MixedEfficiency)
-		if v > bestValue+1e-9 || (v > bestValue-1e-9 && now.ChangesTo(s) < now.ChangesTo(best)) {
-			best, bestValue = s, v
+// bestSplit is the split that serves most of the demand; among equals, the one that needs the
+// fewest changes.
+func bestSplit(o *roles.Observation, demand roles.Demand) roles.Split {
+	current := roles.CurrentSplit(o)
+	best, bestValue := current, roles.ServedDemand(current, demand, o.Rates.MixedEfficiency)
+	for _, s := range roles.CandidateSplits(current.Size(), o.Bounds.MinMixedShare) {
+		value := roles.ServedDemand(s, demand, o.Rates.MixedEfficiency)
+		if value > bestValue+1e-9 || (value > bestValue-1e-9 && current.ChangesTo(s) < current.ChangesTo(best)) {
+			best, bestValue = s, value
 		}
 	}
 	return best
 }
 
-// thresholds moves one engine when one side is busy and the other is not, with
-// a pause after each change.
-type thresholds struct {
-	window window
-	last   time.Duration
+// thresholdPolicy moves one engine when one role is overloaded and the other underused, and
+// pauses after each change.
+type thresholdPolicy struct {
+	window     demandWindow
+	lastChange time.Duration
 }
 
-// What operators without a planner commonly set: a side is short above 90% of
-// its capacity, has engines to give below 70%, looked at over 30 s with a pause
-// of 30 s.
+// Settings that operators without a planner commonly use: a role is overloaded above 90% of its
+// capacity and underused below 70%, averaged over 30 plans of one second, with a pause of 30 s.
 const (
-	thresholdBusy   = 0.9
-	thresholdIdle   = 0.7
-	thresholdWindow = 30
-	thresholdPause  = 30 * time.Second
+	thresholdOverloaded  = 0.9
+	thresholdUnderused   = 0.7
+	thresholdWindowPlans = 30
+	thresholdPause       = 30 * time.Second
 )
 
-func (p *thresholds) plan(now time.Duration, o roles.Observation) []roles.Change {
-	d := p.window.add(&o, thresholdWindow)
-	if now-p.last < thresholdPause {
+func (p *thresholdPolicy) plan(now time.Duration, o roles.Observation) []roles.Change {
+	d := p.window.add(&o, thresholdWindowPlans)
+	if now-p.lastChange < thresholdPause {
 		return nil
 	}
-	s := roles.CurrentSplit(&o)
-	band := float64(s.Mixed) * o.Rates.MixedEfficiency / 2
-	prefill := d.Prefill / (float64(s.Prefill) + band)
-	decode := d.Decode / (float64(s.Decode) + band)
-	target := s
+	current := roles.CurrentSplit(&o)
+	mixedCapacity := float64(current.Mixed) * o.Rates.MixedEfficiency / 2
+	prefill := d.Prefill / (float64(current.Prefill) + mixedCapacity)
+	decode := d.Decode / (float64(current.Decode) + mixedCapacity)
+	target := current
 	switch {
-	case prefill > thresholdBusy && decode < thresholdIdle && s.Decode > 0:
-		target.Prefill, target.Decode = s.Prefill+1, s.Decode-1
-	case decode > thresholdBusy && prefill < thresholdIdle && s.Prefill > 0:
-		target.Prefill, target.Decode = s.Prefill-1, s.Decode+1
+	case prefill > thresholdOverloaded && decode < thresholdUnderused && current.Decode > 0:
+		target.Prefill, target.Decode = current.Prefill+1, current.Decode-1
+	case decode > thresholdOverloaded && prefill < thresholdUnderused && current.Prefill > 0:
+		target.Prefill, target.Decode = current.Prefill-1, current.Decode+1
 	default:
 		return nil
 	}
-	p.last = now
+	p.lastChange = now
 	return roles.ChangesTowards(&o, target, "thresholds", nil)
 }
--- a/internal/policy/clairvoyant.go
+++ b/internal/policy/clairvoyant.go
@@ -7,24 +7,24 @@
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
 )
 
-// slot is the time between changes of a clairvoyant plan: one change of 5 s and
-// the move of what ran there.
-const slot = 10 * time.Second
+// planSlotLength is the time between changes of a clairvoyant plan: one change takes 5 s, and the
+// work running on the engine has to move.
+const planSlotLength = 10 * time.Second
 
-// scheduled carries out a plan that was made with the whole trace known.
-type scheduled struct{ targets []roles.Split }
+// scheduledPolicy carries out a plan that was made with knowledge of the whole trace.
+type scheduledPolicy struct{ targets []roles.Split }
 
-func (p *scheduled) plan(now time.Duration, o roles.Observation) []roles.Change {
-	i := min(int(now/slot), len(p.targets)-1)
+func (p *scheduledPolicy) plan(now time.Duration, o roles.Observation) []roles.Change {
+	i := min(int(now/planSlotLength), len(p.targets)-1)
 	target := p.targets[i]
 	for target.Size() > roles.CurrentSplit(&o).Size() {
-		target = shrink(target)
+		target = removeEngine(target)
 	}
 	return roles.ChangesTowards(&o, target, "schedule", nil)
 }
 
-// shrink takes an engine out of the largest part, for one that was lost.
-func shrink(s roles.Split) roles.Split {
+// removeEngine removes an engine of the most frequent role, in place of one that was lost.
+func removeEngine(s roles.Split) roles.Split {
 	switch max(s.Prefill, s.Mixed, s.Decode) {
 	case s.Mixed:
 		s.Mixed--
@@ -36,21 +36,21 @@
 	return s
 }
 
-// trueDemand is the offered demand per slot, in engines' worth.
-func trueDemand(t *Trace) []roles.Demand {
-	demands := make([]roles.Demand, int(t.Length/slot)+1)
+// demandPerSlot is the offered demand in each slot, in units of fully busy engines.
+func demandPerSlot(t *Trace) []roles.Demand {
+	demands := make([]roles.Demand, int(t.Length/planSlotLength)+1)
 	for i := range t.Requests {
 		w := &t.Requests[i]
-		d := &demands[int(w.Arrived/slot)]
-		d.Prefill += float64(w.PromptTokens) / enginemodel.DefaultPrefillRate / slot.Seconds()
-		d.Decode += float64(w.OutputTokens) / (enginemodel.Config{}).FullDecodeRate() / slot.Seconds()
+		d := &demands[int(w.Arrived/planSlotLength)]
+		d.Prefill += float64(w.PromptTokens) / enginemodel.DefaultPrefillRate / planSlotLength.Seconds()
+		d.Decode += float64(w.OutputTokens) / (enginemodel.Config{}).FullDecodeRate() / planSlotLength.Seconds()
 	}
 	return demands
 }
 
-// smoothed means each slot with its successors: dossiers may wait, so demand may
-// be served later than it is offered.
-func smoothed(demands []roles.Demand, width int) []roles.Demand {
+// smoothDemand averages each slot with its neighbours. Bulk work may wait, so demand may be
+// served later than it is offered.
+func smoothDemand(demands []roles.Demand, width int) []roles.Demand {
 	out := make([]roles.Demand, len(demands))
 	for i := range demands {
 		out[i] = mean(demands[max(0, i-width/2):min(len(demands), i+1+width/2)])
@@ -58,18 +58,18 @@
 	return out
 }
 
-// bestPlan is the sequence of splits that serves most of the demands at cost
-// engine-seconds a change, by dynamic programming over all splits.
+// bestPlan is the sequence of splits that serves most of the demand if each change costs the
+// given engine-seconds. It is found by dynamic programming over all splits.
 func bestPlan(s *Scenario, demands []roles.Demand, cost float64) []roles.Split {
-	options := roles.CandidateSplits(s.Engines, s.Roles.MinMixedShare)
+	splits := roles.CandidateSplits(s.Engines, s.Roles.MinMixedShare)
 	start := initialSplit(s)
-	values := make([]float64, len(options))
-	for i, o := range options {
+	values := make([]float64, len(splits))
+	for i, o := range splits {
 		values[i] = -cost * float64(start.ChangesTo(o))
 	}
 	from := make([][]int, len(demands))
 	for t, d := range demands {
-		values, from[t] = planSlot(options, values, d, cost)
+		values, from[t] = extendPlan(splits, values, d, cost)
 	}
 	best := 0
 	for i := range values {
@@ -79,72 +79,71 @@
 	}
 	plan := make([]roles.Split, len(demands))
 	for t := len(demands) - 1; t >= 0; t-- {
-		plan[t] = options[best]
+		plan[t] = splits[best]
 		best = from[t][best]
 	}
 	return plan
 }
 
-func planSlot(options []roles.Split, before []float64, d roles.Demand, cost float64) ([]float64, []int) {
-	after, from := make([]float64, len(options)), make([]int, len(options))
-	for i, o := range options {
+func extendPlan(splits []roles.Split, before []float64, demand roles.Demand, cost float64) ([]float64, []int) {
+	after, from := make([]float64, len(splits)), make([]int, len(splits))
+	for i, split := range splits {
 		best := -1
-		for j, p := range options {
-			if n := p.ChangesTo(o); n <= 1 && (best < 0 || before[j]-cost*float64(n) > after[i]) {
+		for j, previous := range splits {
+			if n := previous.ChangesTo(split); n <= 1 && (best < 0 || before[j]-cost*float64(n) > after[i]) {
 				best, after[i] = j, before[j]-cost*float64(n)
 			}
 		}
 		from[i] = best
-		after[i] += roles.ServedDemand(o, d, enginemodel.MixedEfficiency) * slot.Seconds()
+		after[i] += roles.ServedDemand(split, demand, enginemodel.MixedEfficiency) * planSlotLength.Seconds()
 	}
 	return after, from
 }
 
-// Plans that the clairvoyant policy chooses from by playing each of them: how
-// many slots of demand it smooths over, and what a change counts as.
+// Parameters of the plans that the clairvoyant policy tries: the number of slots to average the
+// demand over and the cost of a change in engine-seconds.
 var (
-	clairvoyantWidths = []int{1, 6, 18}
-	clairvoyantCosts  = []float64{5, 40}
+	clairvoyantSmoothingWidths = []int{1, 6, 18}
+	clairvoyantChangeCosts     = []float64{5, 40}
 )
 
-// clairvoyant plays all its plans and gives the best run. It is the best of what
-// was tried with the future known and so a lower bound of what can be done; the
-// upper bound is upperBound.
-func clairvoyant(s *Scenario, t *Trace) *tally {
-	var best *tally
-	demands := trueDemand(t)
-	for _, width := range clairvoyantWidths {
-		for _, cost := range clairvoyantCosts {
-			plan := &scheduled{bestPlan(s, smoothed(demands, width), cost)}
-			best = better(best, newSim(s, t, plan, initialSplit(s)).run())
+// clairvoyant runs all plans and returns the best run. The plans are made with knowledge of the
+// future, so the run shows what is at least achievable; upperBound is what no policy can exceed.
+func clairvoyant(s *Scenario, t *Trace) *runStats {
+	var best *runStats
+	demands := demandPerSlot(t)
+	for _, width := range clairvoyantSmoothingWidths {
+		for _, cost := range clairvoyantChangeCosts {
+			plan := &scheduledPolicy{bestPlan(s, smoothDemand(demands, width), cost)}
+			best = higherGoodput(best, newSim(s, t, plan, initialSplit(s)).run())
 		}
 	}
-	return better(best, newSim(s, t, never{}, initialSplit(s)).run())
+	return higherGoodput(best, newSim(s, t, staticPolicy{}, initialSplit(s)).run())
 }
 
-func better(a, b *tally) *tally {
-	if a == nil || b.goodput > a.goodput {
+func higherGoodput(a, b *runStats) *runStats {
+	if a == nil || b.goodputValue > a.goodputValue {
 		return b
 	}
 	return a
 }
 
-// upperBound is a value that no policy can exceed: all engines at the full rate
-// of their role from the first arrival until the last deadline, nothing lost to
-// changes, interference or waiting, the most valuable work first.
+// upperBound is a goodput value that no policy can exceed: all engines work at the full rate of
+// their role from the first arrival until the last deadline, nothing is lost to role changes,
+// interference or waiting, and the most valuable work goes first.
 func upperBound(s *Scenario, t *Trace) float64 {
 	var urgent, bulk float64
-	last := time.Duration(0)
+	lastDeadline := time.Duration(0)
 	for i := range t.Requests {
 		w := &t.Requests[i]
-		last = max(last, w.FinishBy)
+		lastDeadline = max(lastDeadline, w.FinishBy)
 		if w.ProfileShare == s.Urgent.Share && w.Profile == s.Urgent.Name {
 			urgent += engineSeconds(w)
 		} else {
 			bulk += engineSeconds(w)
 		}
 	}
-	capacity := capacity(s, t, last)
+	capacity := engineSecondsUntil(s, t, lastDeadline)
 	if s.Urgent.Share < s.Bulk.Share {
 		bulk = min(bulk, capacity)
 		urgent = min(urgent, capacity-bulk)
@@ -155,8 +154,8 @@
 	return urgent*s.Urgent.Share + bulk*s.Bulk.Share
 }
 
-// capacity is the engine-seconds that there are until a time.
-func capacity(s *Scenario, t *Trace, until time.Duration) float64 {
+// engineSecondsUntil is the total engine time that is available until the given time.
+func engineSecondsUntil(s *Scenario, t *Trace, until time.Duration) float64 {
 	sum := float64(s.Engines) * until.Seconds()
 	for _, l := range t.Losses {
 		sum -= (until - l.At).Seconds()
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -13,67 +13,68 @@
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
 )
 
-// entry is one entry: the decisions and its own, late view of the engines.
-type entry struct {
+// simEntry is one simulated entry: its decisions and its own, delayed view of the engines.
+type simEntry struct {
 	sim       *sim
 	admission *admission.Controller
 	queue     *queue.Queue
 	picker    *placement.Picker
 	fleet     decision.Fleet
 	sent      []decision.SentLog
-	byID      map[string]*request
+	byID      map[string]*simRequest
 }
 
-func newEntry(m *sim, index int) *entry {
-	e := &entry{
+func newEntry(m *sim, index int) *simEntry {
+	e := &simEntry{
 		sim: m, admission: admission.New(), queue: queue.New(), picker: placement.New(),
-		byID: make(map[string]*request), sent: make([]decision.SentLog, len(m.nodes)),
+		byID: make(map[string]*simRequest), sent: make([]decision.SentLog, len(m.engines)),
 	}
 	e.fleet = decision.Fleet{Entries: m.scenario.Entries}
-	for _, n := range m.nodes {
+	for _, n := range m.engines {
 		e.fleet.Servers = append(e.fleet.Servers, decision.Server{
-			ID: n.id, Kind: declaration.KindModel, Model: m.scenario.Model, Role: n.model.Role(),
-			Usable: true, Slots: n.model.Config().Slots, Load: n.model.Load(0),
+			ID: n.id, Kind: declaration.KindModel, Model: m.scenario.Model, Role: n.engine.Role(),
+			Usable: true, Slots: n.engine.Config().Slots, Load: n.engine.Load(0),
 		})
 	}
 	return e
 }
 
-// report takes in the engines' loads and states.
-func (e *entry) report() {
-	for i, n := range e.sim.nodes {
+// updateLoads updates the entry's view with the engines' loads and states.
+func (e *simEntry) updateLoads() {
+	for i, n := range e.sim.engines {
 		s := &e.fleet.Servers[i]
 		s.Usable = !n.leaving
-		s.Role = n.model.Role()
+		s.Role = n.engine.Role()
 		if n.lost {
 			continue
 		}
-		s.Load = n.model.Load(e.sim.now)
+		s.Load = n.engine.Load(e.sim.now)
 		s.ReportedAt = e.sim.now - time.Duration(s.Load.AgeMS)*time.Millisecond
 		e.sent[i].Reported(s.ReportedAt)
 		s.Sent = e.sent[i].Sent
 	}
 }
 
-func (e *entry) arrive(w *decision.Work) {
-	e.sim.tally.offered(w)
+func (e *simEntry) arrive(w *decision.Work) {
+	e.sim.stats.recordOffered(w)
 	v := e.admission.Admit(e.sim.now, w, &e.fleet, e.queue.Summary())
 	if !v.Admit {
-		e.sim.tally.refused(w)
+		e.sim.stats.recordRefused(w)
 		return
 	}
-	r := &request{work: *w, entry: e, prefill: -1, server: -1}
+	r := &simRequest{work: *w, entry: e, prefillEngine: -1, mainEngine: -1}
 	e.byID[w.RequestID] = r
-	e.sim.requests++
+	e.sim.unfinished++
 	e.queue.Push(*w)
-	e.drain()
+	e.dispatchQueue()
 }
 
-// drain sends what fits.
-func (e *entry) drain() {
+// dispatchQueue sends the queued requests for which there is capacity and refuses the expired
+// ones.
+func (e *simEntry) dispatchQueue() {
 	for _, w := range e.queue.Expire(e.sim.now) {
-		e.end(e.byID[w.RequestID])
-		e.sim.tally.refused(&w)
+		e.finish(e.byID[w.RequestID])
+		e.sim.stats.recordRefused(&w)
 	}
 	for {
 		var choice placement.Choice
@@ -91,189 +92,189 @@
 	}
 }
 
-func (e *entry) end(r *request) {
-	r.stage = ended
+func (e *simEntry) finish(r *simRequest) {
+	r.stage = finished
 	delete(e.byID, r.work.RequestID)
-	e.sim.requests--
+	e.sim.unfinished--
 }
 
-// send begins an attempt.
-func (e *entry) send(r *request, w *decision.Work, c placement.Choice) {
+// send starts an attempt.
+func (e *simEntry) send(r *simRequest, w *decision.Work, c placement.Choice) {
 	e.picker.RecordSent(e.sim.now, w, c)
 	e.picker.RecordCached(e.sim.now, c.Server.ID, w)
 	r.attempt++
 	r.sentAt = e.sim.now
-	r.handed = r.got
-	r.server, r.prefill = e.index(c.Server), -1
+	r.earlierTokens = r.tokens
+	r.mainEngine, r.prefillEngine = e.serverIndex(c.Server), -1
 	r.stage = running
-	r.onServer = decision.Tokens{Prefill: ownPrefill(w, c), Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens}
-	e.add(r.server, r.onServer)
-	e.waitsForPrefill(r, w, c)
+	r.serverLoad = decision.Tokens{Prefill: prefillTokens(w, c), Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens}
+	e.addSent(r.mainEngine, r.serverLoad)
+	e.recordUrgentPrefill(r, w, c)
 	req := e.modelRequest(r)
 	if c.Prefill != nil {
-		r.stage, r.prefill = prefilling, e.index(c.Prefill)
-		r.onPrefill = decision.Tokens{Prefill: w.PromptTokens, KV: w.PromptTokens}
-		e.add(r.prefill, r.onPrefill)
+		r.stage, r.prefillEngine = prefilling, e.serverIndex(c.Prefill)
+		r.prefillLoad = decision.Tokens{Prefill: w.PromptTokens, KV: w.PromptTokens}
+		e.addSent(r.prefillEngine, r.prefillLoad)
 		req.PrefillOnly = true
-		e.submit(r.prefill, r, req)
+		e.submit(r.prefillEngine, r, req)
 		return
 	}
 	req.KVImported = w.KVTokens > 0
-	e.submit(r.server, r, req)
+	e.submit(r.mainEngine, r, req)
 }
 
-// ownPrefill is the prompt tokens that the choice's server has to prefill.
-func ownPrefill(w *decision.Work, c placement.Choice) int {
+// prefillTokens is the number of prompt tokens that the chosen server itself has to prefill.
+func prefillTokens(w *decision.Work, c placement.Choice) int {
 	if c.Prefill != nil || w.KVTokens > 0 {
 		return 0
 	}
 	return w.PromptTokens
 }
 
-func (e *entry) index(s *decision.Server) int {
+func (e *simEntry) serverIndex(s *decision.Server) int {
 	for i := range e.fleet.Servers {
 		if &e.fleet.Servers[i] == s {
 			return i
 		}
 	}
-	panic("policy: the choice is not of this fleet")
+	panic("policy: the chosen server is not in this fleet")
 }
 
-// waitsForPrefill notes urgent work where it is prefilled, until its first token.
-func (e *entry) waitsForPrefill(r *request, w *decision.Work, c placement.Choice) {
+// recordUrgentPrefill counts urgent work at the engine that prefills it, until its first token.
+func (e *simEntry) recordUrgentPrefill(r *simRequest, w *decision.Work, c placement.Choice) {
 	if w.Class == declaration.ClassBulk || w.KVTokens > 0 {
 		return
 	}
-	r.urgent, r.urgentAt = w.PromptTokens, r.server
+	r.urgentTokens, r.urgentEngine = w.PromptTokens, r.mainEngine
 	if c.Prefill != nil {
-		r.urgentAt = e.index(c.Prefill)
+		r.urgentEngine = e.serverIndex(c.Prefill)
 	}
-	e.sent[r.urgentAt].Urgent(r.urgent)
-	e.fleet.Servers[r.urgentAt].Sent = e.sent[r.urgentAt].Sent
+	e.sent[r.urgentEngine].Urgent(r.urgentTokens)
+	e.fleet.Servers[r.urgentEngine].Sent = e.sent[r.urgentEngine].Sent
 }
 
-func (e *entry) prefillOver(r *request) {
-	if r.urgent > 0 {
-		e.sent[r.urgentAt].Urgent(-r.urgent)
-		e.fleet.Servers[r.urgentAt].Sent = e.sent[r.urgentAt].Sent
-		r.urgent = 0
+func (e *simEntry) clearUrgentPrefill(r *simRequest) {
+	if r.urgentTokens > 0 {
+		e.sent[r.urgentEngine].Urgent(-r.urgentTokens)
+		e.fleet.Servers[r.urgentEngine].Sent = e.sent[r.urgentEngine].Sent
+		r.urgentTokens = 0
 	}
 }
 
-// add and done keep Sent of a server up to date.
-func (e *entry) add(i int, t decision.Tokens) {
+// addSent and removeSent keep the Sent field of a server up to date.
+func (e *simEntry) addSent(i int, t decision.Tokens) {
 	e.sent[i].Add(e.sim.now, t)
 	e.fleet.Servers[i].Sent = e.sent[i].Sent
 }
 
-func (e *entry) done(i int, t decision.Tokens) {
+func (e *simEntry) removeSent(i int, t decision.Tokens) {
 	e.sent[i].Done(t)
 	e.fleet.Servers[i].Sent = e.sent[i].Sent
 }
 
-func (e *entry) modelRequest(r *request) enginemodel.Request {
+func (e *simEntry) modelRequest(r *simRequest) enginemodel.Request {
 	priority := 1
 	if r.work.Class != declaration.ClassBulk {
 		priority = 2
 	}
 	return enginemodel.Request{
 		ID: r.work.RequestID, Priority: priority, PromptTokens: r.work.PromptTokens,
-		OutputTokens: r.work.OutputTokens, GeneratedTokens: r.got, Salt: r.work.Member, Prefix: r.work.Prefix,
+		OutputTokens: r.work.OutputTokens, GeneratedTokens: r.tokens, Salt: r.work.Member, Prefix: r.work.Prefix,
 	}
 }
 
-// submit hands a request to an engine. An engine that is away since the last
-// report refuses it, which gives it back to the queue.
-func (e *entry) submit(i int, r *request, req enginemodel.Request) {
-	n := e.sim.nodes[i]
+// submit hands a request to an engine. An engine that became unavailable after the last report
+// refuses it, and the request returns to the queue.
+func (e *simEntry) submit(i int, r *simRequest, req enginemodel.Request) {
+	n := e.sim.engines[i]
 	e.sim.advance(i)
 	if n.leaving || n.lost {
 		e.fleet.Servers[i].Usable = false
-		e.moved(-1, r, kvOf(r, req))
+		e.requeue(-1, r, importedKVTokens(r, req))
 		return
 	}
-	if err := n.model.Submit(e.sim.now, req); err != nil {
+	if err := n.engine.Submit(e.sim.now, req); err != nil {
 		panic(fmt.Sprintf("policy: %s at %s: %v", req.ID, n.id, err))
 	}
 	n.requests[req.ID] = r
-	n.next = n.model.NextAt()
+	n.nextEventAt = n.engine.NextAt()
 }
 
-func kvOf(r *request, req enginemodel.Request) int {
+func importedKVTokens(r *simRequest, req enginemodel.Request) int {
 	if !req.KVImported {
 		return 0
 	}
-	return r.work.PromptTokens + r.got
+	return r.work.PromptTokens + r.tokens
 }
 
-// progress takes in what engine i produced for r.
-func (e *entry) progress(i int, r *request, p enginemodel.Progress) {
-	r.got += p.Tokens
+// recordProgress processes what engine i has produced for r.
+func (e *simEntry) recordProgress(i int, r *simRequest, p enginemodel.Progress) {
+	r.tokens += p.Tokens
 	if p.Tokens > 0 {
-		e.prefillOver(r)
+		e.clearUrgentPrefill(r)
 	}
-	if r.firstAt == 0 && p.FirstAt > 0 {
-		r.firstAt = p.FirstAt
+	if r.firstTokenAt == 0 && p.FirstAt > 0 {
+		r.firstTokenAt = p.FirstAt
 	}
 	if !p.Finished {
 		return
 	}
-	delete(e.sim.nodes[i].requests, p.ID)
-	if r.stage == prefilling && r.got < r.work.OutputTokens {
-		e.handOver(r)
+	delete(e.sim.engines[i].requests, p.ID)
+	if r.stage == prefilling && r.tokens < r.work.OutputTokens {
+		e.startDecode(r)
 		return
 	}
-	e.release(r)
+	e.releaseServers(r)
 	e.picker.Observe(e.sim.now, e.fleet.Servers[i].ID, placement.Result{
-		DecodeTime: p.LastAt - p.FirstAt, Tokens: r.got - r.handed, TotalTime: p.LastAt - r.sentAt,
+		DecodeTime: p.LastAt - p.FirstAt, Tokens: r.tokens - r.earlierTokens, TotalTime: p.LastAt - r.sentAt,
 	})
-	e.sim.tally.answered(r, p.LastAt)
-	e.end(r)
-	e.drain()
+	e.sim.stats.recordAnswered(r, p.LastAt)
+	e.finish(r)
+	e.dispatchQueue()
 }
 
-// handOver goes on with the decode after a prefill elsewhere.
-func (e *entry) handOver(r *request) {
-	e.sim.nodes[r.prefill].model.Release(r.work.RequestID)
-	e.done(r.prefill, r.onPrefill)
-	r.prefill = -1
+// startDecode continues with the decode after a prefill on another engine.
+func (e *simEntry) startDecode(r *simRequest) {
+	e.sim.engines[r.prefillEngine].engine.Release(r.work.RequestID)
+	e.removeSent(r.prefillEngine, r.prefillLoad)
+	r.prefillEngine = -1
 	r.stage = running
 	req := e.modelRequest(r)
 	req.KVImported = true
-	e.submit(r.server, r, req)
+	e.submit(r.mainEngine, r, req)
 }
 
-// release takes r out of the accounts of its servers.
-func (e *entry) release(r *request) {
-	e.prefillOver(r)
-	if r.prefill >= 0 {
-		e.done(r.prefill, r.onPrefill)
+// releaseServers removes r from the counts of its servers.
+func (e *simEntry) releaseServers(r *simRequest) {
+	e.clearUrgentPrefill(r)
+	if r.prefillEngine >= 0 {
+		e.removeSent(r.prefillEngine, r.prefillLoad)
 	}
-	if r.server >= 0 {
-		e.done(r.server, r.onServer)
+	if r.mainEngine >= 0 {
+		e.removeSent(r.mainEngine, r.serverLoad)
 	}
-	r.prefill, r.server = -1, -1
+	r.prefillEngine, r.mainEngine = -1, -1
 }
 
-// moved takes a request back whose engine leaves or is lost; kv is how much KV
-// cache comes with it.
-func (e *entry) moved(from int, r *request, kv int) {
+// requeue returns a request to the queue when its engine is leaving or lost; kvTokens is the size
+// of the KV cache that can be imported elsewhere.
+func (e *simEntry) requeue(from int, r *simRequest, kvTokens int) {
 	if from >= 0 {
-		delete(e.sim.nodes[from].requests, r.work.RequestID)
+		delete(e.sim.engines[from].requests, r.work.RequestID)
 	}
-	e.release(r)
+	e.releaseServers(r)
 	r.stage = queued
 	w := r.work
 	w.Resumed = true
-	w.KVTokens = kv
-	w.OutputTokens = max(1, r.work.OutputTokens-r.got)
-	if kv == 0 {
-		w.PromptTokens += r.got
+	w.KVTokens = kvTokens
+	w.OutputTokens = max(1, r.work.OutputTokens-r.tokens)
+	if kvTokens == 0 {
+		w.PromptTokens += r.tokens
 	}
 	e.queue.Push(w)
 }
 
-func sortedKeys(m map[string]*request) []string {
+func sortedKeys(m map[string]*simRequest) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/internal/policy/load_test.go
+++ b/internal/policy/load_test.go
@@ -20,138 +20,138 @@
 	return s
 }
 
-func constant(v float64) func(time.Duration) float64 {
+func constantFunc(v float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return v }
 }
 
-// play runs our decisions on a shape; prepare may change the engines first.
-func play(s *Scenario, sh shape, prepare func(*sim)) *tally {
+// runShape runs the production policy on a load shape; prepare may modify the simulation first.
+func runShape(s *Scenario, sh shape, prepare func(*sim)) *runStats {
 	g := generator{scenario: s, rng: rand.New(rand.NewPCG(seed, seed)), shape: sh}
-	trace := g.run()
-	m := newSim(s, &trace, newOurs(), initialSplit(s))
+	trace := g.generate()
+	m := newSim(s, &trace, newProductionPolicy(), initialSplit(s))
 	if prepare != nil {
 		prepare(m)
 	}
 	return m.run()
 }
 
-func atLeast(t *testing.T, what string, got, want float64) {
+func wantAtLeast(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if got < want {
 		t.Errorf("%s: %.3f, want at least %.3f", what, got, want)
 	}
 }
 
-func atMost(t *testing.T, what string, got, want float64) {
+func wantAtMost(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if got > want {
 		t.Errorf("%s: %.3f, want at most %.3f", what, got, want)
 	}
 }
 
-// Ninety seconds of dossiers at more than the fleet can do. Clerks must not
-// notice, and the dossiers are done by their deadline from what waits.
-func TestBurstOfDossiers(t *testing.T) {
+// Ninety seconds of long bulk prompts beyond the capacity of the fleet. Urgent requests must not
+// be affected, and the queued bulk work must be done by its deadline.
+func TestBurstOfBulkWork(t *testing.T) {
 	t.Parallel()
-	r := play(scenario(t, "qalhat"), shape{name: "burst", load: bursts, prefillShare: burstShare}, nil)
-	atLeast(t, "questions in time", part(r.urgentGood, r.urgentOffered), 0.97)
-	atLeast(t, "dossiers in time", part(r.bulkGood, r.bulkOffered), 0.97)
-	atMost(t, "urgent p95 seconds", r.urgentP95(), 1)
-	atMost(t, "dossiers late", float64(r.bulkLate), 0)
+	r := runShape(scenario(t, "qalhat"), shape{name: "burst", load: burstLoadAt, prefillShare: burstPrefillShare}, nil)
+	wantAtLeast(t, "urgent requests in time", ratio(r.urgentInTime, r.urgentOffered), 0.97)
+	wantAtLeast(t, "bulk requests in time", ratio(r.bulkInTime, r.bulkOffered), 0.97)
+	wantAtMost(t, "urgent p95 seconds", r.urgentP95(), 1)
+	wantAtMost(t, "bulk requests late", float64(r.bulkLate), 0)
 }
 
-// Work comes at two and five times what the fleet can do. What is answered must
-// stay as much as at full load, clerks keep being answered, and the rest is
-// refused instead of being late.
+// Work arrives at two and five times the capacity of the fleet. Goodput must stay at the level of
+// full load, urgent requests must still be answered in time, and the excess must be refused
+// instead of answered late.
 func TestSaturation(t *testing.T) {
 	t.Parallel()
 	s := scenario(t, "qalhat")
-	full := play(s, shape{name: "x1", load: constant(normalLoad), prefillShare: constant(0.5)}, nil)
-	for _, times := range []float64{2, 5} {
-		t.Run(fmt.Sprintf("%vx", times), func(t *testing.T) {
+	full := runShape(s, shape{name: "x1", load: constantFunc(normalLoad), prefillShare: constantFunc(0.5)}, nil)
+	for _, factor := range []float64{2, 5} {
+		t.Run(fmt.Sprintf("%vx", factor), func(t *testing.T) {
 			t.Parallel()
-			saturated(t, s, times, full.goodput)
+			checkSaturated(t, s, factor, full.goodputValue)
 		})
 	}
 }
 
-func saturated(t *testing.T, s *Scenario, times, full float64) {
+func checkSaturated(t *testing.T, s *Scenario, factor, full float64) {
 	t.Helper()
-	r := play(s, shape{name: "x", load: constant(times * normalLoad), prefillShare: constant(0.5)}, nil)
-	atLeast(t, "questions in time", part(r.urgentGood, r.urgentOffered), 0.97)
-	atLeast(t, "goodput against full load", r.goodput/full, 0.95)
-	atMost(t, "late of answered dossiers", part(r.bulkLate, r.bulkGood+r.bulkLate), 0.1)
+	r := runShape(s, shape{name: "x", load: constantFunc(factor * normalLoad), prefillShare: constantFunc(0.5)}, nil)
+	wantAtLeast(t, "urgent requests in time", ratio(r.urgentInTime, r.urgentOffered), 0.97)
+	wantAtLeast(t, "goodput relative to full load", r.goodputValue/full, 0.95)
+	wantAtMost(t, "late share of answered bulk requests", ratio(r.bulkLate, r.bulkInTime+r.bulkLate), 0.1)
 	if r.unfinished != 0 || r.refusals == 0 {
 		t.Errorf("%d unfinished, %d refused", r.unfinished, r.refusals)
 	}
 }
 
-// One member sends nine in ten of all requests, twice of what the fleet can do.
-// The others ask for less than their share and must get nearly all of it.
+// One member sends nine in ten of all requests, at twice the capacity of the fleet. The others
+// request less than their share and must get nearly all of it.
 func TestOneHeavyMember(t *testing.T) {
 	t.Parallel()
 	s := scenario(t, "qazaq")
-	r := play(s, shape{name: "heavy", load: constant(2 * normalLoad), prefillShare: constant(0.5), heavy: 0.9}, nil)
+	r := runShape(s, shape{name: "heavy", load: constantFunc(2 * normalLoad), prefillShare: constantFunc(0.5), heavyShare: 0.9}, nil)
 	for _, m := range s.Members[1:] {
 		c := r.members[memberClass{m.Name, declaration.ClassBulk}]
-		atLeast(t, m.Name+" in time", part(c.good, c.offered), 0.95)
+		wantAtLeast(t, m.Name+" in time", ratio(c.inTime, c.offered), 0.95)
 	}
 	heavy := r.members[memberClass{s.Members[0].Name, declaration.ClassBulk}]
-	atMost(t, "heavy member in time", part(heavy.good, heavy.offered), 0.6)
+	wantAtMost(t, "heavy member in time", ratio(heavy.inTime, heavy.offered), 0.6)
 }
 
-// One engine of each role runs four times slower and reports nothing wrong. The
-// clerks' questions must not be late for it.
+// One engine of each role is four times slower and reports no problem. Urgent requests must still
+// be answered in time.
 func TestSlowBackendServer(t *testing.T) {
 	t.Parallel()
 	slow := func(m *sim) {
-		m.nodes[0].model.SetSlow(4)
-		m.nodes[4].model.SetSlow(4)
-		m.nodes[8].model.SetSlow(4)
+		m.engines[0].engine.SetSlow(4)
+		m.engines[4].engine.SetSlow(4)
+		m.engines[8].engine.SetSlow(4)
 	}
-	r := play(scenario(t, "qalhat"), shape{name: "slow", load: constant(5), prefillShare: constant(0.5)}, slow)
-	atLeast(t, "questions in time", part(r.urgentGood, r.urgentOffered), 0.95)
-	atLeast(t, "dossiers in time", part(r.bulkGood, r.bulkOffered), 0.95)
+	r := runShape(scenario(t, "qalhat"), shape{name: "slow", load: constantFunc(5), prefillShare: constantFunc(0.5)}, slow)
+	wantAtLeast(t, "urgent requests in time", ratio(r.urgentInTime, r.urgentOffered), 0.95)
+	wantAtLeast(t, "bulk requests in time", ratio(r.bulkInTime, r.bulkOffered), 0.95)
 }
 
-// Long dossiers run on every engine at nine tenths of what the fleet can do.
-// Questions among them are answered as on an idle fleet, and no dossier is late.
-func TestLongWorkAmongShort(t *testing.T) {
+// Long bulk requests run on every engine at nine tenths of the fleet's capacity. Urgent requests
+// among them must be answered as on an idle fleet, and no bulk request may be late.
+func TestLongRequestsAmongShortOnes(t *testing.T) {
 	t.Parallel()
-	r := play(scenario(t, "qazaq"), shape{name: "long", load: constant(7.2), prefillShare: constant(0.65)}, nil)
-	atLeast(t, "questions in time", part(r.urgentGood, r.urgentOffered), 0.98)
-	atMost(t, "urgent p95 seconds", r.urgentP95(), 0.8)
-	atMost(t, "dossiers late", float64(r.bulkLate), 0)
-	atLeast(t, "dossiers in time", part(r.bulkGood, r.bulkOffered), 0.99)
+	r := runShape(scenario(t, "qazaq"), shape{name: "long", load: constantFunc(7.2), prefillShare: constantFunc(0.65)}, nil)
+	wantAtLeast(t, "urgent requests in time", ratio(r.urgentInTime, r.urgentOffered), 0.98)
+	wantAtMost(t, "urgent p95 seconds", r.urgentP95(), 0.8)
+	wantAtMost(t, "bulk requests late", float64(r.bulkLate), 0)
+	wantAtLeast(t, "bulk requests in time", ratio(r.bulkInTime, r.bulkOffered), 0.99)
 }
 
-// The experiment must give the same figures each time, or no change of a
-// threshold can be judged.
+// The simulation must give the same results each time; otherwise the effect of a changed
+// threshold could not be judged.
 func TestRunsAreReproducible(t *testing.T) {
 	t.Parallel()
 	s := scenario(t, "qalhat")
-	sh := shape{name: "x", load: constant(9), prefillShare: constant(0.4), losses: []Loss{{3 * time.Minute, 2}}}
-	a, b := play(s, sh, nil), play(s, sh, nil)
-	if a.goodput != b.goodput || a.refusals != b.refusals || a.changes != b.changes {
-		t.Fatalf("%v %d %d, then %v %d %d", a.goodput, a.refusals, a.changes, b.goodput, b.refusals, b.changes)
+	sh := shape{name: "x", load: constantFunc(9), prefillShare: constantFunc(0.4), losses: []Loss{{3 * time.Minute, 2}}}
+	a, b := runShape(s, sh, nil), runShape(s, sh, nil)
+	if a.goodputValue != b.goodputValue || a.refusals != b.refusals || a.changes != b.changes {
+		t.Fatalf("%v %d %d, then %v %d %d", a.goodputValue, a.refusals, a.changes, b.goodputValue, b.refusals, b.changes)
 	}
 }
 
-// Our policy against the others on one seed of two traces; the whole table is
-// `goldcrest-load policy`.
+// The production policy is compared with the others on one seed of two traces; `goldcrest-load
+// policy` gives the whole table.
 func TestPolicyAgainstTheBound(t *testing.T) {
 	t.Parallel()
 	for _, deployment := range []string{"qalhat", "qazaq"} {
 		for _, name := range []string{"swing", "burst"} {
 			t.Run(deployment+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				againstTheBound(t, deployment, name)
+				comparePolicies(t, deployment, name)
 			})
 		}
 	}
 }
 
-func againstTheBound(t *testing.T, deployment, name string) {
+func comparePolicies(t *testing.T, deployment, name string) {
 	t.Helper()
 	s := scenario(t, deployment)
 	trace, err := NewTrace(s, name, seed, time.Minute)
@@ -163,7 +163,7 @@
 			t.Errorf("%s exceeds the upper bound", r.Policy)
 		}
 		if r.Policy == PolicyProduction {
-			atLeast(t, "goodput", r.GoodputRatio, 0.92)
+			wantAtLeast(t, "goodput", r.GoodputRatio, 0.92)
 		}
 	}
 }
--- a/internal/policy/measure.go
+++ b/internal/policy/measure.go
@@ -8,30 +8,31 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Result is one run, one line of `goldcrest-load policy`.
+// Result is the result of one run, one line of `goldcrest-load policy`.
 type Result struct {
 	Deployment string `json:"deployment"`
 	Trace      string `json:"trace"`
 	Seed       uint64 `json:"seed"`
 	Policy     string `json:"policy"`
-	// GoodputRatio is against the clairvoyant policy on the same trace.
+	// GoodputRatio is relative to the clairvoyant policy on the same trace.
 	GoodputRatio float64 `json:"goodput_ratio"`
-	// UrgentP95Seconds is the time to the first token of answered urgent work.
+	// UrgentP95Seconds is the 95th percentile of the time to the first token of answered urgent
+	// requests.
 	UrgentP95Seconds float64 `json:"urgent_p95_seconds"`
 	BulkLate         int     `json:"bulk_late"`
-	// Refused counts refusals, on arrival and of what expired in the queue.
+	// Refused counts refusals on arrival and requests that expired in the queue.
 	Refused     int `json:"refused"`
 	RoleChanges int `json:"role_changes"`
-	// UpperBoundRatio is against a bound that nothing can exceed.
+	// UpperBoundRatio is relative to a bound that no policy can exceed.
 	UpperBoundRatio float64 `json:"upper_bound_ratio"`
-	// UrgentInTime and BulkInTime are parts of what was offered.
+	// UrgentInTime and BulkInTime are shares of the offered requests.
 	UrgentInTime float64 `json:"urgent_in_time"`
 	BulkInTime   float64 `json:"bulk_in_time"`
 	UrgentLate   int     `json:"urgent_late"`
 	Unfinished   int     `json:"unfinished"`
 }
 
-// Names of the policies.
+// Names of the policies in results.
 const (
 	PolicyProduction  = "ours"
 	PolicyStatic      = "never_change"
@@ -40,26 +41,25 @@
 	PolicyClairvoyant = "clairvoyant"
 )
 
-// online lists the policies that don't know the future.
-var online = []struct {
+// onlinePolicies lists the policies without knowledge of the future.
+var onlinePolicies = []struct {
 	name string
 	make func() rolePolicy
 }{
-	{PolicyProduction, newOurs},
-	{PolicyStatic, func() rolePolicy { return never{} }},
-	{PolicyFollow, func() rolePolicy { return &follow{} }},
-	{PolicyThresholds, func() rolePolicy { return &thresholds{} }},
+	{PolicyProduction, newProductionPolicy},
+	{PolicyStatic, func() rolePolicy { return staticPolicy{} }},
+	{PolicyFollow, func() rolePolicy { return &followPolicy{} }},
+	{PolicyThresholds, func() rolePolicy { return &thresholdPolicy{} }},
 }
 
-// Options say what Measure runs.
+// Options select what Measure runs.
 type Options struct {
 	Traces  []string
 	Seeds   int
 	Workers int
 }
 
-// Measure plays all policies on the traces and seeds and gives the results in
-// order.
+// Measure runs all policies on the given traces and seeds and returns the results in order.
 func Measure(s *Scenario, o Options) ([]Result, error) {
 	worst, err := WorstPeriod(s, o.Workers)
 	if err != nil {
@@ -77,12 +77,12 @@
 			})
 		}
 	}
-	lists, err := tasks.Wait()
+	results, err := tasks.Wait()
 	if err != nil {
 		return nil, err
 	}
 	var out []Result
-	for _, list := range lists {
+	for _, list := range results {
 		out = append(out, list...)
 	}
 	slices.SortStableFunc(out, func(a, b Result) int {
@@ -91,50 +91,50 @@
 	return out, nil
 }
 
-// compare plays all policies on one trace.
+// compare runs all policies on one trace.
 func compare(s *Scenario, t *Trace, seed uint64) []Result {
-	bound := clairvoyant(s, t)
+	clairvoyantRun := clairvoyant(s, t)
 	upper := upperBound(s, t)
-	out := []Result{result(s, t, seed, PolicyClairvoyant, bound, bound, upper)}
-	for _, p := range online {
+	out := []Result{newResult(s, t, seed, PolicyClairvoyant, clairvoyantRun, clairvoyantRun, upper)}
+	for _, p := range onlinePolicies {
 		run := newSim(s, t, p.make(), initialSplit(s)).run()
-		out = append(out, result(s, t, seed, p.name, run, bound, upper))
+		out = append(out, newResult(s, t, seed, p.name, run, clairvoyantRun, upper))
 	}
 	return out
 }
 
-func result(s *Scenario, t *Trace, seed uint64, policy string, run, bound *tally, upper float64) Result {
+func newResult(s *Scenario, t *Trace, seed uint64, policy string, run, clairvoyantRun *runStats, upper float64) Result {
 	return Result{
 		Deployment: s.Deployment, Trace: t.Name, Seed: seed, Policy: policy,
-		GoodputRatio:     run.goodput / bound.goodput,
+		GoodputRatio:     run.goodputValue / clairvoyantRun.goodputValue,
 		UrgentP95Seconds: run.urgentP95(), BulkLate: run.bulkLate, Refused: run.refusals,
-		RoleChanges: run.changes, UpperBoundRatio: run.goodput / upper,
-		UrgentInTime: part(run.urgentGood, run.urgentOffered),
-		BulkInTime:   part(run.bulkGood, run.bulkOffered),
+		RoleChanges: run.changes, UpperBoundRatio: run.goodputValue / upper,
+		UrgentInTime: ratio(run.urgentInTime, run.urgentOffered),
+		BulkInTime:   ratio(run.bulkInTime, run.bulkOffered),
 		UrgentLate:   run.urgentLate, Unfinished: run.unfinished,
 	}
 }
 
-func part(some, all int) float64 { return float64(some) / float64(max(1, all)) }
+func ratio(part, total int) float64 { return float64(part) / float64(max(1, total)) }
 
-// periods are tried for the oscillation that is worst for our policy.
-var periods = []time.Duration{
+// oscillationPeriods are tried to find the one at which the production policy does worst.
+var oscillationPeriods = []time.Duration{
 	30 * time.Second, time.Minute, 2 * time.Minute, 3 * time.Minute, 4 * time.Minute,
 	6 * time.Minute, 8 * time.Minute,
 }
 
-// WorstPeriod is the period of oscillation at which our policy does worst
-// against the best other run, on the first seed.
+// WorstPeriod is the period of oscillation at which the production policy does worst relative to
+// the clairvoyant one, on the first seed.
 func WorstPeriod(s *Scenario, workers int) (time.Duration, error) {
 	tasks := pool.NewWithResults[float64]().WithErrors().WithMaxGoroutines(max(1, workers))
-	for _, period := range periods {
+	for _, period := range oscillationPeriods {
 		tasks.Go(func() (float64, error) {
 			trace, err := NewTrace(s, "oscillation", 1, period)
 			if err != nil {
 				return 0, err
 			}
-			run := newSim(s, &trace, newOurs(), initialSplit(s)).run()
-			return run.goodput / clairvoyant(s, &trace).goodput, nil
+			run := newSim(s, &trace, newProductionPolicy(), initialSplit(s)).run()
+			return run.goodputValue / clairvoyant(s, &trace).goodputValue, nil
 		})
 	}
 	ratios, err := tasks.Wait()
@@ -147,5 +147,5 @@
 			worst = i
 		}
 	}
-	return periods[worst], nil
+	return oscillationPeriods[worst], nil
 }
--- a/internal/policy/scenario.go
+++ b/internal/policy/scenario.go
@@ -1,7 +1,7 @@
-// Package policy measures the decisions under load on the engine model, in
-// virtual time and without a network: several entries, each with its own view of
-// the engines, run the very admission, queue and placement that goldcrest-entry
-// runs, and a role policy changes engines as goldcrest-control does.
+// Package policy measures the decisions under load on a model of the engines, in virtual time and
+// without a network. Several entries, each with its own view of the engines, run the same
+// admission, queue and placement code as goldcrest-entry, and a role policy changes the roles of
+// engines as goldcrest-control does.
 //
 // It is an experiment and not part of the running system.
 package policy
@@ -18,10 +18,10 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("policy")
 
-// BadScenario: the deployment's declaration can't be used.
+// BadScenario means that the deployment's declaration cannot be used.
 var BadScenario = Namespace.NewType("bad_scenario")
 
-// Scenario is a deployment that traces are played on.
+// Scenario is the deployment that traces are run on.
 type Scenario struct {
 	Deployment string
 	// Urgent and Bulk are the profiles of the two model services.
@@ -29,19 +29,18 @@
 	Members      []declaration.Member
 	Roles        declaration.Roles
 	Model        string
-	// Engines and Entries are how many there are.
+	// Engines and Entries are the numbers of engines and entries.
 	Engines, Entries int
 }
 
-// Sizes of both deployments today; three of nine entries carry a caller's
-// traffic at a time, since callers keep the addresses of their data centre.
+// Sizes of both deployments. Of the nine entries three serve a given caller, since callers use
+// the addresses of their own data centre.
 const (
 	scenarioEngines = 9
 	scenarioEntries = 3
 )
 
-// LoadScenario reads the deployment's declaration below dir. Errors:
-// BadScenario.
+// LoadScenario reads the deployment's declaration below dir. It returns BadScenario errors.
 func LoadScenario(dir, deployment string) (*Scenario, error) {
 	d, findings := declaration.Load(filepath.Join(dir, deployment, "declaration.yaml"))
 	if err := findings.Err(); err != nil {
@@ -69,8 +68,8 @@
 	return s, nil
 }
 
-// price is the engine-seconds that a change must win: the profiles' prices,
-// weighed by their shares.
+// price is the engine-seconds that a change must gain: the prices of the profiles, weighted by
+// their shares.
 func (s *Scenario) price() time.Duration {
 	shares := s.Urgent.Share + s.Bulk.Share
 	sum := s.Urgent.Share*s.Urgent.RoleChangePrice.Seconds() + s.Bulk.Share*s.Bulk.RoleChangePrice.Seconds()
--- a/internal/policy/sim.go
+++ b/internal/policy/sim.go
@@ -10,74 +10,75 @@
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
 )
 
-// reportEvery is how often each engine's load reaches the entries.
+// reportEvery is the interval at which the engines' loads reach the entries.
 const reportEvery = 500 * time.Millisecond
 
-// planEvery is how often the role policy is asked.
+// planEvery is the interval at which the role policy is called.
 const planEvery = time.Second
 
 // maxTail bounds the time after the last arrival.
 const maxTail = 30 * time.Minute
 
-// node is one engine with what the experiment knows of it.
-type node struct {
-	id       string
-	model    *enginemodel.Engine
-	next     time.Duration // NextAt of model
-	lost     bool
-	leaving  bool // being emptied or changing
-	target   engineapi.Role
-	requests map[string]*request
+// simEngine is one simulated engine and its state.
+type simEngine struct {
+	id          string
+	engine      *enginemodel.Engine
+	nextEventAt time.Duration // as given by engine.NextAt
+	lost        bool
+	leaving     bool // being drained or changing its role
+	targetRole  engineapi.Role
+	requests    map[string]*simRequest
 }
 
-// stage is where a request is.
-type stage int
+// requestStage is the state of a request.
+type requestStage int
 
 const (
-	queued stage = iota
+	queued requestStage = iota
 	prefilling
 	running
-	ended
+	finished
 )
 
-// request is one request's life.
-type request struct {
-	work    decision.Work
-	entry   *entry
-	stage   stage
-	prefill int // node, -1 for none
-	server  int // node
-	// onPrefill and onServer are what is accounted there.
-	onPrefill, onServer decision.Tokens
-	// urgent is the prefill that it waits for at a server, as noted there.
-	urgent   int
-	urgentAt int
-	// handed is the tokens of the answer so far from earlier attempts, got all
-	// of them.
-	handed, got int
-	attempt     int
-	firstAt     time.Duration
-	sentAt      time.Duration
+// simRequest is the state of one request from its arrival to its end.
+type simRequest struct {
+	work          decision.Work
+	entry         *simEntry
+	stage         requestStage
+	prefillEngine int // index of the engine that runs only the prefill; -1 if none
+	mainEngine    int // index of the engine that runs the request or only its decode; -1 if none
+	// prefillLoad and serverLoad are the tokens counted at prefillEngine and mainEngine.
+	prefillLoad, serverLoad decision.Tokens
+	// urgentTokens is the urgent prefill counted at urgentEngine until the first token.
+	urgentTokens int
+	urgentEngine int
+	// earlierTokens is how many tokens of the answer came from earlier attempts, tokens how many
+	// in total.
+	earlierTokens, tokens int
+	attempt               int
+	firstTokenAt          time.Duration
+	sentAt                time.Duration
 }
 
-// sim is one run.
+// sim is the state of one run.
 type sim struct {
-	scenario *Scenario
-	trace    *Trace
-	policy   rolePolicy
-	now      time.Duration
-	nodes    []*node
-	entries  []*entry
-	requests int // not ended
-	tally    tally
-	// offered since the last plan, in tokens.
+	scenario   *Scenario
+	trace      *Trace
+	policy     rolePolicy
+	now        time.Duration
+	engines    []*simEngine
+	entries    []*simEntry
+	unfinished int // requests that have not ended
+	stats      runStats
+	// Tokens offered since the last plan.
 	offeredPrefill, offeredDecode float64
 	losses                        []Loss
 	changes                       int
 	onChange                      func(now time.Duration, c roles.Change)
 }
 
-// initialSplit is the split that every policy starts from: balanced.
+// initialSplit is the split that every policy starts from: the smallest allowed number of mixed
+// engines, the others divided evenly.
 func initialSplit(s *Scenario) roles.Split {
 	mixed := minMixed(s)
 	rest := s.Engines - mixed
@@ -90,7 +91,7 @@
 
 func newSim(s *Scenario, trace *Trace, policy rolePolicy, split roles.Split) *sim {
 	m := &sim{scenario: s, trace: trace, policy: policy, losses: trace.Losses}
-	m.tally.scenario = s
+	m.stats.scenario = s
 	for i := range s.Engines {
 		role := engineapi.RoleMixed
 		if i < split.Prefill {
@@ -98,9 +99,9 @@
 		} else if i >= s.Engines-split.Decode {
 			role = engineapi.RoleDecode
 		}
-		n := &node{id: fmt.Sprintf("engine-%d", i), next: enginemodel.Never, requests: make(map[string]*request)}
-		n.model = enginemodel.New(0, enginemodel.Config{ChangeTime: s.Roles.ChangeTime}, role)
-		m.nodes = append(m.nodes, n)
+		n := &simEngine{id: fmt.Sprintf("engine-%d", i), nextEventAt: enginemodel.Never, requests: make(map[string]*simRequest)}
+		n.engine = enginemodel.New(0, enginemodel.Config{ChangeTime: s.Roles.ChangeTime}, role)
+		m.engines = append(m.engines, n)
 	}
 	for i := range s.Entries {
 		m.entries = append(m.entries, newEntry(m, i))
@@ -108,20 +109,20 @@
 	return m
 }
 
-// run plays the trace to its end and gives the tally.
-func (m *sim) run() *tally {
+// run simulates the trace to its end and returns the statistics.
+func (m *sim) run() *runStats {
 	arrival := 0
 	nextTick := time.Duration(0)
-	for arrival < len(m.trace.Requests) || (m.requests > 0 && m.now < m.trace.Length+maxTail) {
-		at := nextTick
+	for arrival < len(m.trace.Requests) || (m.unfinished > 0 && m.now < m.trace.Length+maxTail) {
+		next := nextTick
 		if arrival < len(m.trace.Requests) {
-			at = min(at, m.trace.Requests[arrival].Arrived)
+			next = min(next, m.trace.Requests[arrival].Arrived)
 		}
-		for _, n := range m.nodes {
-			at = min(at, n.next)
+		for _, n := range m.engines {
+			next = min(next, n.nextEventAt)
 		}
-		m.now = max(m.now, at)
-		m.advanceDue()
+		m.now = max(m.now, next)
+		m.advanceDueEngines()
 		if m.now >= nextTick {
 			m.tick()
 			nextTick = m.now + reportEvery
@@ -131,52 +132,52 @@
 			arrival++
 		}
 	}
-	m.tally.changes = m.changes
-	m.tally.unfinished = m.requests
-	return &m.tally
+	m.stats.changes = m.changes
+	m.stats.unfinished = m.unfinished
+	return &m.stats
 }
 
-func (m *sim) advanceDue() {
-	for i, n := range m.nodes {
-		if n.next <= m.now {
+func (m *sim) advanceDueEngines() {
+	for i, n := range m.engines {
+		if n.nextEventAt <= m.now {
 			m.advance(i)
 		}
 	}
 }
 
-// advance brings one engine to now and takes in what it produced.
+// advance brings one engine to the current time and processes what it produced.
 func (m *sim) advance(i int) {
-	n := m.nodes[i]
+	n := m.engines[i]
 	if n.lost {
 		return
 	}
-	for _, p := range n.model.Advance(m.now) {
+	for _, p := range n.engine.Advance(m.now) {
 		if r := n.requests[p.ID]; r != nil {
-			r.entry.progress(i, r, p)
+			r.entry.recordProgress(i, r, p)
 		}
 	}
-	n.next = n.model.NextAt()
+	n.nextEventAt = n.engine.NextAt()
 }
 
 func (m *sim) tick() {
-	for i, n := range m.nodes {
+	for i, n := range m.engines {
 		m.advance(i)
-		if n.leaving && !n.lost && !n.model.Changing() && n.model.Role() == n.target {
+		if n.leaving && !n.lost && !n.engine.Changing() && n.engine.Role() == n.targetRole {
 			n.leaving = false
 		}
 	}
 	for len(m.losses) > 0 && m.losses[0].At <= m.now {
-		m.lose(m.losses[0].Engine)
+		m.loseEngine(m.losses[0].Engine)
 		m.losses = m.losses[1:]
 	}
 	for _, e := range m.entries {
-		e.report()
+		e.updateLoads()
 	}
 	if m.now%planEvery == 0 {
 		m.plan()
 	}
 	for _, e := range m.entries {
-		e.drain()
+		e.dispatchQueue()
 	}
 }
 
@@ -186,7 +187,7 @@
 	m.entries[index%len(m.entries)].arrive(w)
 }
 
-// plan asks the role policy and begins the changes.
+// plan calls the role policy and starts the changes.
 func (m *sim) plan() {
 	o := m.observation()
 	m.offeredPrefill, m.offeredDecode = 0, 0
@@ -194,7 +195,7 @@
 		return
 	}
 	for _, c := range m.policy.plan(m.now, o) {
-		m.begin(c)
+		m.startChange(c)
 	}
 }
 
@@ -211,32 +212,32 @@
 			GoodputWeight: m.scenario.Roles.GoodputWeight, ChangeWeight: m.scenario.Roles.ChangeWeight,
 		},
 	}
-	for _, n := range m.nodes {
+	for _, n := range m.engines {
 		if n.lost {
 			continue
 		}
-		l := n.model.Load(m.now)
+		l := n.engine.Load(m.now)
 		o.Engines = append(o.Engines, roles.Engine{
-			ID: n.id, Role: n.model.Role(), TargetRole: n.target, Changing: n.leaving, Usable: !n.leaving,
+			ID: n.id, Role: n.engine.Role(), TargetRole: n.targetRole, Changing: n.leaving, Usable: !n.leaving,
 			PendingTokens: float64(l.QueuedPrefillTokens) + decision.OutputCost*float64(l.RunningDecodeTokens),
 		})
 	}
 	return o
 }
 
-// begin takes an engine out of use, moves its requests and orders the change.
-func (m *sim) begin(c roles.Change) {
-	for i, n := range m.nodes {
+// startChange makes an engine unavailable, moves its requests and starts its role change.
+func (m *sim) startChange(c roles.Change) {
+	for i, n := range m.engines {
 		if n.id != c.Engine || n.leaving || n.lost {
 			continue
 		}
 		m.advance(i)
-		n.leaving, n.target = true, c.To
-		m.moveAll(i, true)
-		if err := n.model.SetRole(m.now, c.To); err != nil {
-			panic(err) // all its requests were just moved
+		n.leaving, n.targetRole = true, c.To
+		m.requeueAll(i, true)
+		if err := n.engine.SetRole(m.now, c.To); err != nil {
+			panic(err) // cannot happen: the engine has no requests left
 		}
-		n.next = n.model.NextAt()
+		n.nextEventAt = n.engine.NextAt()
 		m.changes++
 		if m.onChange != nil {
 			m.onChange(m.now, c)
@@ -244,24 +245,24 @@
 	}
 }
 
-func (m *sim) lose(i int) {
-	n := m.nodes[i]
-	n.lost, n.leaving, n.next = true, true, enginemodel.Never
-	m.moveAll(i, false)
+func (m *sim) loseEngine(i int) {
+	n := m.engines[i]
+	n.lost, n.leaving, n.nextEventAt = true, true, enginemodel.Never
+	m.requeueAll(i, false)
 }
 
-// moveAll gives the engine's requests back to their entries, with their KV cache
-// when it can still be exported.
-func (m *sim) moveAll(i int, export bool) {
-	n := m.nodes[i]
+// requeueAll returns the engine's requests to their entries, with their KV cache if it can still
+// be exported.
+func (m *sim) requeueAll(i int, exportKV bool) {
+	n := m.engines[i]
 	for _, id := range sortedKeys(n.requests) {
 		r := n.requests[id]
-		kv, has := n.model.KVTokens(id)
-		n.model.Cancel(id)
-		n.model.Release(id)
-		if !export || !has {
-			kv = 0
+		kvTokens, hasKV := n.engine.KVTokens(id)
+		n.engine.Cancel(id)
+		n.engine.Release(id)
+		if !exportKV || !hasKV {
+			kvTokens = 0
 		}
-		r.entry.moved(i, r, kv)
+		r.entry.requeue(i, r, kvTokens)
 	}
 }
--- a/internal/policy/trace.go
+++ b/internal/policy/trace.go
@@ -12,7 +12,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
 )
 
-// Trace is offered work, in order of arrival, and the engines that are lost.
+// Trace is the offered work, in order of arrival, and the engines that are lost.
 type Trace struct {
 	Name     string
 	Length   time.Duration
@@ -20,31 +20,30 @@
 	Losses   []Loss
 }
 
-// Loss is an engine that is gone for good at some time.
+// Loss is the permanent loss of an engine.
 type Loss struct {
 	At     time.Duration
 	Engine int
 }
 
-// shape is offered load over time.
+// shape is the offered load over time.
 type shape struct {
 	name string
-	// load is in engines' worth of work, prefillShare the part of it that is
-	// prefill.
+	// load is in units of fully busy engines; prefillShare is the share of prefill in it.
 	load, prefillShare func(t time.Duration) float64
 	losses             []Loss
-	// heavy is the part of all work that the first member sends beyond its
-	// equal part; zero counts as normalHeavy.
-	heavy float64
+	// heavyShare is the share of all work that the first member sends in addition to its equal
+	// part of the rest; zero means defaultHeavyShare.
+	heavyShare float64
 }
 
-// traceLength is long enough for several swings and for the queue's five
-// minutes of patience to run out under overload.
+// traceLength is long enough for several swings and for requests to reach the queue's limit of
+// five minutes under overload.
 const traceLength = 20 * time.Minute
 
-// Loads in engines' worth. A fleet of nine with four mixed engines at 0.8 does
-// 8.2; normalLoad is some 0.95 of that, so that a wrong split costs goodput and
-// a right one does not.
+// Loads in units of fully busy engines. A fleet of nine with four mixed engines at an efficiency
+// of 0.8 has a capacity of 8.2. normalLoad is some 0.95 of that, so that a wrong split costs
+// goodput and a right one does not.
 const (
 	normalLoad = 7.8
 	quietLoad  = 5.0
@@ -52,39 +51,39 @@
 	urgentLoad = 1.5
 )
 
-// lowPrefill and highPrefill are the ends between which the share of prefill
-// swings: lines of questions with long answers, and dossiers.
+// lowPrefill and highPrefill are the limits between which the share of prefill swings: short
+// prompts with long answers, and long prompts.
 const (
 	lowPrefill  = 0.2
 	highPrefill = 0.8
 )
 
-// shapes are the traces, in the order in which they are reported.
-func shapes(rng *rand.Rand, worstPeriod time.Duration) []shape {
+// loadShapes are the shapes of all traces, in the order in which they are reported.
+func loadShapes(rng *rand.Rand, worstPeriod time.Duration) []shape {
 	steady := func(time.Duration) float64 { return normalLoad }
-	swing := swinging(rng)
-	loss := func(t time.Duration) float64 { return step(t, 8*time.Minute, lowPrefill, highPrefill) }
+	swing := randomSwings(rng)
+	loss := func(t time.Duration) float64 { return stepFunction(t, 8*time.Minute, lowPrefill, highPrefill) }
 	return []shape{
 		{name: "swing", load: steady, prefillShare: swing},
-		{name: "drift", load: steady, prefillShare: drift},
-		{name: "burst", load: bursts, prefillShare: burstShare},
-		{name: "oscillation", load: steady, prefillShare: square(worstPeriod)},
+		{name: "drift", load: steady, prefillShare: slowDrift},
+		{name: "burst", load: burstLoadAt, prefillShare: burstPrefillShare},
+		{name: "oscillation", load: steady, prefillShare: squareWave(worstPeriod)},
 		{name: "loss", load: steady, prefillShare: loss, losses: []Loss{{8*time.Minute + 20*time.Second, 1}}},
-		{name: "overload", load: func(time.Duration) float64 { return 2 * normalLoad }, prefillShare: drift},
+		{name: "overload", load: func(time.Duration) float64 { return 2 * normalLoad }, prefillShare: slowDrift},
 	}
 }
 
-// TraceNames lists the traces.
+// TraceNames lists the names of the traces.
 func TraceNames() []string {
 	var names []string
-	for _, s := range shapes(rand.New(rand.NewPCG(1, 1)), time.Minute) {
+	for _, s := range loadShapes(rand.New(rand.NewPCG(1, 1)), time.Minute) {
 		names = append(names, s.name)
 	}
 	return names
 }
 
-// swinging jumps between random shares every one to four minutes.
-func swinging(rng *rand.Rand) func(time.Duration) float64 {
+// randomSwings changes to a random share every one to four minutes.
+func randomSwings(rng *rand.Rand) func(time.Duration) float64 {
 	var ends []time.Duration
 	var shares []float64
 	for at := time.Duration(0); at < traceLength; {
@@ -102,13 +101,13 @@
 	}
 }
 
-// drift goes once from one end to the other and back: half a day, compressed.
-func drift(t time.Duration) float64 {
+// slowDrift goes from one limit to the other and back once: half a day, compressed.
+func slowDrift(t time.Duration) float64 {
 	phase := 2 * math.Pi * float64(t) / float64(traceLength)
 	return lowPrefill + (highPrefill-lowPrefill)*(1-math.Cos(phase))/2
 }
 
-// Dossier bursts: every five minutes one of ninety seconds.
+// Bursts of bulk work: ninety seconds in every five minutes.
 const (
 	burstEvery  = 5 * time.Minute
 	burstLength = 90 * time.Second
@@ -118,40 +117,40 @@
 	return t%burstEvery >= burstEvery-burstLength-time.Minute && t%burstEvery < burstEvery-time.Minute
 }
 
-func bursts(t time.Duration) float64 {
+func burstLoadAt(t time.Duration) float64 {
 	if inBurst(t) {
 		return quietLoad + burstLoad
 	}
 	return quietLoad
 }
 
-func burstShare(t time.Duration) float64 {
+func burstPrefillShare(t time.Duration) float64 {
 	if inBurst(t) {
 		return highPrefill
 	}
 	return 0.35
 }
 
-func square(period time.Duration) func(time.Duration) float64 {
+func squareWave(period time.Duration) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
-		return step(t%period, period/2, lowPrefill, highPrefill)
+		return stepFunction(t%period, period/2, lowPrefill, highPrefill)
 	}
 }
 
-func step(t, at time.Duration, before, after float64) float64 {
+func stepFunction(t, at time.Duration, before, after float64) float64 {
 	if t < at {
 		return before
 	}
 	return after
 }
 
-// NewTrace plays the shape with that name. The same seed gives the same trace.
+// NewTrace generates the trace with the given name. The same seed gives the same trace.
 func NewTrace(s *Scenario, name string, seed uint64, worstPeriod time.Duration) (Trace, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))
-	for _, sh := range shapes(rng, worstPeriod) {
+	for _, sh := range loadShapes(rng, worstPeriod) {
 		if sh.name == name {
 			g := generator{scenario: s, rng: rng, shape: sh}
-			return g.run(), nil
+			return g.generate(), nil
 		}
 	}
 	return Trace{}, BadScenario.New("no trace %q", name)
@@ -162,72 +161,71 @@
 	scenario *Scenario
 	rng      *rand.Rand
 	shape    shape
-	works    []decision.Work
+	requests []decision.Work
 }
 
-// genStep is the time over which the offered load counts as constant.
-const genStep = 100 * time.Millisecond
+// generationStep is the interval in which the offered load counts as constant.
+const generationStep = 100 * time.Millisecond
 
-// Mean sizes in engine-seconds: a question of some 1,200 tokens with 220 to
-// answer, and a dossier.
+// Mean sizes in engine-seconds: an urgent request of some 1,200 prompt tokens with 220 output
+// tokens, and a bulk request.
 const (
-	urgentSize = 0.37
-	bulkSize   = 3.9
+	meanUrgentSize = 0.37
+	meanBulkSize   = 3.9
 )
 
-func (g *generator) run() Trace {
-	for t := time.Duration(0); t < traceLength; t += genStep {
+func (g *generator) generate() Trace {
+	for t := time.Duration(0); t < traceLength; t += generationStep {
 		load := g.shape.load(t)
-		g.arrivals(t, urgentLoad/urgentSize, g.question)
-		g.arrivals(t, (load-urgentLoad)/bulkSize, g.dossier)
+		g.arrivals(t, urgentLoad/meanUrgentSize, g.urgentWork)
+		g.arrivals(t, (load-urgentLoad)/meanBulkSize, g.bulkWork)
 	}
-	return Trace{Name: g.shape.name, Length: traceLength, Requests: g.works, Losses: g.shape.losses}
+	return Trace{Name: g.shape.name, Length: traceLength, Requests: g.requests, Losses: g.shape.losses}
 }
 
-// arrivals draws whether one comes within the step; rates are well below one a
-// step.
-func (g *generator) arrivals(t time.Duration, rate float64, draw func(time.Duration) decision.Work) {
-	expected := rate * genStep.Seconds()
+// arrivals draws the requests that arrive within the step. Rates are well below one a step.
+func (g *generator) arrivals(t time.Duration, rate float64, newWork func(time.Duration) decision.Work) {
+	expected := rate * generationStep.Seconds()
 	for range int(expected) + 1 {
 		if g.rng.Float64() < expected/float64(int(expected)+1) {
-			g.works = append(g.works, draw(t+time.Duration(g.rng.Float64()*float64(genStep))))
+			g.requests = append(g.requests, newWork(t+time.Duration(g.rng.Float64()*float64(generationStep))))
 		}
 	}
 }
 
-func (g *generator) question(t time.Duration) decision.Work {
-	w := g.work(t, g.scenario.Urgent)
+func (g *generator) urgentWork(t time.Duration) decision.Work {
+	w := g.newWork(t, g.scenario.Urgent)
 	w.PromptTokens = clamp(g.lognormal(1100, 0.5), 100, g.scenario.Urgent.MaxPromptTokens)
 	w.OutputTokens = clamp(g.lognormal(190, 0.5), 10, g.scenario.Urgent.MaxOutputTokens)
 	w.Prefix = g.prefix(&w, 2)
 	return w
 }
 
-// dossier draws a bulk request whose prefill share makes up for the questions'.
-func (g *generator) dossier(t time.Duration) decision.Work {
-	w := g.work(t, g.scenario.Bulk)
+// bulkWork draws a bulk request whose prefill share offsets that of the urgent requests.
+func (g *generator) bulkWork(t time.Duration) decision.Work {
+	w := g.newWork(t, g.scenario.Bulk)
 	load := g.shape.load(t)
-	share := (g.shape.prefillShare(t)*load - urgentPrefill*urgentLoad) / (load - urgentLoad)
+	share := (g.shape.prefillShare(t)*load - urgentPrefillShare*urgentLoad) / (load - urgentLoad)
 	share = min(0.98, max(0.02, share))
-	size := min(2.2*bulkSize, g.lognormal(bulkSize*math.Exp(-0.08), 0.4))
+	size := min(2.2*meanBulkSize, g.lognormal(meanBulkSize*math.Exp(-0.08), 0.4))
 	decodeRate := enginemodel.Config{}.FullDecodeRate()
 	w.PromptTokens = clamp(share*size*enginemodel.DefaultPrefillRate, 200, g.scenario.Bulk.MaxPromptTokens)
-	w.OutputTokens = clamp((1-share)*size*decodeRate, 20, maxOutput)
+	w.OutputTokens = clamp((1-share)*size*decodeRate, 20, maxDrawnOutputTokens)
 	w.Prefix = g.prefix(&w, 1)
 	return w
 }
 
-// urgentPrefill is the prefill share of the questions, maxOutput the longest
+// urgentPrefillShare is the prefill share of urgent requests. maxDrawnOutputTokens is the longest
 // answer drawn (a profile may allow more).
 const (
-	urgentPrefill = 0.35
-	maxOutput     = 3000
+	urgentPrefillShare   = 0.35
+	maxDrawnOutputTokens = 3000
 )
 
-func (g *generator) work(t time.Duration, p *declaration.Profile) decision.Work {
-	m := g.member()
+func (g *generator) newWork(t time.Duration, p *declaration.Profile) decision.Work {
+	m := g.drawMember()
 	return decision.Work{
-		RequestID: fmt.Sprintf("%s-%06d", g.shape.name, len(g.works)),
+		RequestID: fmt.Sprintf("%s-%06d", g.shape.name, len(g.requests)),
 		Member:    m.Name, MemberWeight: m.Weight,
 		Service: p.Name, Profile: p.Name, ProfileShare: p.Share, Class: p.Class,
 		Kind: declaration.KindModel, Model: g.scenario.Model,
@@ -235,14 +233,14 @@
 	}
 }
 
-// normalHeavy: the consultancy sends half of all work and its part of the rest.
-const normalHeavy = 0.5
+// defaultHeavyShare makes the first member send half of all work in addition to its part of the
+// rest, as the largest member of the deployment does.
+const defaultHeavyShare = 0.5
 
-// member draws a member.
-func (g *generator) member() *declaration.Member {
-	heavy := g.shape.heavy
+func (g *generator) drawMember() *declaration.Member {
+	heavy := g.shape.heavyShare
 	if heavy == 0 {
-		heavy = normalHeavy
+		heavy = defaultHeavyShare
 	}
 	if g.rng.Float64() < heavy {
 		return &g.scenario.Members[0]
@@ -254,9 +252,9 @@
 	return median * math.Exp(sigma*g.rng.NormFloat64())
 }
 
-// prefix gives the block hashes of a prompt whose first blocks are the member's
-// instructions for the service and whose rest is its own. Of the rest only two
-// blocks are kept: what nobody shares can't be found in a cache again.
+// prefix returns the block hashes of a prompt. The first blocks are shared by all requests of the
+// member to the service, the rest is unique. Only two blocks of the rest are kept, because a
+// block that no other request has is never found in a cache.
 func (g *generator) prefix(w *decision.Work, shared int) []uint64 {
 	blocks := min(w.PromptTokens/engineapi.BlockTokens, shared+2)
 	chain := make([]uint64, blocks)
