--- a/internal/decision/placement/burst_test.go
+++ b/internal/decision/placement/burst_test.go
@@ -68,8 +68,8 @@
 // fetch adds the request's shared prefix to an engine's cache if another engine has it.
 func (f *prefillFleet) fetch(i int, w *decision.Work) {
 	prefix := w.Prefix[0]
-	held := slices.ContainsFunc(f.cachedPrefixes, func(prefixes []uint64) bool { return slices.Contains(prefixes, prefix) })
-	if held && !slices.Contains(f.cachedPrefixes[i], prefix) {
+	cachedSomewhere := slices.ContainsFunc(f.cachedPrefixes, func(prefixes []uint64) bool { return slices.Contains(prefixes, prefix) })
+	if cachedSomewhere && !slices.Contains(f.cachedPrefixes[i], prefix) {
 		f.cachedPrefixes[i] = append(f.cachedPrefixes[i], prefix)
 	}
 }
--- a/internal/decision/placement/peers_test.go
+++ b/internal/decision/placement/peers_test.go
@@ -101,7 +101,7 @@
 		}
 		for to, e := range f.entries {
 			if to != from {
-				e.peers.Reported(now, fmt.Sprint(from), "life", sequence, servers)
+				e.peers.Reported(now, fmt.Sprint(from), "incarnation", sequence, servers)
 			}
 		}
 	}
--- a/internal/decision/placement/placement.go
+++ b/internal/decision/placement/placement.go
@@ -5,8 +5,9 @@
 // not take the request. Each remaining server gets a cost in seconds: the wait behind its prefill
 // backlog, the prefill of the tokens that its cache lacks, the decode time at its occupancy, and
 // the KV cache transfer if prefill and decode run on different engines. The lowest cost wins.
-// Among servers of nearly equal cost a hash of the request id decides, so that nine entries with
-// the same reports do not all choose the same server.
+// Among servers of nearly equal cost a hash of the request id decides, so that nine entries (the
+// gateway processes that callers connect to) with the same reports do not all choose the same
+// server.
 //
 // Otherwise the server that was least loaded in the last report would get every request until the
 // next report (herding), a slow server would get as many requests as the others, and a follow-up
--- a/internal/decision/placement/placement_test.go
+++ b/internal/decision/placement/placement_test.go
@@ -106,11 +106,11 @@
 		for range seconds * 3 {
 			at += 333 * time.Millisecond
 			for i := range f.Servers {
-				took := 100 * 40 * time.Millisecond
+				decodeTime := 100 * 40 * time.Millisecond
 				if f.Servers[i].ID == slow {
-					took = time.Duration(float64(took) * slowdown)
+					decodeTime = time.Duration(float64(decodeTime) * slowdown)
 				}
-				p.Observe(at, f.Servers[i].ID, Result{Tokens: 101, DecodeTime: took})
+				p.Observe(at, f.Servers[i].ID, Result{Tokens: 101, DecodeTime: decodeTime})
 			}
 		}
 	}
--- a/internal/decision/roles/keep_test.go
+++ b/internal/decision/roles/keep_test.go
@@ -26,10 +26,10 @@
 // Engines start in arbitrary roles. The split must be set once and not be changed afterwards.
 func TestPrefillShareIsKept(t *testing.T) {
 	for _, c := range []struct {
-		prefill, whole, away int
-		share                float64
-		changes              int
-		to                   engineapi.Role
+		prefill, mixed, unavailable int
+		share                       float64
+		changes                     int
+		to                          engineapi.Role
 	}{
 		{4, 5, 0, 0.67, 2, engineapi.RolePrefill},
 		{6, 3, 0, 0.67, 0, ""},
@@ -39,7 +39,7 @@
 		{2, 0, 0, 1, 1, engineapi.RoleMixed},
 		{5, 3, 1, 0.67, 0, ""},
 	} {
-		changes := KeepPrefillShare(observationWith(c.prefill, c.whole, c.away), c.share)
+		changes := KeepPrefillShare(observationWith(c.prefill, c.mixed, c.unavailable), c.share)
 		if len(changes) != c.changes {
 			t.Errorf("%+v: %d changes %+v", c, len(changes), changes)
 			continue
--- a/internal/decision/roles/regret.go
+++ b/internal/decision/roles/regret.go
@@ -86,8 +86,8 @@
 //
 // Two conditions must hold. The work lost recently must exceed the engine-seconds that the
 // changes take, so that an oscillation too fast for changes to pay off never causes one. The
-// expected loss must exceed the whole cost including its price, so that changes for a lasting
-// shift need not wait until all of it has been lost.
+// expected loss, which includes the forecast, must exceed the whole cost including its price. So
+// a lasting shift causes changes before the whole cost has been lost.
 func (r *regretTracker) bestChange(cost changeCost) (candidate, bool) {
 	var best candidate
 	bestNet := 0.0
--- a/internal/policy/clairvoyant.go
+++ b/internal/policy/clairvoyant.go
@@ -23,7 +23,7 @@
 	return roles.ChangesTowards(&o, target, "schedule", nil)
 }
 
-// removeEngine removes an engine of the most frequent role, in place of one that was lost.
+// removeEngine removes an engine of the most frequent role, to account for a lost engine.
 func removeEngine(s roles.Split) roles.Split {
 	switch max(s.Prefill, s.Mixed, s.Decode) {
 	case s.Mixed:
