--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	weightsEvery = time.Second
-	// minWeight keeps a full or new entry reachable.
+	weightRefreshInterval = time.Second
+	// minWeight keeps a full or newly started entry reachable.
 	minWeight = 0.1
-	// announceEntries is how many entries a server announces to, each in
-	// another data centre where there are enough.
-	announceEntries = 3
-	// announceEvery is how often a server announces itself.
-	announceEvery = time.Second
-	// slowAnnounceEvery takes its place in large fleets. With reports every
-	// 2 s it leaves room in control's lease of 5 s for one that is lost.
-	slowAnnounceEvery = 1500 * time.Millisecond
-	// maxHeard is how many announcements a second an entry is to hear. Each
-	// costs it some 0.02% of a core, of the 1.1% that control may cost a node.
-	maxHeard = 16
+	// announceFanout is how many entries a server announces to, each in a different data centre
+	// where there are enough of them.
+	announceFanout = 3
+	// minAnnounceInterval is how often a server announces itself in small fleets.
+	minAnnounceInterval = time.Second
+	// maxAnnounceInterval applies in large fleets. Together with the reports that entries send
+	// every 2 s it leaves room for one lost report within control's lease of 5 s.
+	maxAnnounceInterval = 1500 * time.Millisecond
+	// maxAnnouncementsPerSecond is the announcement rate that one entry should receive. Each
+	// announcement costs about 0.02% of a core, out of the 1.1% of a core that the control plane
+	// may cost a node.
+	maxAnnouncementsPerSecond = 16
 )
 
-// EntryWeight is one entry as callers and servers are told of it.
+// EntryWeight describes one entry to callers and servers.
 type EntryWeight struct {
 	Name        string
 	Incarnation string
@@ -36,16 +37,16 @@
 	PeerAddress string
 	DataCentre  string
 	Leaving     bool
-	// IsAggregator tells that it sums up the reports of others.
+	// IsAggregator tells that the entry sums up the reports of other entries.
 	IsAggregator bool
-	// Weight is its share of callers against others of its data centre.
+	// Weight is the entry's share of callers relative to the others of its data centre.
 	Weight float64
 }
 
-// refreshWeights publishes weights again as loads and ramps change.
+// refreshWeights publishes the weights again, since loads and ramp-ups change over time.
 func (r *Reducer) refreshWeights() {
-	if r.now-r.lastWeights >= weightsEvery {
-		r.lastWeights, r.dirty = r.now, true
+	if r.now-r.lastWeightRefresh >= weightRefreshInterval {
+		r.lastWeightRefresh, r.dirty = r.now, true
 	}
 }
 
@@ -60,42 +61,43 @@
 		Revision: v.revision, Control: v.control,
 		Leaving: r.leaving, Drained: make(map[string]bool), Servers: len(r.servers.sorted), Load: r.loadShare(),
 		Aggregator: r.peers.group.aggregatorAddress(r.now), AskAggregatorFrom: r.peers.group.pauseUntil,
-		LeaseExpiring: r.unsure(),
+		LeaseExpiring: r.leaseExpiring(),
 	}
 	for _, e := range v.sortedEntries() {
-		s.Entries = append(s.Entries, r.weigh(e))
+		s.Entries = append(s.Entries, r.entryWeight(e))
 	}
 	for _, server := range r.servers.sorted {
 		if server.pb.Drained {
 			s.Drained[server.pb.Id] = true
 		}
 	}
-	s.UnavailableUntil = r.closedLives()
+	s.UnavailableUntil = r.unavailableUntil()
 	r.emit(Publish{Snapshot: s})
 }
 
-// closedLives has until when lives of servers want nothing.
-func (r *Reducer) closedLives() map[string]time.Duration {
-	closed := make(map[string]time.Duration)
+// unavailableUntil returns until when server incarnations accept no requests. Incarnations that
+// accept requests are left out.
+func (r *Reducer) unavailableUntil() map[string]time.Duration {
+	until := make(map[string]time.Duration)
 	for _, s := range r.servers.sorted {
 		switch {
-		case s.wants.Leaving:
-			closed[s.pb.Incarnation] = math.MaxInt64
-		case s.wants.Resting(r.now):
-			closed[s.pb.Incarnation] = s.wants.RestUntil()
+		case s.backpressure.Leaving:
+			until[s.pb.Incarnation] = math.MaxInt64
+		case s.backpressure.Resting(r.now):
+			until[s.pb.Incarnation] = s.backpressure.RestUntil()
 		}
 	}
-	return closed
+	return until
 }
 
 func (r *Reducer) loadShare() float64 {
 	return float64(len(r.requests)) / float64(max(1, r.cfg.MaxStreams))
 }
 
-// weigh gives an entry its free share. One that came back gets little at first:
-// with its full weight, as the least loaded, it would draw all callers whose
-// answers run out then.
-func (r *Reducer) weigh(e *entryState) EntryWeight {
+// entryWeight weights an entry by its free capacity. An entry that has restarted gets a small
+// weight at first: as the least loaded entry it would otherwise attract all callers that resolve
+// addresses at that time.
+func (r *Reducer) entryWeight(e *entryState) EntryWeight {
 	id := e.info.Identity
 	load, leaving := e.info.Load, e.info.Leaving
 	if id.Name == r.cfg.Identity.Name && id.Incarnation == r.cfg.Identity.Incarnation {
@@ -110,24 +112,25 @@
 	}
 }
 
-// AddressesFor gives the entries for callers of a data centre, best first: its
-// own by weight, then the others as a fallback. Leaving entries are left out, and those that
-// sum up others' reports where there are others: each choice of twenty entries waits for one.
+// AddressesFor returns the entries for callers of a data centre, best first: those of the data
+// centre by weight, then the others as a fallback. Leaving entries are left out. So are
+// aggregators as long as other entries exist: the placement decisions of up to twenty entries
+// wait for an aggregator's answers.
 func (s *Snapshot) AddressesFor(dataCentre string) []EntryWeight {
-	list := s.entriesWhere(func(e EntryWeight) bool { return !e.Leaving && !e.IsAggregator })
+	list := s.filterEntries(func(e EntryWeight) bool { return !e.Leaving && !e.IsAggregator })
 	if len(list) == 0 {
-		list = s.entriesWhere(func(e EntryWeight) bool { return !e.Leaving })
+		list = s.filterEntries(func(e EntryWeight) bool { return !e.Leaving })
 	}
 	slices.SortStableFunc(list, func(a, b EntryWeight) int {
 		return cmp.Or(
-			cmp.Compare(rank(a, dataCentre), rank(b, dataCentre)),
+			cmp.Compare(localityRank(a, dataCentre), localityRank(b, dataCentre)),
 			cmp.Compare(b.Weight, a.Weight),
 		)
 	})
 	return list
 }
 
-func (s *Snapshot) entriesWhere(wanted func(EntryWeight) bool) []EntryWeight {
+func (s *Snapshot) filterEntries(wanted func(EntryWeight) bool) []EntryWeight {
 	var list []EntryWeight
 	for _, e := range s.Entries {
 		if wanted(e) {
@@ -137,35 +140,35 @@
 	return list
 }
 
-func rank(e EntryWeight, dataCentre string) int {
+func localityRank(e EntryWeight, dataCentre string) int {
 	if e.DataCentre == dataCentre {
 		return 0
 	}
 	return 1
 }
 
-// AnnounceAnswer tells a backend server which entries to announce to and
-// whether to leave. Rendezvous hashing spreads the servers over the entries and
-// moves few when an entry comes or goes.
+// AnnounceAnswer tells a backend server which entries to announce to and whether to leave.
+// Rendezvous hashing spreads the servers over the entries and moves few of them when an entry
+// comes or goes.
 func (s *Snapshot) AnnounceAnswer(serverID string) engineapi.AnnounceAnswer {
 	answer := engineapi.AnnounceAnswer{
 		IntervalMS: uint32(s.announceInterval().Milliseconds()), Entries: []string{}, Leave: s.Drained[serverID],
 	}
-	for _, e := range s.SelectEntries(serverID, announceEntries, "") {
+	for _, e := range s.SelectEntries(serverID, announceFanout, "") {
 		answer.Entries = append(answer.Entries, e.Address)
 	}
 	return answer
 }
 
-// announceInterval grows with the servers that an entry hears.
+// announceInterval grows with the number of servers that announce to each entry.
 func (s *Snapshot) announceInterval() time.Duration {
-	heard := float64(s.Servers*announceEntries) / float64(max(1, len(s.Entries)))
-	wanted := time.Duration(heard / maxHeard * float64(time.Second))
-	return min(max(wanted, announceEvery), slowAnnounceEvery)
+	announcements := float64(s.Servers*announceFanout) / float64(max(1, len(s.Entries)))
+	interval := time.Duration(announcements / maxAnnouncementsPerSecond * float64(time.Second))
+	return min(max(interval, minAnnounceInterval), maxAnnounceInterval)
 }
 
-// SelectEntries gives up to n entries that stay, ordered by the hash of key: first the
-// best of each data centre, then the rest; none of the data centre avoid.
+// SelectEntries returns up to n entries that are not leaving, ordered by a rendezvous hash of
+// key: first the best one of each data centre, then the rest. It skips the data centre avoid.
 func (s *Snapshot) SelectEntries(key string, n int, avoid string) []EntryWeight {
 	list := make([]EntryWeight, 0, len(s.Entries))
 	for _, e := range s.Entries {
@@ -174,7 +177,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b EntryWeight) int {
-		return compareScore(a, b, key)
+		return compareByHash(a, b, key)
 	})
 	var first, rest []EntryWeight
 	seen := make(map[string]bool)
@@ -190,9 +193,11 @@
 	return all[:min(n, len(all))]
 }
 
-// compareScore orders entries by the hash of their name with the key, the highest first.
-func compareScore(a, b EntryWeight, key string) int {
-	return cmp.Or(cmp.Compare(score(b, key), score(a, key)), cmp.Compare(a.Name, b.Name))
+// compareByHash orders entries by the hash of their name with the key, highest first.
+func compareByHash(a, b EntryWeight, key string) int {
+	return cmp.Or(cmp.Compare(rendezvousHash(b, key), rendezvousHash(a, key)), cmp.Compare(a.Name, b.Name))
 }
 
-func score(e EntryWeight, key string) uint64 { return xxhash.Sum64String(e.Name + "\x00" + key) }
+func rendezvousHash(e EntryWeight, key string) uint64 {
+	return xxhash.Sum64String(e.Name + "\x00" + key)
+}
--- a/internal/entry/addresses_test.go
+++ b/internal/entry/addresses_test.go
@@ -83,7 +83,7 @@
 	for i := range 900 {
 		id := fmt.Sprintf("engine-%d", i)
 		centres := make(map[string]bool)
-		before := s.SelectEntries(id, announceEntries, "")
+		before := s.SelectEntries(id, announceFanout, "")
 		for _, e := range before {
 			count[e.Name]++
 			centres[e.DataCentre] = true
@@ -91,7 +91,7 @@
 		if len(centres) != 3 {
 			t.Fatalf("%s announces to %v", id, before)
 		}
-		for j, e := range fewer.SelectEntries(id, announceEntries, "") {
+		for j, e := range fewer.SelectEntries(id, announceFanout, "") {
 			if e.Name != before[j].Name && before[j].Name != "entry-a1" {
 				moved++
 			}
@@ -118,9 +118,9 @@
 		{12, 9, time.Second},
 		{290, 55, time.Second},
 		{400, 60, 1250 * time.Millisecond},
-		{450, 55, slowAnnounceEvery},
-		{2700, 9, slowAnnounceEvery},
-		{12, 0, slowAnnounceEvery},
+		{450, 55, maxAnnounceInterval},
+		{2700, 9, maxAnnounceInterval},
+		{12, 0, maxAnnounceInterval},
 		{0, 0, time.Second},
 	} {
 		s := Snapshot{Servers: c.servers, Entries: make([]EntryWeight, c.entries)}
--- a/internal/entry/announcements.go
+++ b/internal/entry/announcements.go
@@ -6,74 +6,76 @@
 
 func (r *Reducer) announced(ev Announced) {
 	a := ev.Announcement
-	s := r.servers.life(a.ID, a.Incarnation)
+	s := r.servers.incarnation(a.ID, a.Incarnation)
 	if s == nil {
 		r.report.announce(a, nil)
-		r.servers.keepEarly(a)
+		r.servers.keepPending(a)
 		return
 	}
 	r.report.announce(a, s.pb)
-	r.heard(s, a.State, a.Load, true)
+	r.applyServerState(s, a.State, a.Load, true)
 }
 
-// maxEarly bounds the servers whose word is kept before the view names them.
-const maxEarly = 4096
+// maxPendingServers bounds the servers whose announcements are kept before the view contains
+// them.
+const maxPendingServers = 4096
 
-func (t *serverTable) keepEarly(a engineapi.Announcement) {
-	if _, known := t.early[a.ID]; known || len(t.early) < maxEarly {
-		t.early[a.ID] = a
+func (t *serverTable) keepPending(a engineapi.Announcement) {
+	if _, known := t.pending[a.ID]; known || len(t.pending) < maxPendingServers {
+		t.pending[a.ID] = a
 	}
 }
 
-func (r *Reducer) serverSaid(ev ServerReported) {
-	s := r.servers.life(ev.Server, ev.Incarnation)
+func (r *Reducer) serverReported(ev ServerReported) {
+	s := r.servers.incarnation(ev.Server, ev.Incarnation)
 	if s == nil {
 		return
 	}
 	if ev.FromResponse {
-		r.heardWord(s, ev.SentAt, ev.Backpressure)
+		r.applyBackpressure(s, ev.SentAt, ev.Backpressure)
 	}
 	if ev.State != "" {
-		r.heard(s, ev.State, ev.Load, ev.HasLoad)
+		r.applyServerState(s, ev.State, ev.Load, ev.HasLoad)
 	}
 }
 
-func (r *Reducer) heard(s *server, state engineapi.State, load engineapi.Load, hasLoad bool) {
+func (r *Reducer) applyServerState(s *server, state engineapi.State, load engineapi.Load, hasLoad bool) {
 	if state != s.ownState {
-		r.logServer(s, "said "+string(state))
+		r.logServer(s, "reported state "+string(state))
 	}
-	s.hear(state, r.now)
+	s.observeState(state, r.now)
 	if hasLoad {
 		s.setLoad(load, r.now)
 	}
-	r.startWaiting()
+	r.dispatchWaiting()
 }
 
 func (r *Reducer) probeFailed(ev ProbeFailed) {
-	if s := r.servers.life(ev.Server, ev.Incarnation); s != nil {
+	if s := r.servers.incarnation(ev.Server, ev.Incarnation); s != nil {
 		s.fail(r.now)
 	}
 }
 
-// probe asks servers for their own word: those that failed, and while the view
-// is stale all that could serve, so that work can go on without control.
+// sendProbes probes servers for their state: those that failed and, while the view is stale, all
+// that could serve, so that requests can be placed without control.
 //
-// Where there are more than are asked at once they take turns. Failure: the first ones by id
-// were asked again and again, and without control the others got no work.
-func (r *Reducer) probe() {
-	if r.now-r.lastProbe < probeEvery {
+// If there are more servers than may be probed at once, they take turns. Otherwise the first
+// ones by id would be probed again and again, and without control the others would get no
+// requests.
+func (r *Reducer) sendProbes() {
+	if r.now-r.lastProbe < probeInterval {
 		return
 	}
 	r.lastProbe = r.now
-	left, deal, servers := maxProbes, r.peers.group.dealer(r.now), r.servers.sorted
-	asked := make([]bool, len(servers))
+	left, partition, servers := maxProbes, r.peers.group.partition(r.now), r.servers.sorted
+	due := make([]bool, len(servers))
 	for i, s := range servers {
-		asked[i] = r.probes(s, &deal)
+		due[i] = r.shouldProbe(s, &partition)
 	}
 	first := r.nextProbe
 	for n := range servers {
 		i := (first + n) % len(servers)
-		if !asked[i] {
+		if !due[i] {
 			continue
 		}
 		if left == 0 {
--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -8,59 +8,59 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// arrived refuses at once or takes a request on. The same event twice is the
-// same request.
+// arrived either refuses a request at once or accepts it. A repeated event for the same request
+// is ignored.
 func (r *Reducer) arrived(ev RequestArrived) {
 	id := ev.Work.RequestID
 	if r.requests[id] != nil {
 		return
 	}
 	if !ev.Work.Resumed {
-		r.report.offer(&ev.Work)
+		r.report.countDemand(&ev.Work)
 	}
 	q := &request{
-		work: ev.Work, repeat: ev.Retry, caller: callerOf(&ev), fingerprint: ev.Fingerprint, retryBudget: ev.RetryBudget,
-		attempt: ev.Attempt, done: ev.Offset, waitsSince: r.now,
-		maxRuns: ev.MaxRuns, endsInTime: ev.HardDeadline, aim: ev.Work.FirstTokenBy,
+		work: ev.Work, retry: ev.Retry, caller: callerOf(&ev), fingerprint: ev.Fingerprint, retryBudget: ev.RetryBudget,
+		attempt: ev.Attempt, earlierTokens: ev.Offset, waitingSince: r.now,
+		maxRuns: ev.MaxRuns, hardDeadline: ev.HardDeadline, originalFirstTokenBy: ev.Work.FirstTokenBy,
 	}
-	q.work.Pace = r.speeds.paceOf(r.servers.sorted, &q.work)
-	r.extra.Arrived(r.now, ev.Work.Service)
-	r.miss(&q.work)
+	q.work.Pace = r.speeds.fastestPace(r.servers.sorted, &q.work)
+	r.retryLimit.Arrived(r.now, ev.Work.Service)
+	r.countBlockedArrival(&q.work)
 	if ev.Attempt > 0 {
-		q.attempt = (ev.Attempt/attemptHop + 1) * attemptHop
+		q.attempt = (ev.Attempt/attemptStride + 1) * attemptStride
 		q.engineAttempt = ev.Attempt
 		q.mayHaveRun = true
 	}
-	if refusal, figures := r.turnAway(q); refusal != nil {
-		r.report.refused(&ev.Work)
+	if refusal, figures := r.admit(q); refusal != nil {
+		r.report.countRefused(&ev.Work)
 		r.refuse(q, refusal, figures...)
 		return
 	}
 	r.requests[id] = q
-	if s := r.servers.life(ev.Server, ev.Incarnation); s != nil && s.wants.Take(r.now) {
-		r.dispatch(q, s, placement.Choice{Reason: "goes on where it runs"}, true)
+	if s := r.servers.incarnation(ev.Server, ev.Incarnation); s != nil && s.backpressure.Take(r.now) {
+		r.dispatch(q, s, placement.Choice{Reason: "resumes on the server that runs it"}, true)
 		return
 	}
-	if r.suspected(q) {
-		q.notBefore = r.now + suspectWait
-		q.waitsSince = q.notBefore
+	if r.recentlySuspected(q) {
+		q.notBefore = r.now + suspectStartDelay
+		q.waitingSince = q.notBefore
 		r.held = append(r.held, q)
 		return
 	}
 	r.decide.queue.Push(q.work)
-	r.startWaiting()
+	r.dispatchWaiting()
 	if q.server == nil && r.requests[id] == q {
-		r.log(LogWait, q, "", "no server has room", []Figure{{Name: "waiting", Value: float64(r.decide.queue.Len())}})
+		r.log(LogWait, q, "", "no server has capacity", []Figure{{Name: "waiting", Value: float64(r.decide.queue.Len())}})
 	}
 }
 
-// turnAway gives the refusal for a request that is not taken on, or nil, with the
-// figures that admission decided on.
-func (r *Reducer) turnAway(q *request) (*outcome.Refusal, []Figure) {
+// admit returns the refusal of a request that is not accepted, or nil, with the figures that
+// admission control based it on.
+func (r *Reducer) admit(q *request) (*outcome.Refusal, []Figure) {
 	switch {
 	case r.view.declaration == nil:
 		return outcome.NoConfiguration(), nil
-	case r.closed(q):
+	case r.refusesNew(q):
 		return refuseLeaving(), nil
 	}
 	if refusal := r.authorize(q); refusal != nil {
--- a/internal/entry/authorize.go
+++ b/internal/entry/authorize.go
@@ -6,14 +6,14 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// caller is who makes a request, as far as the request itself tells.
+// caller identifies who makes a request, as far as the request itself shows.
 type caller struct {
-	// credential is the hash of what was shown for a member, empty for none.
+	// credential is the hash of the credential that was presented for a member, empty for none.
 	credential  string
 	membersOnly bool
-	// member is whom the way in has bound the request to, empty for none.
+	// member is the member that the listener has bound the request to, empty for none.
 	member string
-	// routeRank counts for callers whose member has no rank of its own.
+	// routeRank applies to callers whose member has no rank of its own.
 	routeRank int
 }
 
@@ -21,20 +21,22 @@
 	return caller{credential: ev.Credential, membersOnly: ev.MembersOnly, member: ev.Work.Member, routeRank: ev.Work.Rank}
 }
 
-// CredentialLimits says how long credentials count at an entry that control does not reach.
+// CredentialLimits says how long credentials stay valid at an entry that has lost contact with
+// control.
 type CredentialLimits struct {
-	// Strict refuses callers then; else they are served as was declared last.
+	// Strict refuses callers in that case. Otherwise they are served by the last known
+	// declaration.
 	Strict bool
-	// ConfirmedWithin is how old control's last word may be for that.
+	// ConfirmedWithin is how old the last view confirmed by control may be when Strict is set.
 	ConfirmedWithin time.Duration
 }
 
-// authorize finds the member that holds the request's credential by the declaration in
-// force, and gives the refusal where there is none. It is asked for each sending anew.
+// authorize finds the member that holds the request's credential in the current declaration, and
+// returns a refusal if there is none. It is called again before each dispatch.
 //
-// Failure: a request waits, for a place, between two attempts or for its prompt to be read
-// elsewhere, while its credential is taken away or given to another member. Judged by what
-// was in force when it came, it runs for the wrong member, or for one that is shut out.
+// A request can wait for a server, between two attempts or for a separate prefill, while its
+// credential is revoked or moved to another member. Checked only on arrival, it would run for
+// the wrong member or for one that has been locked out.
 func (r *Reducer) authorize(q *request) *outcome.Refusal {
 	c := &q.caller
 	if c.credential == "" && !c.membersOnly {
@@ -64,8 +66,8 @@
 	return nil
 }
 
-// refuseCredential refuses one that no member has, for good only by a view in force: it may
-// have been declared meanwhile.
+// refuseCredential refuses a credential that no member holds. The refusal is final only if the
+// view's lease is valid: otherwise the credential may have been declared in the meantime.
 func (r *Reducer) refuseCredential() *outcome.Refusal {
 	if r.stale() {
 		return refuseOutdatedCredentials()
@@ -73,7 +75,8 @@
 	return refuseUnknownCredential()
 }
 
-// credentialsOutdated tells whether a credential may have been taken away without word of it.
+// credentialsOutdated tells whether a credential may have been revoked without this entry
+// knowing of it.
 func (r *Reducer) credentialsOutdated() bool {
 	limits := r.cfg.Credentials
 	return limits.Strict && r.now >= r.view.confirmedAt+limits.ConfirmedWithin
--- a/internal/entry/cachepoll.go
+++ b/internal/entry/cachepoll.go
@@ -8,16 +8,15 @@
 )
 
 const (
-	// cachePollEvery is how often engines are asked for cache events. They
-	// are published late anyway; a conversation's next question comes after
-	// more than that.
-	cachePollEvery = 2 * time.Second
-	// cachePollAfterUse is for how long after an engine was last used its
-	// events are worth a call: members come back to prefixes within minutes,
-	// but other entries' engines are of no use to this one's choices.
-	cachePollAfterUse = time.Minute
-	// maxCachePolls bounds the engines asked in one round; at 16 each 2 s an
-	// entry spends some 0.2% of a core on it in the largest fleet.
+	// cachePollInterval is how often engines are polled for cache events. Engines publish them
+	// with a delay anyway, and the next request of a conversation usually comes later than that.
+	cachePollInterval = 2 * time.Second
+	// cachePollIdleLimit is how long after its last use an engine is still polled. Members
+	// return to a prefix within minutes. Engines that only other entries use do not matter to
+	// this entry's placement.
+	cachePollIdleLimit = time.Minute
+	// maxCachePolls bounds the engines polled in one round. With 16 polls every 2 s an entry
+	// spends about 0.2% of a core on them in the largest fleet.
 	maxCachePolls = 16
 )
 
@@ -40,24 +39,24 @@
 
 func (CacheReported) isEvent() {}
 
-// cacheFollower keeps how far an engine's cache events are known.
-type cacheFollower struct {
-	// usedAt is when this entry last sent work there, zero if never.
+// cacheCursor records up to where an engine's cache events are known.
+type cacheCursor struct {
+	// usedAt is when this entry last dispatched to the engine, zero if never.
 	usedAt time.Duration
-	// after is the last sequence number known.
-	after uint64
-	// askedAt is when it was last asked.
-	askedAt time.Duration
+	// lastSequence is the last known sequence number.
+	lastSequence uint64
+	// polledAt is when the engine was last polled.
+	polledAt time.Duration
 }
 
-// pollCaches asks the engines that this entry uses for their cache events, the
-// longest not asked first in turn.
+// pollCaches polls the engines that this entry uses for their cache events, in round-robin
+// order.
 //
-// Without them an entry knows only the prefixes that it sent itself: a caller
-// that comes to another entry would have its dossier prefilled again at another
-// engine, and prefixes that an engine has dropped would be believed for minutes.
+// Without the events an entry knows only of the prefixes that it sent itself. A caller that
+// moves to another entry would have its dossier prefilled again on another engine, and prefixes
+// that an engine has evicted would be counted on for minutes.
 func (r *Reducer) pollCaches() {
-	if r.now-r.lastCachePoll < cachePollEvery {
+	if r.now-r.lastCachePoll < cachePollInterval {
 		return
 	}
 	r.lastCachePoll = r.now
@@ -73,23 +72,23 @@
 			return
 		}
 		left--
-		s.cache.askedAt = r.now
-		r.emit(PollCache{Server: s.pb.Id, Incarnation: s.pb.Incarnation, Address: s.pb.Address, After: s.cache.after})
+		s.cache.polledAt = r.now
+		r.emit(PollCache{Server: s.pb.Id, Incarnation: s.pb.Incarnation, Address: s.pb.Address, After: s.cache.lastSequence})
 	}
 }
 
 func (s *server) cachePollDue(now time.Duration) bool {
-	used := s.cache.usedAt > 0 && now-s.cache.usedAt < cachePollAfterUse
-	return used && s.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL && now-s.cache.askedAt >= cachePollEvery
+	used := s.cache.usedAt > 0 && now-s.cache.usedAt < cachePollIdleLimit
+	return used && s.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL && now-s.cache.polledAt >= cachePollInterval
 }
 
-// cacheReported takes events over. An answer of another life, or one that was
-// overtaken by a later one, is dropped.
+// cacheReported applies cache events. It drops an answer that belongs to another incarnation or
+// that was overtaken by a later one.
 func (r *Reducer) cacheReported(ev CacheReported) {
-	s := r.servers.life(ev.Server, ev.Incarnation)
-	if s == nil || ev.Events.Next <= s.cache.after {
+	s := r.servers.incarnation(ev.Server, ev.Incarnation)
+	if s == nil || ev.Events.Next <= s.cache.lastSequence {
 		return
 	}
 	r.decide.picker.CacheChanged(r.now, ev.Server, ev.Events.Events)
-	s.cache.after = ev.Events.Next - 1
+	s.cache.lastSequence = ev.Events.Next - 1
 }
--- a/internal/entry/cachepoll_test.go
+++ b/internal/entry/cachepoll_test.go
@@ -16,7 +16,7 @@
 		w := newWorld(t)
 		w.view(serving(2)...)
 		w.warm()
-		polls := pick[PollCache](w.later(cachePollEvery))
+		polls := pick[PollCache](w.later(cachePollInterval))
 		if len(polls) != 2 {
 			t.Fatalf("%d engines asked, want both that were used", len(polls))
 		}
@@ -39,17 +39,17 @@
 	w := newWorld(t)
 	w.view(serving(1)...)
 	w.warm()
-	poll := pick[PollCache](w.later(cachePollEvery))[0]
+	poll := pick[PollCache](w.later(cachePollInterval))[0]
 	answer := func(next uint64, incarnation string) {
 		w.step(CacheReported{Server: poll.Server, Incarnation: incarnation, Events: engineapi.CacheEvents{Next: next}})
 	}
 	answer(8, poll.Incarnation)
 	answer(3, poll.Incarnation)
 	answer(90, "another life")
-	if got := pick[PollCache](w.later(cachePollEvery)); len(got) != 1 || got[0].After != 7 {
+	if got := pick[PollCache](w.later(cachePollInterval)); len(got) != 1 || got[0].After != 7 {
 		t.Fatalf("asks %v, want once, after 7", got)
 	}
-	if got := pick[PollCache](w.later(cachePollAfterUse)); len(got) != 0 {
+	if got := pick[PollCache](w.later(cachePollIdleLimit)); len(got) != 0 {
 		t.Fatalf("asks an engine that is not used any more: %v", got)
 	}
 }
--- a/internal/entry/decide.go
+++ b/internal/entry/decide.go
@@ -11,7 +11,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// decider holds the decisions under load that the reducer asks.
+// decider holds the load-dependent decision components: admission control, the queue and
+// placement.
 type decider struct {
 	admission *admission.Controller
 	queue     *queue.Queue
@@ -22,8 +23,8 @@
 	return decider{admission: admission.New(), queue: queue.New(), picker: placement.New()}
 }
 
-// admit gives the refusal of work that can't be served in time, or nil, with the
-// figures that it was decided on.
+// admit returns the refusal of work that can't be served in time, or nil, with the figures that
+// the decision was based on.
 func (d *decider) admit(now time.Duration, w *decision.Work, fleet *decision.Fleet) (*outcome.Refusal, []Figure) {
 	v := d.admission.Admit(now, w, fleet, d.queue.Summary())
 	if v.Admit {
@@ -41,7 +42,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// observe lets placement learn from how an attempt went.
+// observe feeds the result of an attempt to placement.
 func (d *decider) observe(now time.Duration, s *server, ev AttemptEnded) {
 	if ev.Outcome == outcome.NotRun && !ev.ServerDied {
 		return
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -8,9 +8,9 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// startWaiting dispatches what waits and finds a place.
-func (r *Reducer) startWaiting() {
-	r.startHeld()
+// dispatchWaiting dispatches the waiting requests for which placement finds a server.
+func (r *Reducer) dispatchWaiting() {
+	r.dispatchHeld()
 	for {
 		var choice placement.Choice
 		w, ok := r.decide.queue.Pop(r.now, func(w *decision.Work) bool {
@@ -22,7 +22,7 @@
 			return
 		}
 		q := r.requests[w.RequestID]
-		if refusal := r.turnLateAway(q, choice); refusal != nil {
+		if refusal := r.refuseIfLate(q, choice); refusal != nil {
 			r.refuse(q, refusal, append(choice.Figures, Figure{Name: "first_seconds", Value: choice.First})...)
 			continue
 		}
@@ -30,20 +30,21 @@
 	}
 }
 
-// start carries a choice out, if the request's caller may still make it. Where the decoding
-// engine is not chosen anew after the prefill, it is the one of the choice.
+// start carries out a placement choice, provided the request's caller is still authorized. If
+// the decoding engine is not chosen again after a separate prefill, the engine of this choice
+// decodes.
 func (r *Reducer) start(q *request, choice placement.Choice) {
 	if refusal := r.authorize(q); refusal != nil {
 		r.refuse(q, refusal)
 		return
 	}
-	if !r.payRepeats(q, &choice) {
-		r.refuse(q, refuseRepeats())
+	if !r.payRetries(q, &choice) {
+		r.refuse(q, refuseRetryLimit())
 		return
 	}
-	if !r.pass(q, &choice) {
-		r.log(LogWait, q, choice.Server.ID, "the server takes no more now", nil)
-		r.waitAgain(q)
+	if !r.takePermits(q, &choice) {
+		r.log(LogWait, q, choice.Server.ID, "the server has no permit left or asked for a pause", nil)
+		r.requeue(q)
 		return
 	}
 	r.decide.picker.Sent(r.now, &q.work, choice)
@@ -56,43 +57,44 @@
 func (r *Reducer) place(w *decision.Work) (placement.Choice, bool) {
 	q := r.requests[w.RequestID]
 	fleet := r.fleet(q)
-	r.seek(w)
+	r.countBlocked(w)
 	return r.decide.picker.Pick(r.now, w, &fleet)
 }
 
 // dispatch sends an attempt to a server.
 //
-// Where another engine reads the prompt it takes no place at the one that is to decode it,
-// which is chosen anew once it is read. Counted at both, requests that were still being read
-// filled engines of few places by the count, and all others waited for a place that was free.
+// With a separate prefill the attempt takes no slot at the decoding engine, which is chosen
+// again once the prompt is prefilled. If it were counted at both engines, requests that are
+// still being prefilled would fill engines with few slots on paper, and other requests would
+// wait although a slot is free.
 func (r *Reducer) dispatch(q *request, s *server, choice placement.Choice, reconnect bool) {
 	r.sharedFleet = nil
 	q.attempt++
 	q.attempts++
-	q.got = 0
-	q.arrivals.apart = choice.Prefill != nil
+	q.attemptTokens = 0
+	q.deliveries.separatePrefill = choice.Prefill != nil
 	if !reconnect {
 		q.engineAttempt = q.attempt
-		q.here = 0
-		q.reached, q.sentAt = false, r.now
+		q.serverTokens = 0
+		q.acknowledged, q.sentAt = false, r.now
 	}
 	q.server = s
 	if choice.Prefill == nil {
 		s.running = append(s.running, q.work.RequestID)
 	}
 	s.cache.usedAt = r.now
-	context := q.work.PromptTokens + q.done
-	q.unread = context
-	q.reading = choice.Server != nil
+	context := q.work.PromptTokens + q.earlierTokens
+	q.prefillTokens = context
+	q.prefilling = choice.Server != nil
 	if choice.Server != nil {
-		q.unread, q.before = choice.Unread+q.done, choice.Before
+		q.prefillTokens, q.tokensAhead = choice.Unread+q.earlierTokens, choice.Before
 	}
-	tokens := decision.Tokens{Prefill: q.unread, Decode: q.decodeLeft(), KV: context + q.decodeLeft()}
+	tokens := decision.Tokens{Prefill: q.prefillTokens, Decode: q.decodeLeft(), KV: context + q.decodeLeft()}
 	if choice.Prefill != nil {
 		tokens.Prefill = 0
 	}
-	s.since = append(s.since, sentWork{r.now, tokens})
-	s.usual.add(tokens)
+	s.sentSinceReport = append(s.sentSinceReport, sentWork{r.now, tokens})
+	s.averageWork.add(tokens)
 	if choice.Prefill == nil {
 		s.sends.add(r.now)
 	}
@@ -108,48 +110,48 @@
 		p := r.sendPrefill(q, choice)
 		d.PrefillServer, d.PrefillIncarnation, d.PrefillAddress = p.pb.Id, p.pb.Incarnation, p.pb.Address
 	}
-	r.noteSent(s)
-	if q.reading {
-		r.noteReading(q)
+	r.markSent(s)
+	if q.prefilling {
+		r.countPrefillChange(q)
 	}
 	r.emit(d)
 	r.logDispatch(q, s, &choice)
 }
 
-// sendPrefill notes the prefill at the engine that does it for another one.
+// sendPrefill records the prefill at the engine that does it for another engine.
 func (r *Reducer) sendPrefill(q *request, choice placement.Choice) *server {
 	p := r.servers.byID[choice.Prefill.ID]
 	q.prefill = p
 	p.running = append(p.running, q.work.RequestID)
 	p.cache.usedAt = r.now
-	reading := decision.Tokens{Prefill: q.unread, KV: q.work.PromptTokens + q.done}
-	p.since = append(p.since, sentWork{r.now, reading})
-	p.usual.add(reading)
+	reading := decision.Tokens{Prefill: q.prefillTokens, KV: q.work.PromptTokens + q.earlierTokens}
+	p.sentSinceReport = append(p.sentSinceReport, sentWork{r.now, reading})
+	p.averageWork.add(reading)
 	p.sends.add(r.now)
 	return p
 }
 
-// logDispatch writes the line of a dispatch with the figures that it was decided on.
+// logDispatch logs a dispatch with the figures that the decision was based on.
 func (r *Reducer) logDispatch(q *request, s *server, choice *placement.Choice) {
 	source, ages := r.loadSource(s)
 	figures := append(append(choice.Figures, ages...), r.limitFigures(s)...)
-	r.logFrom(source, LogRoute, q, s.pb.Id, choice.Reason, append(figures,
+	r.logWithSource(source, LogRoute, q, s.pb.Id, choice.Reason, append(figures,
 		Figure{Name: "attempt", Value: float64(q.attempt)},
 		Figure{Name: "prompt_tokens", Value: float64(q.work.PromptTokens)},
-		Figure{Name: "unread_tokens", Value: float64(q.unread)},
-		Figure{Name: "fetches", Value: yesNo(choice.Fetch != nil)},
+		Figure{Name: "unread_tokens", Value: float64(q.prefillTokens)},
+		Figure{Name: "fetches", Value: boolFigure(choice.Fetch != nil)},
 		Figure{Name: "tokens_before", Value: choice.Before},
 		Figure{Name: "first_seconds", Value: choice.First},
-		Figure{Name: "peers_known", Value: r.peers.known(r)},
+		Figure{Name: "peers_known", Value: r.peers.knownFraction(r)},
 		Figure{Name: "output_tokens", Value: float64(q.work.OutputTokens)},
 		Figure{Name: "reported_running", Value: float64(s.load.Running)},
 		Figure{Name: "reported_waiting", Value: float64(s.load.Queued)},
-		Figure{Name: "done_tokens", Value: float64(q.done)},
-		Figure{Name: "waited_ms", Value: float64((r.now - q.waitsSince).Milliseconds())}))
+		Figure{Name: "done_tokens", Value: float64(q.earlierTokens)},
+		Figure{Name: "waited_ms", Value: float64((r.now - q.waitingSince).Milliseconds())}))
 }
 
-// loadSource tells from where the load of a server is known, with the ages of what was heard;
-// what never was has none.
+// loadSource tells where the knowledge of a server's load comes from, with the age of each
+// report. A report that never came has no age.
 func (r *Reducer) loadSource(s *server) (string, []Figure) {
 	var ages []Figure
 	source := SourceNone
@@ -157,35 +159,35 @@
 		source = SourceAnswers
 		ages = append(ages, Figure{Name: "report_age_ms", Value: float64((r.now - s.reportedAt).Milliseconds())})
 	}
-	age, known := r.peers.heard.Age(r.now)
+	age, known := r.peers.reports.Age(r.now)
 	if !known || s.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL {
 		return source, ages
 	}
 	source = SourcePeers
-	if r.peers.group.isMember() {
+	if r.peers.group.isGroupMember() {
 		source = SourceAggregator
 	}
 	return source, append(ages, Figure{Name: "peers_age_ms", Value: float64(age.Milliseconds())})
 }
 
-// yesNo is a figure for a truth value.
-func yesNo(yes bool) float64 {
+// boolFigure returns 1 for true and 0 for false.
+func boolFigure(yes bool) float64 {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// detach takes the request off its server.
+// detach removes the request from its servers.
 func (r *Reducer) detach(q *request) {
 	r.sharedFleet = nil
-	if q.reading {
-		r.noteReading(q)
+	if q.prefilling {
+		r.countPrefillChange(q)
 	}
 	for _, s := range []*server{q.server, q.prefill} {
 		if s != nil {
 			s.running = slices.DeleteFunc(s.running, func(id string) bool { return id == q.work.RequestID })
-			r.peers.changed = r.peers.changed || s.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL
+			r.peers.changePending = r.peers.changePending || s.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL
 		}
 	}
 	q.server, q.prefill = nil, nil
@@ -196,14 +198,14 @@
 	if q == nil || q.attempt != ev.Attempt || q.server == nil {
 		return
 	}
-	q.mayHaveRun, q.reached = true, true
+	q.mayHaveRun, q.acknowledged = true, true
 	q.server.aliveAt = r.now
-	if ev.Tokens > q.got {
-		r.noteBegun(q)
-		r.hasRead(q)
-		q.got, q.reconnects = ev.Tokens, 0
+	if ev.Tokens > q.attemptTokens {
+		r.countUsage(q)
+		r.prefillFinished(q)
+		q.attemptTokens, q.reconnects = ev.Tokens, 0
 		if r.suspects.progressed(q) {
-			r.startWaiting()
+			r.dispatchWaiting()
 		}
 	}
 }
--- a/internal/entry/effect.go
+++ b/internal/entry/effect.go
@@ -8,68 +8,70 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Effect is what the runner must do after a step, in the order given.
+// Effect is what the caller of Step must carry out afterwards, in the order given.
 //
-// Each RequestArrived is followed by any number of Dispatch and then by exactly one
+// Each RequestArrived is followed by any number of Dispatch effects and then by exactly one
 // Refuse or Finish.
 type Effect interface{ isEffect() }
 
-// LeaseRenewed tells until when the view that was published last counts, in time since boot.
+// LeaseRenewed tells until when the lease on the last published view is valid, in time since
+// boot.
 type LeaseRenewed struct{ Until time.Duration }
 
 // Dispatch sends an attempt of a request to a backend server.
 type Dispatch struct {
 	RequestID string
-	// Attempt names this try towards the reducer, EngineAttempt towards the
-	// server: a reconnect goes on with the attempt that runs there.
+	// Attempt identifies this attempt to the reducer, EngineAttempt identifies it to the server:
+	// a reconnect continues the attempt that runs there.
 	Attempt       uint32
 	EngineAttempt uint32
 	Server        string
-	// Incarnation and Address name the life of the server that is meant.
+	// Incarnation and Address identify the server incarnation that the attempt goes to.
 	Incarnation string
 	Address     string
-	// Member is for whom it runs, empty for none; Rank orders it at an engine.
+	// Member is whom the request runs for, empty for none. Rank is its priority rank at an
+	// engine.
 	Member string
 	Rank   int
-	// Reconnect is set when the server already runs the request: the attempt
-	// goes on with it there and does not start it anew.
+	// Reconnect is set when the server already runs the request: the new connection continues
+	// that attempt instead of starting another one.
 	Reconnect bool
-	// PrefillServer is set when another engine is to prefill first.
+	// PrefillServer is set when another engine does the prefill first.
 	PrefillServer      string
 	PrefillIncarnation string
 	PrefillAddress     string
-	// FetchAddress is the engine from which the one that reads the prompt fetches parts
-	// of it, empty for none.
+	// FetchAddress is the engine from which the prefilling engine fetches parts of the KV cache,
+	// empty for none.
 	FetchAddress string
 }
 
-// DecodeAt says where an attempt goes on that was prefilled elsewhere.
+// DecodeAt tells where an attempt is decoded after a separate prefill.
 type DecodeAt struct {
 	RequestID   string
 	Attempt     uint32
 	Server      string
 	Incarnation string
 	Address     string
-	// Member and Rank are as in Dispatch, by what is declared now.
+	// Member and Rank are as in Dispatch, according to the current declaration.
 	Member string
 	Rank   int
 }
 
-// Refuse gives a request its final answer, at once.
+// Refuse gives a request its final answer at once.
 type Refuse struct {
 	RequestID string
 	Refusal   *outcome.Refusal
 }
 
-// Finish ends a request whose answer is whole or whose caller is gone.
+// Finish ends a request whose answer is complete or whose caller has disconnected.
 type Finish struct{ RequestID string }
 
-// Cancel stops an attempt, and all before it, at its server.
+// Cancel stops an attempt and all earlier ones at their server.
 type Cancel struct {
 	RequestID string
 	Attempt   uint32
 	Address   string
-	// Delay is how long to wait before it is sent.
+	// Delay is how long to wait before sending the cancel.
 	Delay time.Duration
 }
 
@@ -78,22 +80,22 @@
 	Server      string
 	Incarnation string
 	Address     string
-	// Services are those of a plain server, Model the one of an engine.
+	// Services are those of a plain service's server, Model is the one of an engine.
 	Services []string
 	Model    string
 }
 
-// Report hands over to control what this entry has learned.
+// Report sends control what this entry has observed.
 type Report struct{ Request *pb.ReportRequest }
 
-// ReportToPeers tells other entries what this one has at backend servers.
+// ReportToPeers sends other entries this entry's backlogs at backend servers.
 type ReportToPeers struct {
 	// Addresses are those of the other entries.
 	Addresses []string
 	Request   *pb.PeerReport
 }
 
-// AnswerSum answers a SumRequested; without a sum this entry is no aggregator.
+// AnswerSum answers a SumRequested. A nil sum says that this entry is no aggregator.
 type AnswerSum struct {
 	Key string
 	Sum *pb.PeerSum
@@ -102,14 +104,14 @@
 // RequestSum asks the aggregator for the sum of backlogs.
 type RequestSum struct{}
 
-// RequestPermit asks the entry at an address for permits; it is answered by a PermitAnswered or a
+// RequestPermit asks the entry at an address for permits. The answer is a PermitAnswered or a
 // PermitTimedOut.
 type RequestPermit struct {
 	Address, Server, Incarnation string
 	Request                      *pb.PermitRequest
 }
 
-// AnswerPermit answers a PermitRequested; without an answer the question can't be understood.
+// AnswerPermit answers a PermitRequested. A nil answer says that the request is invalid.
 type AnswerPermit struct {
 	Key    string
 	Answer *pb.PermitAnswer
@@ -120,7 +122,7 @@
 
 // LogDecision writes one log line.
 type LogDecision struct {
-	// Kind is route, refuse, wait, view, server or peers.
+	// Kind is one of the constants below.
 	Kind      string
 	RequestID string
 	Member    string
@@ -128,7 +130,7 @@
 	Class     string
 	Server    string
 	Reason    string
-	// Source is from where the server's load was known, for LogRoute.
+	// Source tells where the server's load is known from, for LogRoute.
 	Source  string
 	Figures []Figure
 }
@@ -143,15 +145,15 @@
 	LogPeers  = "peers"
 )
 
-// Sources of what an entry knows of a server's load.
+// Sources of an entry's knowledge of a server's load.
 const (
 	SourceAggregator = "aggregator"
 	SourcePeers      = "peers"
-	SourceAnswers    = "server's answers"
-	SourceNone       = "never heard"
+	SourceAnswers    = "server responses"
+	SourceNone       = "none"
 )
 
-// Figure is one number that a decision was taken on.
+// Figure is one number that a decision was based on.
 type Figure = decision.Figure
 
 func (LeaseRenewed) isEffect()  {}
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// maxReconnects bounds fresh connections to a server that gives no token: a
-	// frozen process still lets its kernel accept connections.
+	// maxReconnects bounds reconnects to a server that delivers no token. The kernel of a frozen
+	// process still accepts connections.
 	maxReconnects = 1
-	// maxCallAttempts bounds the sends of one idempotent call, so that one call
-	// does not use up its profile's budget.
+	// maxCallAttempts bounds the attempts of one idempotent call, so that one call does not use
+	// up its profile's retry budget.
 	maxCallAttempts = 3
-	// retryPause holds a retry back when the profile's budget is used up.
-	// Accepted model work is never cut off for the budget: it waits.
-	retryPause = time.Second
-	// maxUnrun bounds the sends of a request with HardDeadline that servers don't run:
-	// after so many full servers its caller does better to come back than to wait
-	// on here, unheard.
-	maxUnrun = 3
-	// refusedPause keeps work off a server that has just said "not started".
-	refusedPause = 100 * time.Millisecond
+	// retryBackOff delays a retry when the profile's budget is used up. Accepted model work is
+	// never failed for the budget: it waits.
+	retryBackOff = time.Second
+	// maxNotRun bounds the attempts of a request with HardDeadline that servers do not run.
+	// After so many full servers its caller does better to retry later than to wait here without
+	// an answer.
+	maxNotRun = 3
+	// notStartedBackOff keeps requests off a server that has just answered that it did not start
+	// one.
+	notStartedBackOff = 100 * time.Millisecond
 )
 
-// attemptEnded finishes a request, sends it on or ends it truthfully. Word of
-// an older attempt is dropped.
+// attemptEnded finishes a request, sends another attempt or refuses the request. Events of an
+// older attempt are dropped.
 func (r *Reducer) attemptEnded(ev AttemptEnded) {
 	q := r.requests[ev.RequestID]
 	if q == nil || q.attempt != ev.Attempt || q.server == nil {
@@ -37,43 +38,43 @@
 	if ev.AtPrefillServer && q.prefill != nil {
 		s = q.prefill
 	}
-	q.count(ev, s)
-	q.arrivals.ended(&ev)
-	r.noteEnded(q, ev)
+	q.countOutcome(ev, s)
+	q.deliveries.ended(&ev)
+	r.countUsageAtEnd(q, ev)
 	if ev.Outcome != outcome.NotRun && q.reconnects == 0 {
-		q.reached = q.reached || ev.Elapsed >= longAnswerless || s.aliveAt > q.sentAt
+		q.acknowledged = q.acknowledged || ev.Elapsed >= assumedStartedAfter || s.aliveAt > q.sentAt
 	}
 	if ev.ServerDied {
 		r.serverDied(s, q, ev)
 	}
-	r.learnEnded(q, ev)
-	q.done += ev.Tokens
-	q.here += ev.Tokens
-	q.got = 0
+	r.learnFromAttempt(q, ev)
+	q.earlierTokens += ev.Tokens
+	q.serverTokens += ev.Tokens
+	q.attemptTokens = 0
 	r.detach(q)
 	q.reserved = nil
 	r.decide.observe(r.now, s, ev)
-	r.settle(q, s, ev)
+	r.resolveAttempt(q, s, ev)
 	if r.report.urgent {
 		r.sendReport()
 	}
-	r.startWaiting()
+	r.dispatchWaiting()
 }
 
-// count notes whether an attempt may have run, and which server failed it.
-func (q *request) count(ev AttemptEnded, s *server) {
+// countOutcome records whether the attempt may have run, and which server failed it.
+func (q *request) countOutcome(ev AttemptEnded, s *server) {
 	if ev.Outcome == outcome.NotRun {
-		q.unrun++
+		q.notRunCount++
 		return
 	}
 	q.mayHaveRun = true
 	q.runs++
 	if !ev.Complete {
-		q.tried = append(q.tried, s)
+		q.failedServers = append(q.failedServers, s)
 	}
 }
 
-func (r *Reducer) settle(q *request, s *server, ev AttemptEnded) {
+func (r *Reducer) resolveAttempt(q *request, s *server, ev AttemptEnded) {
 	switch {
 	case ev.Complete:
 		r.decide.admission.Served(q.work.Profile, q.retryBudget)
@@ -81,46 +82,44 @@
 		r.finish(q)
 	case ev.Invalid:
 		r.refuse(q, refuseInvalid())
-	case q.endsInTime && r.now >= q.work.FinishBy:
+	case q.hardDeadline && r.now >= q.work.FinishBy:
 		r.refuse(q, refuseTimeout(q))
-	case q.endsInTime && !r.anyLeft(q):
+	case q.hardDeadline && !r.anyCandidate(q):
 		r.refuse(q, refuseNoServer())
-	case q.endsInTime && ev.Outcome == outcome.NotRun && r.refuseIfClosed(q):
-	case q.endsInTime && q.unrun >= maxUnrun:
+	case q.hardDeadline && ev.Outcome == outcome.NotRun && r.refuseIfBlocked(q):
+	case q.hardDeadline && q.notRunCount >= maxNotRun:
 		r.refuse(q, refuseNotTaken())
 	case r.quarantined(q):
 		r.refuse(q, refuseQuarantined())
 	case q.attempts >= maxAttempts:
 		r.refuse(q, refuseFailed())
-	case ev.Outcome != outcome.NotRun && q.repeat == RetryNever:
+	case ev.Outcome != outcome.NotRun && q.retry == RetryNever:
 		r.refuse(q, refuseUnknown())
 	case q.maxRuns > 0 && q.runs >= q.maxRuns:
 		r.refuse(q, refuseFailed())
-	case !ev.Unsent && !r.takeRepeat(q):
-		r.refuse(q, refuseRepeats())
+	case !ev.Unsent && !r.takeRetry(q):
+		r.refuse(q, refuseRetryLimit())
 	case ev.Outcome == outcome.NotRun:
-		r.elsewhere(q, s, ev)
-	case q.repeat == RetryAllowed:
+		r.retryNotRun(q, s, ev)
+	case q.retry == RetryAllowed:
 		r.retryCall(q, s, ev)
 	default:
-		r.goOn(q, s, ev)
+		r.resume(q, s, ev)
 	}
 }
 
-// elsewhere waits for another place after a server did not start the request.
-func (r *Reducer) elsewhere(q *request, s *server, ev AttemptEnded) {
+// retryNotRun requeues a request that a server did not start.
+func (r *Reducer) retryNotRun(q *request, s *server, ev AttemptEnded) {
 	if !ev.ServerDied {
-		s.coolUntil = max(s.coolUntil, r.now+refusedPause)
+		s.coolUntil = max(s.coolUntil, r.now+notStartedBackOff)
 	}
-	r.waitAgain(q)
+	r.requeue(q)
 }
 
-// retryCall sends an idempotent call again while the profile's budget lasts.
-// Without the budget a slow service would get its load doubled by retries just
-// when it is slow.
+// retryCall sends an idempotent call again while the profile's retry budget lasts. Without the
+// budget, retries would double the load of a slow service just when it is slow.
 //
-// A server that answered, if only with a failure of its own, is alive and takes
-// other requests.
+// A server that answered, even with its own failure, is alive and takes other requests.
 func (r *Reducer) retryCall(q *request, s *server, ev AttemptEnded) {
 	if ev.Outcome != outcome.Ran {
 		s.fail(r.now)
@@ -129,41 +128,41 @@
 		r.refuse(q, refuseFailed())
 		return
 	}
-	r.waitAgain(q)
+	r.requeue(q)
 }
 
-// goOn resumes model work. A connection can go silent or break while the
-// engine goes on: first a fresh connection to it. When that gives no token
-// either, or the engine is gone, another engine goes on from the tokens so far.
-func (r *Reducer) goOn(q *request, s *server, ev AttemptEnded) {
-	gone := ev.ServerDied || ev.StreamUnknown || ev.AtPrefillServer || r.cfg.AbortOnDisconnect
-	if !gone && q.reconnects < maxReconnects && s.wants.Take(r.now) {
+// resume continues model work. A connection can go silent or break while the engine keeps
+// working, so the first step is a new connection to the same engine. If that delivers no token
+// either, or the engine has died, another engine continues from the tokens received so far.
+func (r *Reducer) resume(q *request, s *server, ev AttemptEnded) {
+	unreachable := ev.ServerDied || ev.StreamUnknown || ev.AtPrefillServer || r.cfg.AbortOnDisconnect
+	if !unreachable && q.reconnects < maxReconnects && s.backpressure.Take(r.now) {
 		q.reconnects++
-		r.dispatch(q, s, placement.Choice{Reason: "fresh connection"}, true)
+		r.dispatch(q, s, placement.Choice{Reason: "reconnect to the same server"}, true)
 		return
 	}
 	if r.cfg.AbortOnDisconnect && !ev.ServerDied {
 		s.fail(r.now)
 	}
-	if !gone {
+	if !unreachable {
 		s.fail(r.now)
 		r.emit(Cancel{RequestID: q.work.RequestID, Attempt: q.engineAttempt, Address: s.pb.Address})
 	}
 	q.reconnects = 0
 	if !r.decide.admission.Retry(q.work.Profile) {
-		q.notBefore = r.now + retryPause
+		q.notBefore = r.now + retryBackOff
 	}
-	r.waitAgain(q)
+	r.requeue(q)
 }
 
-// waitAgain lets accepted work wait for another place. Work that has begun is
-// held until a server takes it, since its caller holds a part of the answer;
-// other work until it can't be finished in time any more.
-func (r *Reducer) waitAgain(q *request) {
-	q.work.Resumed = q.mayHaveRun && q.repeat == RetryResuming
+// requeue lets accepted work wait for another server. Work that has begun is held until a server
+// takes it, since its caller already has a part of the answer. Other work waits until it can't
+// be finished in time any more.
+func (r *Reducer) requeue(q *request) {
+	q.work.Resumed = q.mayHaveRun && q.retry == RetryResuming
 	q.work.FirstTokenBy = q.work.FinishBy
 	q.notBefore = max(q.notBefore, r.now+r.suspects.stagger(q))
-	q.waitsSince = max(r.now, q.notBefore)
+	q.waitingSince = max(r.now, q.notBefore)
 	if q.notBefore > r.now || r.suspects.onProbation(q) {
 		r.held = append(r.held, q)
 		return
@@ -171,9 +170,9 @@
 	r.decide.queue.Push(q.work)
 }
 
-// startHeld dispatches held work whose time has come. It stays out of the
-// queue, where it would stand in the way of its member's other work.
-func (r *Reducer) startHeld() {
+// dispatchHeld dispatches held work that is due. Held work stays out of the queue, where it
+// would block other work of its member.
+func (r *Reducer) dispatchHeld() {
 	r.held = slices.DeleteFunc(r.held, func(q *request) bool {
 		if r.requests[q.work.RequestID] != q {
 			return true
--- /dev/null
+++ b/internal/entry/ended_incarnations.go
@@ -0,0 +1,52 @@
+package entry
+
+import "goldcrestseam.dev/goldcrestseam/internal/decision/backpressure"
+
+// maxEndedIncarnations bounds the incarnations whose backpressure state is kept after the view
+// has dropped them.
+const maxEndedIncarnations = 4096
+
+// endedIncarnations keeps the backpressure state of servers that the view no longer contains,
+// oldest first.
+//
+// A late heartbeat, or a control replica that lags behind, can bring back a server that the view
+// had dropped. It is the same incarnation, and what it asked for still applies.
+type endedIncarnations struct {
+	states map[string]*backpressure.State
+	order  []string
+}
+
+// keep stores the state of a server that is dropped. It ignores nil and servers without such
+// state.
+func (l *endedIncarnations) keep(s *server) {
+	if s == nil || !s.backpressure.Known() {
+		return
+	}
+	if l.states == nil {
+		l.states = make(map[string]*backpressure.State)
+	}
+	incarnation := s.pb.Incarnation
+	if l.states[incarnation] == nil {
+		l.order = append(l.order, incarnation)
+	}
+	l.states[incarnation] = s.backpressure
+	if len(l.order) > maxEndedIncarnations {
+		delete(l.states, l.order[0])
+		l.order = l.order[1:]
+	}
+}
+
+// take returns the known backpressure state of an incarnation, or an empty one.
+func (l *endedIncarnations) take(incarnation string) *backpressure.State {
+	if known := l.states[incarnation]; known != nil {
+		return known
+	}
+	return &backpressure.State{}
+}
+
+// keepEnded stores the states of all servers that a full view may leave out.
+func (t *serverTable) keepEnded(old map[string]*server) {
+	for _, id := range sortedKeys(old) {
+		t.ended.keep(old[id])
+	}
+}
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -10,44 +10,45 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Event is what the Reducer steps on.
+// Event is an input of Reducer.Step.
 type Event interface{ isEvent() }
 
 // Tick lets time pass.
 type Tick struct{}
 
-// ViewReceived is an answer of control. The lease counts from SentAt.
+// ViewReceived is a response of control. The lease counts from SentAt, when the request was
+// sent.
 type ViewReceived struct {
 	SentAt   time.Duration
 	Response *pb.WatchResponse
 }
 
-// Announced is a backend server's own word, checked for form already.
+// Announced is an announcement by a backend server, already validated.
 type Announced struct{ Announcement engineapi.Announcement }
 
-// ServerReported is what a server said of itself on an answer or a probe.
+// ServerReported is the state that a server reported with a response or a probe.
 type ServerReported struct {
 	Server      string
 	Incarnation string
-	// State is empty where it told none.
+	// State is empty if the server reported none.
 	State   engineapi.State
 	Load    engineapi.Load
 	HasLoad bool
-	// FromResponse tells that this came with an answer to a request that was sent at SentAt, and
-	// that Word is what the server said with it of the work that it wants.
+	// FromResponse tells that the report came with the response to a request that was sent at
+	// SentAt. Backpressure is what the server said with it about the load that it accepts.
 	FromResponse bool
 	SentAt       time.Duration
 	Backpressure backpressure.Word
 }
 
-// PermitRequested is another entry's question for permits; it is answered with an AnswerPermit of
+// PermitRequested is another entry's request for permits. It is answered by an AnswerPermit with
 // the same key.
 type PermitRequested struct {
 	Key     string
 	Request *pb.PermitRequest
 }
 
-// PermitAnswered is the answer to an RequestPermit, PermitTimedOut tells that there was none.
+// PermitAnswered is the answer to a RequestPermit.
 type PermitAnswered struct {
 	Server, Incarnation string
 	Answer              *pb.PermitAnswer
@@ -62,70 +63,71 @@
 	Incarnation string
 }
 
-// ReportFailed tells that control may not have got a report.
+// ReportFailed tells that control may not have received a report.
 type ReportFailed struct{ Request *pb.ReportRequest }
 
 // ReportAnswered tells that control has answered a report.
 type ReportAnswered struct {
 	Request *pb.ReportRequest
-	// ResendInFull are servers that control must be told of in full again.
+	// ResendInFull are the servers of which control needs a full announcement again.
 	ResendInFull []string
-	// Term is that of the leader that has answered.
+	// Term is the term of the leader that answered.
 	Term uint64
 }
 
-// RetryRule says how often a request may be sent.
+// RetryRule says whether and how a request may be sent again.
 type RetryRule int
 
-// Rules of repeating.
+// Retry rules.
 const (
-	// RetryResuming: model work; it goes on from the tokens it has.
+	// RetryResuming applies to model work: a retry continues from the tokens received so far.
 	RetryResuming RetryRule = iota
-	// RetryAllowed: an idempotent call of a plain service.
+	// RetryAllowed applies to an idempotent call of a plain service.
 	RetryAllowed
-	// RetryNever: at most one send.
+	// RetryNever allows at most one execution.
 	RetryNever
 )
 
-// RequestArrived is a new request that a member may make. Work.RequestID is its wire
-// id (engineapi.WireID).
+// RequestArrived is a new request that the declaration allows a member to make. Work.RequestID
+// is its wire id (engineapi.WireID).
 type RequestArrived struct {
 	Work  decision.Work
 	Retry RetryRule
-	// Credential is the hash of what the caller showed for a member, empty for none.
+	// Credential is the hash of the credential that the caller presented for a member, empty for
+	// none.
 	Credential string
-	// MembersOnly tells that the request runs only for the member that holds Credential
-	// when it is sent on.
+	// MembersOnly tells that the request runs only for the member that holds Credential at the
+	// time of dispatch.
 	MembersOnly bool
-	// Fingerprint names the request's content under its member, for quarantine.
+	// Fingerprint identifies the request's content within its member, for quarantine.
 	Fingerprint uint64
-	// RetryBudget is the profile's.
+	// RetryBudget is that of the profile.
 	RetryBudget float64
-	// MaxRuns is on how many servers the request may run; 0: no bound of its own.
+	// MaxRuns bounds the servers on which the request may run. 0 means no separate bound.
 	MaxRuns int
-	// HardDeadline tells that the final answer is due at Work.FinishBy, also when
-	// the caller holds a part of the answer.
+	// HardDeadline tells that the final answer is due at Work.FinishBy, even if the caller
+	// already has a part of the answer.
 	HardDeadline bool
-	// Attempt is the last attempt that another entry may have used, 0 for none.
+	// Attempt is the last attempt number that another entry may have used, 0 for none.
 	Attempt uint32
-	// Offset is how many tokens the caller has already.
+	// Offset is how many tokens the caller already has.
 	Offset int
-	// Server and Incarnation name the engine that runs a resumed request.
+	// Server and Incarnation identify the engine that runs a resumed request.
 	Server      string
 	Incarnation string
 }
 
-// AttemptProgress tells that tokens came.
+// AttemptProgress tells that tokens arrived.
 type AttemptProgress struct {
 	RequestID string
 	Attempt   uint32
-	// Tokens is how many came with this attempt so far.
+	// Tokens is how many arrived in this attempt so far.
 	Tokens int
 }
 
-// PrefillDone tells that the engine that prefills for an attempt has done so and
-// holds the KV cache. It is answered with a DecodeAt, or as if the attempt had
-// ended without being run.
+// PrefillDone tells that the separate engine has finished the prefill of an attempt and holds
+// the KV cache. The reducer reacts with a DecodeAt, or as if the attempt had ended without
+// running.
 type PrefillDone struct {
 	RequestID string
 	Attempt   uint32
@@ -137,60 +139,61 @@
 	Attempt   uint32
 	// Complete tells that the answer is complete.
 	Complete bool
-	// Outcome is what is known: NotRun when no byte was sent or the server
-	// said so.
+	// Outcome is what is known about execution: NotRun if no byte was sent or the server said
+	// so.
 	Outcome outcome.Outcome
-	// ServerDied tells that the server's process seems gone (connection
-	// refused or reset), and not only this connection.
+	// ServerDied tells that the server's process seems to be gone (connection refused or reset),
+	// and not only this connection.
 	ServerDied bool
-	// StreamUnknown tells that the server does not know the stream to go on with.
+	// StreamUnknown tells that the server does not know the stream that was to be resumed.
 	StreamUnknown bool
-	// Invalid tells that the server will never take this request.
+	// Invalid tells that the server will never accept this request.
 	Invalid bool
-	// AtPrefillServer tells that all this is about the engine that was to prefill.
+	// AtPrefillServer tells that all of this is about the engine of the separate prefill.
 	AtPrefillServer bool
-	// Unsent tells that no server got any byte of this attempt.
+	// Unsent tells that no server received any byte of this attempt.
 	Unsent bool
 	Tokens int
-	// FirstToken and Decode are the times to the first token and from it to
-	// the last; Took is the whole time.
+	// FirstToken is the time to the first token, Decode the time from the first to the last
+	// token, Elapsed the total time.
 	FirstToken time.Duration
 	Decode     time.Duration
 	Elapsed    time.Duration
 }
 
-// CallerDisconnected tells that the caller's connection is gone.
+// CallerDisconnected tells that the caller's connection is closed.
 type CallerDisconnected struct{ RequestID string }
 
-// DeadlineExpired tells that the time of a request with HardDeadline has run out.
+// DeadlineExpired tells that the deadline of a request with HardDeadline has passed.
 type DeadlineExpired struct{ RequestID string }
 
-// Stop begins the planned stop of the entry. Keep is how long callers may still
-// come that were told of it before.
+// Stop begins the planned stop of the entry. AcceptFor is how long the entry still accepts
+// callers that got its address earlier.
 type Stop struct {
 	AcceptFor time.Duration
-	// ShortOnlyAfter is when only work is still taken that ends in time, Ends when the entry
-	// lets go of what still runs, both from now on; zero Ends: it waits or hands on.
+	// After ShortOnlyAfter the entry accepts only work that ends in time, after EndsAfter it
+	// aborts what still runs. Both count from the event. If EndsAfter is zero, the entry waits
+	// for running requests or hands them over.
 	ShortOnlyAfter, EndsAfter time.Duration
 }
 
-// PeerReported is another entry's report of what it has at backend servers.
+// PeerReported is another entry's report of its backlogs at backend servers.
 type PeerReported struct{ Request *pb.PeerReport }
 
-// SumRequested is another entry's question for the sum of backlogs; it is answered with an
-// AnswerSum of the same key.
+// SumRequested is another entry's request for the sum of backlogs. It is answered by an
+// AnswerSum with the same key.
 type SumRequested struct {
 	Key     string
 	Request *pb.PeerSumRequest
 }
 
-// SumReceived is an aggregator's answer to a question that was sent at SentAt.
+// SumReceived is an aggregator's answer to a request that was sent at SentAt.
 type SumReceived struct {
 	SentAt time.Duration
 	Sum    *pb.PeerSum
 }
 
-// AggregatorTimedOut tells that the aggregator at an address gave no answer in time.
+// AggregatorTimedOut tells that the aggregator at an address did not answer in time.
 type AggregatorTimedOut struct{ Address string }
 
 func (PermitRequested) isEvent()    {}
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -11,19 +11,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/wire"
 )
 
-// fleet gives the servers as the decisions see them, for one request: one that a
-// server has failed goes to others while there are any. While there are no suspects
-// it is the same for all and made once per step and
-// dispatch: with thousands of servers and a full queue it is the largest cost
-// of a step.
+// fleet returns the servers in the form that the decisions use, for one request. A request that
+// a server has failed goes to other servers as long as there are any. Without suspects the fleet
+// is the same for all requests and is built once per step and dispatch: with thousands of
+// servers and a full queue it is the largest cost of a step.
 func (r *Reducer) fleet(q *request) decision.Fleet {
 	if len(r.suspects.byKey) > 0 {
-		f := r.newFleet(q, func(s *server) bool { return r.suspects.apart(r, q, s) })
-		r.suspects.spread(r, q, &f)
+		f := r.newFleet(q, func(s *server) bool { return r.suspects.mayShareServer(r, q, s) })
+		r.suspects.pinToServer(r, q, &f)
 		return f
 	}
-	if len(q.tried) > 0 {
-		if f := r.newFleet(q, func(s *server) bool { return !slices.Contains(q.tried, s) }); anyServes(&f, &q.work) {
+	if len(q.failedServers) > 0 {
+		if f := r.newFleet(q, func(s *server) bool { return !slices.Contains(q.failedServers, s) }); anyServes(&f, &q.work) {
 			return f
 		}
 	}
@@ -37,11 +36,10 @@
 	return *r.sharedFleet
 }
 
-// anyLeft tells whether a server is there that could run the request now or after
-// it has cooled.
-func (r *Reducer) anyLeft(q *request) bool {
+// anyCandidate tells whether some server could run the request at once or after its cool-down.
+func (r *Reducer) anyCandidate(q *request) bool {
 	return slices.ContainsFunc(r.servers.sorted, func(s *server) bool {
-		if s.wants.Leaving || s.died || s.pb.Drained || s.pb.State == pb.ServerState_SERVER_STATE_GONE {
+		if s.backpressure.Leaving || s.died || s.pb.Drained || s.pb.State == pb.ServerState_SERVER_STATE_GONE {
 			return false
 		}
 		d := r.decisionServer(s, true)
@@ -49,65 +47,64 @@
 	})
 }
 
-// mayTake tells whether a request may go to the server, also by a permit that it holds; a nil
-// request holds none.
-func (r *Reducer) mayTake(q *request, s *server) bool {
-	return s.mayTakeWork(r.now, r.stale()) ||
-		q != nil && q.reserved == s && s.inUse(r.now, r.stale()) && !s.wants.Resting(r.now)
+// canTake tells whether a request may go to the server, including by a permit that the request
+// holds. A nil request holds none.
+func (r *Reducer) canTake(q *request, s *server) bool {
+	return s.acceptsWork(r.now, r.stale()) ||
+		q != nil && q.reserved == s && s.available(r.now, r.stale()) && !s.backpressure.Resting(r.now)
 }
 
 func (r *Reducer) newFleet(q *request, allowed func(*server) bool) decision.Fleet {
 	f := decision.Fleet{
 		DataCentre: r.cfg.Identity.DataCentre, Entries: max(1, len(r.view.entries)),
-		PartsReported: r.peers.known(r) >= mostPeers,
+		PartsReported: r.peers.knownFraction(r) >= minPeersKnown,
 	}
 	f.Servers = make([]decision.Server, 0, len(r.servers.sorted))
-	stale, deal := r.stale(), r.peers.group.dealer(r.now)
+	stale, partition := r.stale(), r.peers.group.partition(r.now)
 	for _, s := range r.servers.sorted {
-		usable := r.mayTake(q, s) && allowed(s)
+		usable := r.canTake(q, s) && allowed(s)
 		server := r.decisionServer(s, usable)
-		if s.wants.Bounded(r.now) {
-			server.Rate, server.OpensIn = s.wants.Limit.Rate(), s.wants.OpensIn(r.now)
-			server.Closed = !usable && s.inUse(r.now, stale) && allowed(s)
+		if s.backpressure.Bounded(r.now) {
+			server.Rate, server.OpensIn = s.backpressure.Limit.Rate(), s.backpressure.OpensIn(r.now)
+			server.Closed = !usable && s.available(r.now, stale) && allowed(s)
 		}
-		server.OthersFirst = deal.othersFirst(s.pb)
+		server.OthersFirst = partition.preferredByOthers(s.pb)
 		f.Servers = append(f.Servers, server)
 	}
 	return f
 }
 
 func (r *Reducer) decisionServer(s *server, usable bool) decision.Server {
-	running, waiting := s.others.Estimate(r.now, *s.usualOfRole)
+	running, waiting := s.otherEntries.Estimate(r.now, *s.roleAverage)
 	fixed := 0.0
-	if r.speeds.learns(s) {
-		fixed = r.speeds.reading(s).Fixed() * s.slowness.Value(r.now)
+	if r.speeds.learnsFrom(s) {
+		fixed = r.speeds.prefillEstimate(s).Fixed() * s.slowness.Value(r.now)
 	}
 	return decision.Server{
 		ID: s.pb.Id, Incarnation: s.pb.Incarnation, Address: s.pb.Address,
 		DataCentre: s.pb.DataCentre, Kind: wire.Kind(s.pb.Kind), Services: s.pb.Services,
 		Model: s.pb.Model, Adapters: s.pb.Adapters,
-		// A plain service does all of its work, as a mixed engine does.
+		// A plain service does all of its work by itself, as a mixed engine does.
 		Role:   cmp.Or(wire.Role(s.pb.Role), engineapi.RoleMixed),
-		Usable: usable, Slots: int(s.pb.Slots), Load: r.loadOf(s), ReportedAt: s.reportedAt,
-		CountsOnly: s.countsOnly(), OthersRunning: running, OthersWaiting: waiting,
-		Peers: r.peers.heard.At(r.now, s.pb.Id), PeersKnown: r.peers.known(r),
-		FixedReading: fixed, UsualUnread: s.usual.unread, UsualKV: s.usual.kv, Sent: r.sent(s),
+		Usable: usable, Slots: int(s.pb.Slots), Load: r.effectiveLoad(s), ReportedAt: s.reportedAt,
+		CountsOnly: s.reportsCountsOnly(), OthersRunning: running, OthersWaiting: waiting,
+		Peers: r.peers.reports.At(r.now, s.pb.Id), PeersKnown: r.peers.knownFraction(r),
+		FixedReading: fixed, UsualUnread: s.averageWork.prefill, UsualKV: s.averageWork.kv, Sent: r.outstanding(s),
 	}
 }
 
-// countsOnly tells that the server reports how many requests it has, and no
-// tokens: its rates are never reported either.
-func (s *server) countsOnly() bool { return s.load.PrefillRate == 0 && s.load.DecodeRate == 0 }
+// reportsCountsOnly tells that the server reports request counts but no tokens. Such a server
+// never reports rates either.
+func (s *server) reportsCountsOnly() bool { return s.load.PrefillRate == 0 && s.load.DecodeRate == 0 }
 
-// loadOf is the server's load with the rates that are assumed of it if it
-// reports none.
-func (r *Reducer) loadOf(s *server) engineapi.Load {
+// effectiveLoad returns the server's load, with assumed rates if it reports none.
+func (r *Reducer) effectiveLoad(s *server) engineapi.Load {
 	load := s.load
 	if s.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL {
 		return load
 	}
-	if r.speeds.learns(s) {
-		load.PrefillRate = r.speeds.reading(s).Rate() / s.slowness.Value(r.now)
+	if r.speeds.learnsFrom(s) {
+		load.PrefillRate = r.speeds.prefillEstimate(s).Rate() / s.slowness.Value(r.now)
 	}
 	if load.KVTokens == 0 {
 		load.KVTokens = r.view.cacheTokens[s.pb.Model]
@@ -118,7 +115,7 @@
 	return load
 }
 
-func (r *Reducer) sent(s *server) decision.Sent {
+func (r *Reducer) outstanding(s *server) decision.Sent {
 	sent := decision.Sent{Requests: len(s.running)}
 	for _, id := range s.running {
 		q := r.requests[id]
@@ -132,7 +129,7 @@
 		sent.DecodeTokens += q.decodeLeft()
 		sent.KVTokens += q.work.PromptTokens + q.work.OutputTokens
 	}
-	for _, w := range s.since {
+	for _, w := range s.sentSinceReport {
 		sent.SinceRequests++
 		sent.SincePrefillTokens += w.tokens.Prefill
 		sent.SinceDecodeTokens += w.tokens.Decode
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -9,73 +9,77 @@
 )
 
 const (
-	// maxDirectPeers is how many other entries are told of backlogs one by one: each report is
-	// a call to each of them. Where there are more, entries form groups.
+	// maxDirectPeers is the largest number of other entries that each get a backlog report
+	// directly. Each report is one call to each of them, so larger deployments form groups.
 	maxDirectPeers = 16
-	// groupMembers is how many entries report to one aggregator: with more it has too little
-	// processor for its members, with fewer the aggregators for each other.
-	groupMembers = 20
-	// mostSilences is how many questions in a row an aggregator may leave unanswered before
-	// another one is asked, which the first one's members then all do: one that is merely
-	// busy must not lose them, or the next is busy too.
-	mostSilences = 3
-	// avoidAggregator is how long such an aggregator is passed by.
-	avoidAggregator = 2 * time.Second
-	// pauseAfterSilence is how long nothing is asked after the first unanswered question;
-	// each further one doubles it.
-	pauseAfterSilence = 50 * time.Millisecond
-	// longNews is how much reading members must have begun for an aggregator to tell the
-	// others at once. A long prompt holds up all that comes behind it for hundreds of
-	// milliseconds; of short ones none does.
-	longNews = 100 * time.Millisecond
+	// groupSize is how many entries report to one aggregator. With more, the aggregator lacks
+	// the processor time for them. With fewer, there are too many aggregators that report to
+	// each other.
+	groupSize = 20
+	// maxTimeouts is how many requests in a row an aggregator may leave unanswered before its
+	// group members turn to another one. A lower bound would move all members away from an
+	// aggregator that is merely busy, and the next one would be overloaded in turn.
+	maxTimeouts = 3
+	// aggregatorAvoidance is how long an aggregator that timed out is avoided.
+	aggregatorAvoidance = 2 * time.Second
+	// firstTimeoutPause is how long no sum is requested after the first timeout. It doubles with
+	// each further timeout.
+	firstTimeoutPause = 50 * time.Millisecond
+	// urgentPrefillTime is how much prefill time the members must have begun for their
+	// aggregator to report it to the other aggregators at once. A long prompt delays everything
+	// behind it by hundreds of milliseconds. Short prompts do not.
+	urgentPrefillTime = 100 * time.Millisecond
 )
 
-// group is how reports go among more entries than can tell each other directly.
+// group distributes backlog reports among more entries than can report to each other directly.
 //
-// It answers many entries before many engines, each seeing a few requests a second: on its
-// own an entry hears of an engine every few seconds, chooses blindly, and some engines
-// get far more than others. In each data centre some entries, the same ones in all views, are
-// aggregators: members report to one of them, aggregators tell each other the sums, and an
-// entry asks its aggregator for the sum of all others just before it chooses. A report
-// crosses data centres once for each aggregator there, not once for each entry.
+// With many entries and many engines, each engine sees only a few requests a second. An entry on
+// its own would hear of an engine every few seconds and choose blindly, so that some engines
+// would get far more than others. In each data centre some entries, the same in all views, are
+// therefore aggregators. The other entries report to one of them, aggregators exchange the sums,
+// and an entry requests the sum of all others from its aggregator just before it chooses a
+// server. Between data centres a report is sent once to each aggregator instead of once to each
+// entry.
 type group struct {
-	// formed is set where entries report by groups; aggregates, that this one sums up.
-	formed, aggregates bool
-	// aggregators holds the names of all of them.
+	// formed is set if entries report by groups, isAggregator if this entry is an aggregator.
+	formed, isAggregator bool
+	// aggregators holds the names of all aggregators.
 	aggregators map[string]bool
-	// others are the addresses of the other aggregators.
-	others []string
-	// inDataCentre are the names of the aggregators of each data centre, all those of all of
-	// them in order, self the name of this entry.
-	inDataCentre map[string][]string
-	all          []string
-	self         string
-	// choices are the aggregators that this entry may report to, the best first.
-	choices []aggregator
-	// silentUntil is how long aggregators that gave no answers are passed by, silences how
-	// many questions in a row the one in use has left unanswered, pauseUntil when it is
-	// asked again.
-	silentUntil map[string]time.Duration
-	silences    int
-	pauseUntil  time.Duration
-	// reads are the parts that servers were seen to read lately, for members that ask.
-	reads readLog
-	// from is the aggregator of the last sum, sums counts them.
-	from string
-	sums uint64
-	// askedAt is when the last sum was asked for because work waits.
-	askedAt time.Duration
+	// otherAggregators are the addresses of the other aggregators.
+	otherAggregators []string
+	// aggregatorsByDataCentre holds the names of the aggregators of each data centre,
+	// allAggregators those of all data centres in order. ownName is the name of this entry.
+	aggregatorsByDataCentre map[string][]string
+	allAggregators          []string
+	ownName                 string
+	// candidates are the aggregators that this entry may report to, best first.
+	candidates []aggregator
+	// avoidUntil tells until when aggregators that timed out are avoided, by address. timeouts
+	// counts the requests in a row that the current one has left unanswered, pauseUntil is when
+	// it is asked again.
+	avoidUntil map[string]time.Duration
+	timeouts   int
+	pauseUntil time.Duration
+	// prefixes are the prompt prefixes that servers were recently seen to prefill, for group
+	// members that ask.
+	prefixes prefixLog
+	// sumSource is the aggregator of the last sum, sumCount counts the sums.
+	sumSource string
+	sumCount  uint64
+	// sumRequestedAt is when a sum was last requested because work waits.
+	sumRequestedAt time.Duration
 }
 
-// aggregator is one as its members know it.
+// aggregator identifies an aggregator to its group members.
 type aggregator struct{ name, address string }
 
-// form chooses the aggregators anew. They are the first of their data centre by a hash of
-// their name, so that all entries choose alike and few change when an entry comes or goes.
-func (g *group) form(entries []*entryState, self *pb.EntryIdentity) {
+// choose selects the aggregators for a new view. They are the first of their data centre by a
+// hash of their name, so that all entries select the same ones and few change when an entry
+// comes or goes.
+func (g *group) choose(entries []*entryState, self *pb.EntryIdentity) {
 	g.formed = len(entries) > maxDirectPeers+1
-	g.aggregates, g.others, g.choices, g.all, g.self = false, nil, nil, nil, self.GetName()
-	g.aggregators, g.inDataCentre = make(map[string]bool), make(map[string][]string)
+	g.isAggregator, g.otherAggregators, g.candidates, g.allAggregators, g.ownName = false, nil, nil, nil, self.GetName()
+	g.aggregators, g.aggregatorsByDataCentre = make(map[string]bool), make(map[string][]string)
 	if !g.formed {
 		return
 	}
@@ -89,10 +93,10 @@
 	for _, dc := range sortedKeys(byDataCentre) {
 		list := byDataCentre[dc]
 		sortByHash(list, aggregatorKey)
-		list = list[:(len(list)+groupMembers-1)/groupMembers]
+		list = list[:(len(list)+groupSize-1)/groupSize]
 		for _, id := range list {
-			g.inDataCentre[dc] = append(g.inDataCentre[dc], id.GetName())
-			g.all = append(g.all, id.GetName())
+			g.aggregatorsByDataCentre[dc] = append(g.aggregatorsByDataCentre[dc], id.GetName())
+			g.allAggregators = append(g.allAggregators, id.GetName())
 		}
 		if dc == self.GetDataCentre() {
 			near = list
@@ -103,54 +107,54 @@
 	for _, id := range slices.Concat(near, far) {
 		g.aggregators[id.GetName()] = true
 		if id.GetName() == self.GetName() {
-			g.aggregates = true
+			g.isAggregator = true
 			continue
 		}
-		g.others = append(g.others, id.GetPeerAddress())
+		g.otherAggregators = append(g.otherAggregators, id.GetPeerAddress())
 	}
 	sortByHash(near, self.GetName())
 	sortByHash(far, self.GetName())
 	for _, id := range slices.Concat(near, far) {
-		g.choices = append(g.choices, aggregator{id.GetName(), id.GetPeerAddress()})
+		g.candidates = append(g.candidates, aggregator{id.GetName(), id.GetPeerAddress()})
 	}
 }
 
-// regroup takes the groups of a new view. What was heard in another part is dropped: a sum
-// and the reports in it would count twice.
-func (r *Reducer) regroup() {
+// updateGroups forms the groups of a new view. If this entry's part in them changes, it drops
+// all reports received so far: a sum and the reports that it contains would count twice.
+func (r *Reducer) updateGroups() {
 	g := &r.peers.group
-	formed, aggregated := g.formed, g.aggregates
-	g.form(r.view.sortedEntries(), r.cfg.Identity)
-	if g.formed != formed || g.aggregates != aggregated {
-		r.peers.heard, g.from = decision.NewPeers(), ""
-		r.peers.changed = true
+	formed, aggregated := g.formed, g.isAggregator
+	g.choose(r.view.sortedEntries(), r.cfg.Identity)
+	if g.formed != formed || g.isAggregator != aggregated {
+		r.peers.reports, g.sumSource = decision.NewPeers(), ""
+		r.peers.changePending = true
 	}
 }
 
-// aggregatorKey is the key by whose hash aggregators are chosen.
+// aggregatorKey is the hash key by which aggregators are selected.
 const aggregatorKey = "aggregator"
 
 // sortByHash sorts entries by the hash of their name with the key.
 func sortByHash(list []*pb.EntryIdentity, key string) {
 	slices.SortFunc(list, func(a, b *pb.EntryIdentity) int {
-		return compareScore(EntryWeight{Name: a.GetName()}, EntryWeight{Name: b.GetName()}, key)
+		return compareByHash(EntryWeight{Name: a.GetName()}, EntryWeight{Name: b.GetName()}, key)
 	})
 }
 
-// aggregator is the one that this entry reports to and asks; nil for none.
+// aggregator returns the aggregator that this entry reports to and asks, nil for none.
 func (g *group) aggregator(now time.Duration) *aggregator {
-	if !g.isMember() {
+	if !g.isGroupMember() {
 		return nil
 	}
-	for i, a := range g.choices {
-		if now >= g.silentUntil[a.address] {
-			return &g.choices[i]
+	for i, a := range g.candidates {
+		if now >= g.avoidUntil[a.address] {
+			return &g.candidates[i]
 		}
 	}
 	return nil
 }
 
-// aggregatorAddress is where it is reached; empty for none.
+// aggregatorAddress returns that aggregator's address, empty for none.
 func (g *group) aggregatorAddress(now time.Duration) string {
 	if a := g.aggregator(now); a != nil {
 		return a.address
@@ -158,12 +162,12 @@
 	return ""
 }
 
-// isMember tells whether this entry is a member that reports to an aggregator.
-func (g *group) isMember() bool { return g.formed && !g.aggregates }
+// isGroupMember tells whether this entry reports to an aggregator.
+func (g *group) isGroupMember() bool { return g.formed && !g.isAggregator }
 
-func (g *group) reportTo(now time.Duration) []string {
-	if g.aggregates {
-		return g.others
+func (g *group) reportTargets(now time.Duration) []string {
+	if g.isAggregator {
+		return g.otherAggregators
 	}
 	if a := g.aggregator(now); a != nil {
 		return []string{a.address}
@@ -171,26 +175,26 @@
 	return nil
 }
 
-// groupWait is how long after the last report the next one is due in a group.
-func (p *peerBacklogs) groupWait() time.Duration {
+// groupReportInterval is the time from the last report to the next one within groups.
+func (p *peerBacklogs) groupReportInterval() time.Duration {
 	switch {
-	case p.group.aggregates && p.news >= longNews:
-		return peerReportEvery
-	case p.group.aggregates && (p.sent || p.changed):
-		return aggregatorReportEvery
-	case p.sent:
-		return sentReportEvery
-	case p.changed:
-		return endReportEvery
-	case p.anything:
-		return peerReportAgain
+	case p.group.isAggregator && p.prefillChange >= urgentPrefillTime:
+		return minPeerReportInterval
+	case p.group.isAggregator && (p.sendPending || p.changePending):
+		return aggregatorReportInterval
+	case p.sendPending:
+		return sentReportInterval
+	case p.changePending:
+		return endReportInterval
+	case p.reportedAny:
+		return peerReportRepeat
 	default:
-		return idleReportAgain
+		return idleReportInterval
 	}
 }
 
-// validFor is how long a report of these servers counts.
-func (g *group) validFor(servers []*pb.ServerBacklog) time.Duration {
+// reportValidity is how long a report of these servers is valid.
+func (g *group) reportValidity(servers []*pb.ServerBacklog) time.Duration {
 	if g.formed && len(servers) == 0 {
 		return decision.IdleReportFor
 	}
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -41,7 +41,7 @@
 func worldsOf(t *testing.T, entries []*pb.EntryIdentity, servers ...*pb.BackendServer) (member, sums *world) {
 	t.Helper()
 	for i := range entries {
-		if w := groupWorld(t, entries, i, servers...); w.r.peers.group.isMember() {
+		if w := groupWorld(t, entries, i, servers...); w.r.peers.group.isGroupMember() {
 			member = w
 			break
 		}
@@ -76,7 +76,7 @@
 	for _, n := range []int{84, 191, 330} {
 		entries := manyEntries(n)
 		first := groupWorld(t, entries, 0).r.peers.group.aggregators
-		if want := 5 * ((n/5 + groupMembers) / groupMembers); len(first) > want || len(first) < n/groupMembers {
+		if want := 5 * ((n/5 + groupSize) / groupSize); len(first) > want || len(first) < n/groupSize {
 			t.Errorf("%d entries have %d aggregators", n, len(first))
 		}
 		members := make(map[string]int)
@@ -85,8 +85,8 @@
 			if len(g.aggregators) != len(first) {
 				t.Fatalf("entry %d counts %d aggregators, the first %d", i, len(g.aggregators), len(first))
 			}
-			if g.aggregates != first[id.Name] {
-				t.Errorf("entry %d aggregates: %v, by the first one's view: %v", i, g.aggregates, first[id.Name])
+			if g.isAggregator != first[id.Name] {
+				t.Errorf("entry %d aggregates: %v, by the first one's view: %v", i, g.isAggregator, first[id.Name])
 			}
 			if a := g.aggregator(time.Second); a != nil {
 				members[a.name]++
@@ -96,7 +96,7 @@
 			}
 		}
 		for name, count := range members {
-			if count > 2*groupMembers {
+			if count > 2*groupSize {
 				t.Errorf("%d entries: %s has %d members", n, name, count)
 			}
 		}
@@ -143,7 +143,7 @@
 	}
 	report("another aggregator", 18, "engine-0")
 	report("a member", 0, "engine-1")
-	sums.after(aggregatorReportEvery)
+	sums.after(aggregatorReportInterval)
 	reports := pick[ReportToPeers](sums.step(Tick{}))
 	if len(reports) != 1 {
 		t.Fatalf("reported %+v", reports)
@@ -172,17 +172,17 @@
 		if len(snap) != 1 || snap[0].Snapshot.Aggregator == first && snap[0].Snapshot.AskAggregatorFrom <= member.now {
 			t.Errorf("%q is asked at once after %d silences", first, i+1)
 		}
-		member.after(pauseAfterSilence << i)
+		member.after(firstTimeoutPause << i)
 	}
 	if next := member.r.peers.group.aggregatorAddress(member.now); next == first || next == "" {
 		t.Fatalf("the member asks %q after %q was silent", next, first)
 	}
-	member.after(endReportEvery)
+	member.after(endReportInterval)
 	reports := pick[ReportToPeers](member.step(Tick{}))
 	if len(reports) != 1 || reports[0].Addresses[0] == first || len(reports[0].Request.Servers) != 1 {
 		t.Fatalf("reported %+v", reports)
 	}
-	member.after(avoidAggregator)
+	member.after(aggregatorAvoidance)
 	if again := member.r.peers.group.aggregatorAddress(member.now); again != first {
 		t.Errorf("asks %q later, not %q", again, first)
 	}
@@ -200,7 +200,7 @@
 		ClusterId: "test", Entry: "another", Incarnation: "p1", Sequence: 1,
 		Servers: []*pb.ServerBacklog{{Server: "engine-0", Requests: 1, UnreadTokens: []uint64{40000}}},
 	}})
-	if known := member.r.peers.known(member.r); known != 0 {
+	if known := member.r.peers.knownFraction(member.r); known != 0 {
 		t.Errorf("a report counts at a member: %v known", known)
 	}
 }
@@ -210,7 +210,7 @@
 func TestReadsAreToldOnce(t *testing.T) {
 	member, sums := worldsOf(t, manyEntries(191), serving(2)...)
 	read := func(chain uint64) {
-		sums.r.peers.noteRead(&pb.PartsRead{Server: "engine-0", Chain: []uint64{chain}})
+		sums.r.peers.recordPrefix(&pb.PartsRead{Server: "engine-0", Chain: []uint64{chain}})
 	}
 	read(1)
 	read(2)
@@ -225,10 +225,10 @@
 	if next := sums.askedBy(member, first.ReadsNext); len(next.Reads) != 1 || next.Reads[0].Chain[0] != 3 {
 		t.Errorf("told next %v", next)
 	}
-	for chain := range uint64(3 * maxReadLog) {
+	for chain := range uint64(3 * prefixLogSize) {
 		read(chain)
 	}
-	if all := sums.askedBy(member, 4); len(all.Reads) != maxReadLog {
+	if all := sums.askedBy(member, 4); len(all.Reads) != prefixLogSize {
 		t.Errorf("%d of many told", len(all.Reads))
 	}
 }
@@ -244,7 +244,7 @@
 	}
 	idle("idle")
 	idle("busy", &pb.ServerBacklog{Server: "engine-0", Requests: 1})
-	sums.after(idleReportAgain + decision.PeerReportFor)
+	sums.after(idleReportInterval + decision.PeerReportFor)
 	if sum := sums.askedBy(member, 0); sum.Entries != 2 {
 		t.Errorf("%d entries known, want the idle one and the aggregator", sum.Entries)
 	}
--- a/internal/entry/relayed_test.go
+++ b/internal/entry/hard_deadline_test.go
@@ -19,7 +19,7 @@
 	w.r.cfg.AbortOnDisconnect = true
 	w.r.cfg.AssumedPace = decision.Pace{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
 	w.r.speeds = newSpeeds(w.r.cfg.AssumedPace)
-	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
+	w.r.retryLimit = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
 	return w
 }
 
@@ -146,7 +146,7 @@
 	if r := w.refused(); r.Outcome != outcome.NotRun || r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Fatalf("refusal %+v", r)
 	}
-	if sends != maxUnrun {
+	if sends != maxNotRun {
 		t.Fatalf("%d sends", sends)
 	}
 }
@@ -200,7 +200,7 @@
 // other server, and its clerk is not sent away.
 func TestUnsentRequestIsNoRepeat(t *testing.T) {
 	w := relayedWorld(t)
-	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Window: 10 * second})
+	w.r.retryLimit = admission.NewExtra(&admission.ExtraLimit{Window: 10 * second})
 	w.view(serving(2)...)
 	w.relayed("r1", nil)
 	first := w.dispatched()
@@ -245,7 +245,7 @@
 func TestRepeatThatIsPrefilledApartCountsTwice(t *testing.T) {
 	w := relayedWorld(t)
 	// 0.8 of 4 is the allowance of the only entry, and 0.8 of 0.2 for the request.
-	w.r.extra = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 4, Window: 10 * second})
+	w.r.retryLimit = admission.NewExtra(&admission.ExtraLimit{Ratio: 0.2, Constant: 4, Window: 10 * second})
 	w.view(prefillers(3, 3)...)
 	w.relayed("r1", func(a *RequestArrived) {
 		a.Work.PromptTokens, a.Work.Pace.MoveRate, a.MaxRuns, a.Work.FinishBy = 17000, 2e6, 10, w.now+60*second
--- a/internal/entry/late.go
+++ b/internal/entry/late.go
@@ -10,10 +10,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// turnLateAway refuses long work that others' prompts would make late, at once and with
-// when to come back; nil for work that is served.
-func (r *Reducer) turnLateAway(q *request, choice placement.Choice) *outcome.Refusal {
-	if !q.endsInTime || q.attempts > 0 || q.work.Class != declaration.ClassBulk {
+// refuseIfLate returns a refusal, with a time to retry, for bulk work that the prompts of other
+// requests would make late. It returns nil for work that is to be served.
+func (r *Reducer) refuseIfLate(q *request, choice placement.Choice) *outcome.Refusal {
+	if !q.hardDeadline || q.attempts > 0 || q.work.Class != declaration.ClassBulk {
 		return nil
 	}
 	own := time.Duration(choice.Own * float64(time.Second))
--- a/internal/entry/leaving.go
+++ b/internal/entry/leaving.go
@@ -4,34 +4,35 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// heardLeaving takes a server's word, or another entry's, that it leaves. It is final for its
-// life, and needs no control: an entry that is cut off obeys it too.
-func (r *Reducer) heardLeaving(s *server, reason string) {
-	if s.wants.Leaving {
+// applyLeaving records a report, by the server or by another entry, that the server is leaving.
+// Leaving is final for the incarnation. It takes effect without control, so that an entry that
+// is cut off from control obeys it too.
+func (r *Reducer) applyLeaving(s *server, reason string) {
+	if s.backpressure.Leaving {
 		return
 	}
-	s.leave()
-	r.sharedFleet, r.dirty, r.peers.changed = nil, true, true
+	s.markLeaving()
+	r.sharedFleet, r.dirty, r.peers.changePending = nil, true, true
 	r.logServer(s, reason)
 }
 
-// newLeaving gives the servers that leave of which no report has told yet.
-func (r *Reducer) newLeaving() []*pb.ServerLeaving {
+// unreportedLeaving returns the leaving servers that no report has contained yet.
+func (r *Reducer) unreportedLeaving() []*pb.ServerLeaving {
 	var list []*pb.ServerLeaving
 	for _, s := range r.servers.sorted {
-		if s.leaveIsNew {
-			s.leaveIsNew = false
+		if s.leavingUnreported {
+			s.leavingUnreported = false
 			list = append(list, s.leavingProto())
 		}
 	}
 	return list
 }
 
-// allLeaving gives all that are known to leave.
+// allLeaving returns all servers that are known to leave.
 func (r *Reducer) allLeaving() []*pb.ServerLeaving {
 	var list []*pb.ServerLeaving
 	for _, s := range r.servers.sorted {
-		if s.wants.Leaving {
+		if s.backpressure.Leaving {
 			list = append(list, s.leavingProto())
 		}
 	}
@@ -39,17 +40,18 @@
 }
 
 func (s *server) leavingProto() *pb.ServerLeaving {
-	return &pb.ServerLeaving{Server: s.pb.Id, IncarnationHash: s.lifeHash()}
+	return &pb.ServerLeaving{Server: s.pb.Id, IncarnationHash: s.incarnationHash()}
 }
 
-// heardOthersLeaving takes what other entries know. pass tells that others are to be told.
-func (r *Reducer) heardOthersLeaving(list []*pb.ServerLeaving, pass bool) {
-	for _, told := range list {
-		s := r.servers.lifeByHash(told.GetServer(), told.GetIncarnationHash())
-		if s == nil || s.wants.Leaving {
+// applyPeerLeaving applies other entries' reports. forward tells that this entry must report
+// them further.
+func (r *Reducer) applyPeerLeaving(list []*pb.ServerLeaving, forward bool) {
+	for _, item := range list {
+		s := r.servers.byIncarnationHash(item.GetServer(), item.GetIncarnationHash())
+		if s == nil || s.backpressure.Leaving {
 			continue
 		}
-		r.heardLeaving(s, "another entry was told that it leaves")
-		s.leaveIsNew = pass
+		r.applyLeaving(s, "another entry reported that it is leaving")
+		s.leavingUnreported = forward
 	}
 }
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -70,5 +70,5 @@
 }
 
 func (w *world) hashOf(server string) uint64 {
-	return w.r.servers.byID[server].lifeHash()
+	return w.r.servers.byID[server].incarnationHash()
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -7,23 +7,23 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// sendCount counts what was sent to a server in the last seconds.
+// sendCount counts the requests sent to a server in the last seconds.
 type sendCount struct {
 	second time.Duration
-	counts [sendSeconds]int
+	counts [sendWindowSeconds]int
 }
 
-// sendSeconds is how many seconds are counted, the one that has begun among them.
-const sendSeconds = 4
+// sendWindowSeconds is the number of seconds counted, including the current one.
+const sendWindowSeconds = 4
 
 func (c *sendCount) add(now time.Duration) {
-	c.pass(now)
-	c.counts[c.second%sendSeconds]++
+	c.advance(now)
+	c.counts[c.second%sendWindowSeconds]++
 }
 
-// sum is the requests of the last seconds.
+// sum returns the number of requests of the last seconds.
 func (c *sendCount) sum(now time.Duration) int {
-	c.pass(now)
+	c.advance(now)
 	sum := 0
 	for _, n := range c.counts {
 		sum += n
@@ -31,47 +31,48 @@
 	return sum
 }
 
-// pass forgets the seconds that have gone by.
-func (c *sendCount) pass(now time.Duration) {
+// advance drops the seconds that have passed out of the window.
+func (c *sendCount) advance(now time.Duration) {
 	current := now / second
-	for i := max(c.second+1, current-sendSeconds+1); i <= current; i++ {
-		c.counts[i%sendSeconds] = 0
+	for i := max(c.second+1, current-sendWindowSeconds+1); i <= current; i++ {
+		c.counts[i%sendWindowSeconds] = 0
 	}
 	c.second = current
 }
 
-// heardWord takes what a server said of the work that it wants, with an answer to a request
-// that was sent at that time.
-func (r *Reducer) heardWord(s *server, sent time.Duration, word backpressure.Word) {
-	if word.Unclear != "" && word.Unclear != s.wants.Unclear {
-		r.logLimit(s, "said what can't be read of the work that it wants", s.wants.Limit.Rate())
+// applyBackpressure applies what a server said about the load that it accepts, with the response
+// to a request sent at sentAt.
+func (r *Reducer) applyBackpressure(s *server, sentAt time.Duration, signal backpressure.Word) {
+	if signal.Unclear != "" && signal.Unclear != s.backpressure.Unclear {
+		r.logLimit(s, "backpressure information in its response is malformed", s.backpressure.Limit.Rate())
 	}
-	if word.Leaving {
-		r.heardLeaving(s, "says in an answer that it leaves")
+	if signal.Leaving {
+		r.applyLeaving(s, "reported in a response that it is leaving")
 	}
-	if word.Rest > 0 {
-		r.heardRest(s, word.Rest)
+	if signal.Rest > 0 {
+		r.applyPause(s, signal.Rest)
 	}
-	s.wants.Unclear = word.Unclear
-	if word.Unclear != "" && word.Rate == 0 {
+	s.backpressure.Unclear = signal.Unclear
+	if signal.Unclear != "" && signal.Rate == 0 {
 		return
 	}
-	r.heardLimit(s, r.now, sent, word.Rate)
+	r.applyLimit(s, r.now, sentAt, signal.Rate)
 }
 
-// heardLimit takes the limit of an answer that came at that time to a request sent at sent.
-func (r *Reducer) heardLimit(s *server, at, sent time.Duration, rate float64) bool {
-	before := s.wants.Limit.Rate()
-	if !s.wants.Limit.Hear(at, sent, rate) {
+// applyLimit applies the rate limit of a response that came at receivedAt to a request sent at
+// sentAt. It tells whether the limit has changed.
+func (r *Reducer) applyLimit(s *server, receivedAt, sentAt time.Duration, rate float64) bool {
+	before := s.backpressure.Limit.Rate()
+	if !s.backpressure.Limit.Hear(receivedAt, sentAt, rate) {
 		return false
 	}
-	s.limitIsNew, s.limitSent = true, sent
-	r.peers.sent = true
+	s.limitUnreported, s.limitSentAt = true, sentAt
+	r.peers.sendPending = true
 	r.sharedFleet = nil
-	r.servers.findBounded(r.now)
-	reason := "names a limit"
+	r.servers.findRestricted(r.now)
+	reason := "set or changed its rate limit"
 	if rate == 0 {
-		reason = "names no limit any more"
+		reason = "removed its rate limit"
 	}
 	r.logLimit(s, reason, before)
 	return true
@@ -79,62 +80,62 @@
 
 func (r *Reducer) logLimit(s *server, reason string, before float64) {
 	r.emit(LogDecision{Kind: LogServer, Server: s.pb.Id, Reason: reason, Figures: []Figure{
-		{Name: "limit_before", Value: before}, {Name: "limit_per_second", Value: s.wants.Limit.Rate()},
+		{Name: "limit_before", Value: before}, {Name: "limit_per_second", Value: s.backpressure.Limit.Rate()},
 		{Name: "sent_last_seconds", Value: float64(s.sends.sum(r.now))},
 	}})
 }
 
-// heardRest leaves a server alone for as long as it asks for.
-func (r *Reducer) heardRest(s *server, rest time.Duration) {
-	s.wants.Rest(r.now, rest)
+// applyPause keeps requests off a server for the time that it asked for.
+func (r *Reducer) applyPause(s *server, pause time.Duration) {
+	s.backpressure.Rest(r.now, pause)
 	r.sharedFleet, r.dirty = nil, true
-	r.servers.findBounded(r.now)
-	r.logRest(s, rest)
+	r.servers.findRestricted(r.now)
+	r.logPause(s, pause)
 }
 
-// passRests forgets the rests that are over.
-func (r *Reducer) passRests() {
-	if len(r.servers.bounded) > 0 {
-		r.servers.findBounded(r.now)
+// expirePauses updates the list of restricted servers as pauses end.
+func (r *Reducer) expirePauses() {
+	if len(r.servers.restricted) > 0 {
+		r.servers.findRestricted(r.now)
 	}
 }
 
-func (r *Reducer) logRest(s *server, rest time.Duration) {
-	r.emit(LogDecision{Kind: LogServer, Server: s.pb.Id, Reason: "asks for rest", Figures: []Figure{
-		{Name: "rest_seconds", Value: rest.Seconds()},
+func (r *Reducer) logPause(s *server, pause time.Duration) {
+	r.emit(LogDecision{Kind: LogServer, Server: s.pb.Id, Reason: "asked for a pause", Figures: []Figure{
+		{Name: "rest_seconds", Value: pause.Seconds()},
 		{Name: "sent_last_seconds", Value: float64(s.sends.sum(r.now))},
 	}})
 }
 
-// limitFigures are those of a server that names a limit, none for others.
+// limitFigures returns the log figures of a server with a rate limit, none for others.
 func (r *Reducer) limitFigures(s *server) []Figure {
-	if s.wants.Limit.Rate() == 0 {
+	if s.backpressure.Limit.Rate() == 0 {
 		return nil
 	}
 	return []Figure{
-		{Name: "limit_per_second", Value: s.wants.Limit.Rate()},
+		{Name: "limit_per_second", Value: s.backpressure.Limit.Rate()},
 		{Name: "sent_last_seconds", Value: float64(s.sends.sum(r.now))},
 	}
 }
 
-// newLimits gives the limits that no report has told of yet. An entry that sends a server
-// little would hear of its limit late.
-func (r *Reducer) newLimits() []*pb.ServerWord {
+// unreportedLimits returns the limits that no report has contained yet. Without them, an entry
+// that sends a server few requests would learn of its limit late.
+func (r *Reducer) unreportedLimits() []*pb.ServerWord {
 	var list []*pb.ServerWord
 	for _, s := range r.servers.sorted {
-		if s.limitIsNew {
-			s.limitIsNew = false
+		if s.limitUnreported {
+			s.limitUnreported = false
 			list = append(list, r.limitProto(s))
 		}
 	}
 	return list
 }
 
-// allLimits gives all that are known.
+// allLimits returns all known limits.
 func (r *Reducer) allLimits() []*pb.ServerWord {
 	var list []*pb.ServerWord
-	for _, s := range r.servers.bounded {
-		if s.wants.Limit.Rate() > 0 {
+	for _, s := range r.servers.restricted {
+		if s.backpressure.Limit.Rate() > 0 {
 			list = append(list, r.limitProto(s))
 		}
 	}
@@ -142,23 +143,24 @@
 }
 
 func (r *Reducer) limitProto(s *server) *pb.ServerWord {
-	l := &s.wants.Limit
+	l := &s.backpressure.Limit
 	return &pb.ServerWord{
-		Server: s.pb.Id, IncarnationHash: s.lifeHash(), Rate: l.Rate(),
-		AgeMs: uint32((r.now - l.HeardAt()).Milliseconds()), SentAgeMs: uint32((r.now - s.limitSent).Milliseconds()),
+		Server: s.pb.Id, IncarnationHash: s.incarnationHash(), Rate: l.Rate(),
+		AgeMs: uint32((r.now - l.HeardAt()).Milliseconds()), SentAgeMs: uint32((r.now - s.limitSentAt).Milliseconds()),
 	}
 }
 
-// heardLimits takes limits that other entries heard. pass tells that others are to be told.
-func (r *Reducer) heardLimits(list []*pb.ServerWord, pass bool) {
-	for _, told := range list {
-		s := r.servers.lifeByHash(told.GetServer(), told.GetIncarnationHash())
-		if s == nil || told.GetRate() < 0 {
+// applyPeerLimits applies limits that other entries learned of. forward tells that this entry
+// must report them further.
+func (r *Reducer) applyPeerLimits(list []*pb.ServerWord, forward bool) {
+	for _, item := range list {
+		s := r.servers.byIncarnationHash(item.GetServer(), item.GetIncarnationHash())
+		if s == nil || item.GetRate() < 0 {
 			continue
 		}
-		at, sent := r.now-ageOf(told.GetAgeMs()), r.now-ageOf(told.GetSentAgeMs())
-		if r.heardLimit(s, at, sent, told.GetRate()) {
-			s.limitIsNew = pass
+		at, sent := r.now-ageOf(item.GetAgeMs()), r.now-ageOf(item.GetSentAgeMs())
+		if r.applyLimit(s, at, sent, item.GetRate()) {
+			s.limitUnreported = forward
 		}
 	}
 }
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -73,7 +73,7 @@
 	const rate = 8.6
 	c := newCrowd(t, 9, serving(2), limiting(rate))
 	c.play(6*second, 100)
-	keeper, _ := c.worlds[0].r.keeper("engine-0")
+	keeper, _ := c.worlds[0].r.scheduleOwner("engine-0")
 	c.dead[keeper] = true
 	before := len(c.arrived["engine-0"])
 	c.play(8*second, 100)
@@ -130,7 +130,7 @@
 func TestOnlyALaterAnswerEndsALimit(t *testing.T) {
 	w := relayedWorld(t)
 	w.view(serving(2)...)
-	rate := func() float64 { return w.r.servers.byID["engine-0"].wants.Limit.Rate() }
+	rate := func() float64 { return w.r.servers.byID["engine-0"].backpressure.Limit.Rate() }
 	began := w.now
 	w.after(second)
 	w.limited(0, began+500*time.Millisecond, 6)
@@ -165,13 +165,13 @@
 	w.limited(0, w.now, 6)
 	w.view(serving(2)[1])
 	w.view(serving(2)...)
-	if got := w.r.servers.byID["engine-0"].wants.Limit.Rate(); got != 6 {
+	if got := w.r.servers.byID["engine-0"].backpressure.Limit.Rate(); got != 6 {
 		t.Errorf("the life that came back has limit %g", got)
 	}
 	next := serving(2)
 	next[0].Incarnation = "life-2"
 	w.view(next...)
-	if got := w.r.servers.byID["engine-0"].wants.Limit.Rate(); got != 0 {
+	if got := w.r.servers.byID["engine-0"].backpressure.Limit.Rate(); got != 0 {
 		t.Errorf("a new life has limit %g", got)
 	}
 }
@@ -182,7 +182,7 @@
 	member, sums := worldsOf(t, entries, serving(2)...)
 	sums.limited(0, sums.now, 6)
 	member.step(SumReceived{SentAt: member.now, Sum: sums.askedBy(member, 0)})
-	if got := member.r.servers.byID["engine-0"].wants.Limit.Rate(); got != 6 {
+	if got := member.r.servers.byID["engine-0"].backpressure.Limit.Rate(); got != 6 {
 		t.Errorf("the member knows of limit %g", got)
 	}
 	direct := relayedWorld(t)
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -10,94 +10,97 @@
 )
 
 const (
-	// unsureBefore is how long before control's word runs out entries begin to tell each other
-	// of servers' own words: two polls of control have failed by then.
-	unsureBefore = 700 * time.Millisecond
-	// deathToldFor is how long a death is told to those that ask.
-	deathToldFor = 2 * time.Second
-	// peerDeathFor is how long a server gets no new work for a death that another entry has
-	// seen. One that is alive after all is tried again then, by one entry for all others.
-	peerDeathFor = 3 * time.Second
-	// probeAfter is how old the last word of a server may be before an aggregator asks it.
-	probeAfter = 200 * time.Millisecond
+	// leaseExpiryMargin is how long before the view's lease ends entries begin to exchange the
+	// states that servers report. By then two polls of control have failed.
+	leaseExpiryMargin = 700 * time.Millisecond
+	// deathReportTime is how long a server's crash is contained in sums.
+	deathReportTime = 2 * time.Second
+	// peerDeathCoolDown is how long a server gets no new work after another entry reported its
+	// crash. If the server is alive after all, it is then tried again by one entry on behalf of
+	// all others.
+	peerDeathCoolDown = 3 * time.Second
+	// probeSilence is how old the last report of a server's state may be before an aggregator
+	// probes the server.
+	probeSilence = 200 * time.Millisecond
 )
 
-// liveness is what entries in groups tell each other of servers.
+// liveness is what entries in groups tell each other about servers.
 //
-// It answers an absence of control before hundreds of entries. Each of them would have to
-// ask each server by itself twice a second, and find each crashed one by a failed attempt of
-// its own. Together they hear most servers some times a second in the answers to their
-// requests; an aggregator asks only for the rest.
+// It serves large deployments while control is down. Otherwise each of hundreds of entries would
+// probe each server twice a second, and discover each crashed server by a failed attempt of its
+// own. Together the entries hear of most servers several times a second through the responses to
+// their requests, and an aggregator probes only the rest.
 //
-// Invariant: a word passed on counts from when its server gave it, as far as ages tell, and
-// never longer than one that was heard directly (confirmFor). A server's word that it leaves
-// is final for its incarnation.
+// Invariant: a forwarded state counts from when the server reported it, as far as the ages tell,
+// and never longer than one received directly (confirmationTime). A server's report that it is
+// leaving is final for its incarnation.
 type liveness struct {
-	// deaths are those that were seen lately, the oldest first.
+	// deaths are the recent crashes, oldest first.
 	deaths []death
-	// unsure is what was published last of unsure.
-	unsure bool
+	// publishedExpiring is the last published value of leaseExpiring.
+	publishedExpiring bool
 }
 
-// death is the end of a life of a server; told is set once other entries were told.
+// death is the end of a server incarnation. reported is set once other entries were told.
 type death struct {
-	server string
-	hash   uint64
-	at     time.Duration
-	told   bool
+	server   string
+	hash     uint64
+	at       time.Duration
+	reported bool
 }
 
-// unsure tells whether control's word has run out or soon will.
-func (r *Reducer) unsure() bool { return r.now >= r.view.leaseUntil-unsureBefore }
+// leaseExpiring tells whether the view's lease has ended or soon will.
+func (r *Reducer) leaseExpiring() bool { return r.now >= r.view.leaseUntil-leaseExpiryMargin }
 
-// noteUnsure publishes that control's word is about to run out, or is in force again.
-func (r *Reducer) noteUnsure() {
-	if unsure := r.unsure(); unsure != r.peers.live.unsure {
-		r.peers.live.unsure, r.dirty = unsure, true
+// updateLeaseExpiring publishes a snapshot when the lease is about to end or is valid again.
+func (r *Reducer) updateLeaseExpiring() {
+	if expiring := r.leaseExpiring(); expiring != r.peers.liveness.publishedExpiring {
+		r.peers.liveness.publishedExpiring, r.dirty = expiring, true
 	}
 }
 
-// noteDeath keeps a death that this entry or a member has seen, to be told at once.
-func (r *Reducer) noteDeath(server string, hash uint64, at time.Duration) {
+// recordDeath keeps a crash that this entry or one of its group members observed, to be reported
+// at once.
+func (r *Reducer) recordDeath(server string, hash uint64, at time.Duration) {
 	p := &r.peers
 	if !p.group.formed {
 		return
 	}
-	for _, d := range p.live.deaths {
+	for _, d := range p.liveness.deaths {
 		if d.server == server && d.hash == hash {
 			return
 		}
 	}
-	p.live.deaths = append(p.live.deaths, death{server: server, hash: hash, at: at})
-	p.sent = true
+	p.liveness.deaths = append(p.liveness.deaths, death{server: server, hash: hash, at: at})
+	p.sendPending = true
 }
 
-// expireDeaths drops those that are told no more.
+// expireDeaths drops crashes that need not be reported any more.
 func (l *liveness) expireDeaths(now time.Duration) {
 	old := 0
-	for old < len(l.deaths) && now-l.deaths[old].at >= deathToldFor {
+	for old < len(l.deaths) && now-l.deaths[old].at >= deathReportTime {
 		old++
 	}
 	l.deaths = l.deaths[old:]
 }
 
-// newDeaths gives those that no report has told of yet.
-func (r *Reducer) newDeaths() []*pb.ServerDied {
+// unreportedDeaths returns the crashes that no report has contained yet.
+func (r *Reducer) unreportedDeaths() []*pb.ServerDied {
 	var list []*pb.ServerDied
-	for i := range r.peers.live.deaths {
-		if d := &r.peers.live.deaths[i]; !d.told {
-			d.told = true
+	for i := range r.peers.liveness.deaths {
+		if d := &r.peers.liveness.deaths[i]; !d.reported {
+			d.reported = true
 			list = append(list, d.proto(r.now))
 		}
 	}
 	return list
 }
 
-// allDeaths gives those of the last moments.
-func (r *Reducer) allDeaths() []*pb.ServerDied {
-	list := make([]*pb.ServerDied, 0, len(r.peers.live.deaths))
-	for i := range r.peers.live.deaths {
-		list = append(list, r.peers.live.deaths[i].proto(r.now))
+// recentDeaths returns all recent crashes.
+func (r *Reducer) recentDeaths() []*pb.ServerDied {
+	list := make([]*pb.ServerDied, 0, len(r.peers.liveness.deaths))
+	for i := range r.peers.liveness.deaths {
+		list = append(list, r.peers.liveness.deaths[i].proto(r.now))
 	}
 	return list
 }
@@ -106,45 +109,45 @@
 	return &pb.ServerDied{Server: d.server, IncarnationHash: d.hash, AgeMs: uint32((now - d.at).Milliseconds())}
 }
 
-// heardDied keeps new work off servers that other entries saw die. pass tells that others
-// are to be told.
-func (r *Reducer) heardDied(list []*pb.ServerDied, pass bool) {
-	for _, told := range list {
-		at := r.now - ageOf(told.GetAgeMs())
-		if pass {
-			r.noteDeath(told.GetServer(), told.GetIncarnationHash(), at)
+// applyPeerDeaths keeps new work off servers that other entries saw crash. forward tells that
+// this entry must report the crashes further.
+func (r *Reducer) applyPeerDeaths(list []*pb.ServerDied, forward bool) {
+	for _, item := range list {
+		at := r.now - ageOf(item.GetAgeMs())
+		if forward {
+			r.recordDeath(item.GetServer(), item.GetIncarnationHash(), at)
 		}
-		s := r.servers.lifeByHash(told.GetServer(), told.GetIncarnationHash())
-		if s == nil || s.aliveAt >= at || s.coolUntil >= at+peerDeathFor {
+		s := r.servers.byIncarnationHash(item.GetServer(), item.GetIncarnationHash())
+		if s == nil || s.aliveAt >= at || s.coolUntil >= at+peerDeathCoolDown {
 			continue
 		}
-		s.coolUntil = at + peerDeathFor
+		s.coolUntil = at + peerDeathCoolDown
 		r.sharedFleet = nil
-		r.logServer(s, "another entry saw it die")
+		r.logServer(s, "another entry reported its crash")
 	}
 }
 
-// newWords gives the servers' own words that no report has told of yet, while control's word
-// runs out.
-func (r *Reducer) newWords() []*pb.ServerAlive {
-	if !r.unsure() {
+// unreportedAlive returns the servers that reported themselves serving and that no report has
+// contained yet, while the lease is expiring.
+func (r *Reducer) unreportedAlive() []*pb.ServerAlive {
+	if !r.leaseExpiring() {
 		return nil
 	}
 	var list []*pb.ServerAlive
 	for _, s := range r.servers.sorted {
-		if s.wordIsNew && s.confirmed(r.now) && !s.wants.Leaving {
-			s.wordIsNew = false
+		if s.aliveUnreported && s.confirmed(r.now) && !s.backpressure.Leaving {
+			s.aliveUnreported = false
 			list = append(list, s.aliveProto(r.now))
 		}
 	}
 	return list
 }
 
-// words gives all servers' own words that still count.
-func (r *Reducer) words() []*pb.ServerAlive {
+// allAlive returns all servers whose own report of serving is recent enough to count.
+func (r *Reducer) allAlive() []*pb.ServerAlive {
 	var list []*pb.ServerAlive
 	for _, s := range r.servers.sorted {
-		if s.confirmed(r.now) && !s.wants.Leaving {
+		if s.confirmed(r.now) && !s.backpressure.Leaving {
 			list = append(list, s.aliveProto(r.now))
 		}
 	}
@@ -153,57 +156,57 @@
 
 func (s *server) aliveProto(now time.Duration) *pb.ServerAlive {
 	return &pb.ServerAlive{
-		Server: s.pb.Id, IncarnationHash: s.lifeHash(), AgeMs: uint32((now - s.ownAt).Milliseconds()),
+		Server: s.pb.Id, IncarnationHash: s.incarnationHash(), AgeMs: uint32((now - s.ownStateAt).Milliseconds()),
 	}
 }
 
-// heardAlive takes words that other entries heard of servers, which were sent at that time
-// or later. pass tells that others are to be told.
-func (r *Reducer) heardAlive(list []*pb.ServerAlive, sent time.Duration, pass bool) {
-	for _, told := range list {
-		s := r.servers.lifeByHash(told.GetServer(), told.GetIncarnationHash())
-		at := sent - ageOf(told.GetAgeMs())
-		if s == nil || at <= s.ownAt {
+// applyPeerAlive applies reports of serving servers that other entries received. They were sent
+// at sentAt or later. forward tells that this entry must report them further.
+func (r *Reducer) applyPeerAlive(list []*pb.ServerAlive, sentAt time.Duration, forward bool) {
+	for _, item := range list {
+		s := r.servers.byIncarnationHash(item.GetServer(), item.GetIncarnationHash())
+		at := sentAt - ageOf(item.GetAgeMs())
+		if s == nil || at <= s.ownStateAt {
 			continue
 		}
-		s.ownState, s.ownAt, s.wordIsNew = engineapi.StateServing, at, pass
+		s.ownState, s.ownStateAt, s.aliveUnreported = engineapi.StateServing, at, forward
 		r.sharedFleet = nil
 	}
 }
 
 func ageOf(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// lifeHash stands for the server's life in what entries tell each other.
-func (s *server) lifeHash() uint64 { return xxhash.Sum64String(s.pb.Incarnation) }
+// incarnationHash identifies the server's incarnation in messages between entries.
+func (s *server) incarnationHash() uint64 { return xxhash.Sum64String(s.pb.Incarnation) }
 
-// lifeByHash gives the server if the incarnation in force has that hash, else nil.
-func (t *serverTable) lifeByHash(id string, hash uint64) *server {
+// byIncarnationHash returns the server if its current incarnation has that hash, else nil.
+func (t *serverTable) byIncarnationHash(id string, hash uint64) *server {
 	s := t.byID[id]
-	if s == nil || s.lifeHash() != hash {
+	if s == nil || s.incarnationHash() != hash {
 		return nil
 	}
 	return s
 }
 
-// probes tells whether this entry asks the server for its own word. Without groups each
-// entry asks all. In groups an aggregator asks those that were dealt to it and gave no word
-// lately; a member asks only while no aggregator tells it.
+// shouldProbe tells whether this entry probes the server. Without groups each entry probes all
+// servers. In groups an aggregator probes those assigned to it that reported no state recently.
+// A group member probes only while it has no aggregator that answers.
 //
-// All servers are dealt, also those that are not asked: another aggregator may not know that
-// one of them failed, and would deal those after it to others than this one does.
-func (r *Reducer) probes(s *server, deal *dealer) bool {
+// All servers are assigned, including those that are not probed. Another aggregator may not know
+// that one of them failed, and would otherwise assign all servers after it differently.
+func (r *Reducer) shouldProbe(s *server, partition *partition) bool {
 	g := &r.peers.group
-	own := deal.groupOf(s.pb) == deal.own
+	own := partition.groupOf(s.pb) == partition.ownGroup
 	switch {
-	case s.wants.Leaving, s.wants.Resting(r.now):
+	case s.backpressure.Leaving, s.backpressure.Resting(r.now):
 		return false
 	case s.failures > 0:
 		return true
 	case !r.stale():
 		return false
-	case g.aggregates:
-		return own && r.now-s.ownAt >= probeAfter
-	case g.isMember():
+	case g.isAggregator:
+		return own && r.now-s.ownStateAt >= probeSilence
+	case g.isGroupMember():
 		return g.aggregator(r.now) == nil || r.now < g.pauseUntil
 	default:
 		return true
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -30,7 +30,7 @@
 	w.after(maxLease)
 	asked := make(map[string]bool)
 	for range 4 {
-		w.after(probeEvery)
+		w.after(probeInterval)
 		for _, p := range pick[Probe](w.step(Tick{})) {
 			asked[p.Server] = true
 		}
@@ -88,7 +88,7 @@
 	asked := make(map[string]int)
 	for i := range entries {
 		w := groupWorld(t, entries, i, servers...)
-		if !w.r.peers.group.aggregates {
+		if !w.r.peers.group.isAggregator {
 			continue
 		}
 		failed := w.r.servers.byID[fmt.Sprint("engine-", i%len(servers))]
@@ -99,7 +99,7 @@
 				asked[p.Server]++
 			}
 		}
-		if own := w.r.peers.group.dealer(w.now); ownsServer(&own, servers, failed.pb.Id) {
+		if own := w.r.peers.group.partition(w.now); ownsServer(&own, servers, failed.pb.Id) {
 			asked[failed.pb.Id]++
 		}
 	}
@@ -111,12 +111,12 @@
 }
 
 // ownsServer tells whether a server is dealt to the dealer's own group.
-func ownsServer(d *dealer, servers []*pb.BackendServer, id string) bool {
+func ownsServer(d *partition, servers []*pb.BackendServer, id string) bool {
 	owns := false
 	list := slices.Clone(servers)
 	slices.SortFunc(list, func(a, b *pb.BackendServer) int { return cmp.Compare(a.Id, b.Id) })
 	for _, s := range list {
-		if d.groupOf(s) == d.own && s.Id == id {
+		if d.groupOf(s) == d.ownGroup && s.Id == id {
 			owns = true
 		}
 	}
@@ -133,7 +133,7 @@
 	earlier := toldAlive("engine-1", 0)
 	earlier.IncarnationHash++
 	member.step(SumReceived{SentAt: member.now, Sum: &pb.PeerSum{
-		Aggregator: "a", Alive: []*pb.ServerAlive{toldAlive("engine-0", uint32(confirmFor.Milliseconds())), earlier, toldAlive("engine-2", 0)},
+		Aggregator: "a", Alive: []*pb.ServerAlive{toldAlive("engine-0", uint32(confirmationTime.Milliseconds())), earlier, toldAlive("engine-2", 0)},
 	}})
 	member.relayed("r1", nil)
 	if r := member.refused(); r == nil {
@@ -164,18 +164,18 @@
 			t.Errorf("sent to %s, which died", d.Server)
 		}
 	}
-	member.after(peerDeathFor)
+	member.after(peerDeathCoolDown)
 	member.renew()
 	member.relayed("later", nil)
 	if d := member.dispatched(); d.Server != "engine-0" {
 		t.Errorf("engine-0 is not tried again: sent to %s", d.Server)
 	}
-	sums.after(aggregatorReportEvery)
+	sums.after(aggregatorReportInterval)
 	reports := pick[ReportToPeers](sums.step(Tick{}))
 	if len(reports) != 1 || len(reports[0].Request.Died) != 1 {
 		t.Errorf("other aggregators are told %+v", reports)
 	}
-	sums.after(deathToldFor)
+	sums.after(deathReportTime)
 	sums.step(Tick{})
 	if late := sums.askedBy(member, 0); len(late.Died) != 0 {
 		t.Errorf("still told of %v", late.Died)
@@ -188,15 +188,15 @@
 func TestLongPromptsAreToldAtOnce(t *testing.T) {
 	for tokens, want := range map[uint64]int{20000: 1, 300: 0} {
 		_, sums := worldsOf(t, manyEntries(191), serving(2)...)
-		sums.after(aggregatorReportEvery)
-		sums.r.peers.reported(sums.now, true)
+		sums.after(aggregatorReportInterval)
+		sums.r.peers.reportSent(sums.now, true)
 		sums.step(PeerReported{Request: &pb.PeerReport{
 			ClusterId: "test", Entry: "a member", Incarnation: "p1", Sequence: 1,
 			Servers: []*pb.ServerBacklog{{Server: "engine-0", Requests: 1, UnreadTokens: []uint64{0, tokens}}},
 		}})
-		sums.after(peerReportEvery)
+		sums.after(minPeerReportInterval)
 		if reports := pick[ReportToPeers](sums.step(Tick{})); len(reports) != want {
-			t.Errorf("%d tokens: %d reports after %v, want %d", tokens, len(reports), peerReportEvery, want)
+			t.Errorf("%d tokens: %d reports after %v, want %d", tokens, len(reports), minPeerReportInterval, want)
 		}
 	}
 }
--- a/internal/entry/beliefs_test.go
+++ b/internal/entry/logging_test.go
@@ -17,8 +17,8 @@
 		var list []LogDecision
 		for range 60 {
 			w.r.effects = nil
-			w.r.speeds.reading(s).Observe(w.r.now, 1000, took, &s.slowness)
-			w.r.noteSlowness(s)
+			w.r.speeds.prefillEstimate(s).Observe(w.r.now, 1000, took, &s.slowness)
+			w.r.logSlowness(s)
 			list = append(list, pick[LogDecision](w.r.effects)...)
 		}
 		return list
--- a/internal/entry/rest_test.go
+++ b/internal/entry/pause_test.go
@@ -114,7 +114,7 @@
 	w.step(ProbeFailed{Server: "engine-0", Incarnation: "life-1"})
 	probed := make(map[string]int)
 	for range 50 {
-		w.after(probeEvery)
+		w.after(probeInterval)
 		for _, p := range pick[Probe](w.step(Tick{})) {
 			probed[p.Server]++
 		}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -8,92 +8,97 @@
 )
 
 const (
-	// peerReportEvery is the shortest time between two reports to other entries. With one
-	// every 10, 20, 50 ms nine waits of ten at engines of 75,000 tokens/s were shorter than
-	// 41, 59, 109 ms, by counts alone than 207 ms (TestPeerReportsShortenTheWait).
-	peerReportEvery = 20 * time.Millisecond
-	// peerReportPart is how much reading must have begun or ended for a report, as a part
-	// of the time in which prompts are read: one short prompt more changes no choice, and
-	// each report costs bytes between data centres. With one for every prompt, nine entries
-	// spent as much on reports as on everything else.
-	peerReportPart = 0.6
-	// minNews and maxNews bound it.
-	minNews = 20 * time.Millisecond
-	maxNews = 150 * time.Millisecond
-	// peerReportAgain repeats a report that has not changed, so that it counts on
-	// (decision.PeerReportFor) though one or two are lost.
-	peerReportAgain = 300 * time.Millisecond
-	// aggregatorReportEvery is the shortest time between two reports of an aggregator to the
-	// others. Groups send to servers of their own first, so that what others know late costs
-	// little; each aggregator hears all others, so that the pace costs much.
-	aggregatorReportEvery = 100 * time.Millisecond
-	// endReportEvery is how long a member keeps back what has ended; it goes with the next
-	// request that is sent, if there is one.
-	endReportEvery = 100 * time.Millisecond
-	// sentReportEvery bounds the reports of requests that were just sent on: the next entry
-	// that chooses must know of them.
-	sentReportEvery = 5 * time.Millisecond
-	// idleReportAgain repeats in groups that there is nothing, well within
-	// decision.IdleReportFor, so that an aggregator that has started anew learns it.
-	idleReportAgain = 2 * time.Second
+	// minPeerReportInterval is the shortest time between two reports to other entries. With a
+	// report every 10, 20 or 50 ms the 90th percentile of the queue wait at engines of 75,000
+	// tokens/s was 41, 59 or 109 ms. With request counts alone it was 207 ms
+	// (TestPeerReportsShortenTheWait).
+	minPeerReportInterval = 20 * time.Millisecond
+	// peerReportFraction is how much prefill time must have begun or ended for a report, as a
+	// fraction of the time that prompts usually take to prefill. One more short prompt changes
+	// no placement, and each report costs bandwidth between data centres. With a report for each
+	// prompt, nine entries spent as much on reports as on everything else.
+	peerReportFraction = 0.6
+	// minPrefillChange and maxPrefillChange bound that prefill time.
+	minPrefillChange = 20 * time.Millisecond
+	maxPrefillChange = 150 * time.Millisecond
+	// peerReportRepeat is when an unchanged report is sent again, so that it stays valid
+	// (decision.PeerReportFor) even if one or two reports are lost.
+	peerReportRepeat = 300 * time.Millisecond
+	// aggregatorReportInterval is the shortest time between two reports of an aggregator to the
+	// other aggregators. Groups prefer servers of their own, so that delayed knowledge of other
+	// groups costs little. Each aggregator receives the reports of all others, so that a short
+	// interval costs much.
+	aggregatorReportInterval = 100 * time.Millisecond
+	// endReportInterval is how long a group member delays the report of ended requests. It is
+	// sent together with the next dispatch, if there is one.
+	endReportInterval = 100 * time.Millisecond
+	// sentReportInterval is the shortest time between reports of new dispatches. It is short,
+	// since the next entry that chooses a server must know of them.
+	sentReportInterval = 5 * time.Millisecond
+	// idleReportInterval is when an entry in a group repeats that it has no requests, well
+	// within decision.IdleReportFor, so that a restarted aggregator learns of it.
+	idleReportInterval = 2 * time.Second
 )
 
-// mostPeers is the part of the other entries that must have reported lately for what they
-// report to count as all that is known of parts: one may stop or be cut off.
-const mostPeers = 0.5
+// minPeersKnown is the fraction of the other entries that must have reported recently for their
+// reports to count as complete knowledge of prompt prefixes. It is below 1 because an entry may
+// stop or be cut off.
+const minPeersKnown = 0.5
 
-// peerBacklogs is what entries report to each other of their work at backend servers.
+// peerBacklogs holds what entries report to each other about their work at backend servers.
 type peerBacklogs struct {
-	heard *decision.Peers
-	group group
-	live  liveness
-	// news is how much reading at engines has begun or ended for this entry since its last report;
-	// that a stream has ended can wait for the next report.
-	news time.Duration
-	// sent is set since a request was sent on or a death was seen, changed since anything
-	// else was that peers know of, both by the last report.
-	sent, changed bool
-	// anything is set while the last report named any server.
-	anything   bool
-	sequence   uint64
-	reportedAt time.Duration
-	// most is set while most of the other entries report.
-	most bool
-	// reads are the shared parts that servers were seen to read since then.
-	reads []*pb.PartsRead
+	reports  *decision.Peers
+	group    group
+	liveness liveness
+	// prefillChange is how much prefill time has begun or ended at this entry since its last
+	// report. The end of a stream can wait for the next report.
+	prefillChange time.Duration
+	// sendPending is set if a request was dispatched or a crash observed since the last report,
+	// changePending if anything else changed that peers know of.
+	sendPending, changePending bool
+	// reportedAny is set if the last report contained any server.
+	reportedAny bool
+	sequence    uint64
+	reportedAt  time.Duration
+	// mostKnown is set while most of the other entries report.
+	mostKnown bool
+	// prefixes are the shared prompt prefixes that servers were seen to prefill since the last
+	// report.
+	prefixes []*pb.PartsRead
 }
 
-// maxReads bounds the parts in one report: more than an entry's prompts of a second.
-const maxReads = 64
+// maxReportedPrefixes bounds the prefixes in one report. It is more than the prompts that an
+// entry handles in a second.
+const maxReportedPrefixes = 64
 
-// read notes that a server has read a prompt, for the next report.
-func (p *peerBacklogs) read(server string, w *decision.Work) {
+// prefixRead records for the next report that a server has prefilled a prompt.
+func (p *peerBacklogs) prefixRead(server string, w *decision.Work) {
 	if decision.PartsTold(w) {
-		p.noteRead(&pb.PartsRead{Server: server, Chain: w.Prefix[:w.Shared]})
+		p.recordPrefix(&pb.PartsRead{Server: server, Chain: w.Prefix[:w.Shared]})
 	}
 }
 
-// noteRead keeps a part that was read for the next report and, at an aggregator, for its
+// recordPrefix keeps a prefilled prefix for the next report and, at an aggregator, for its group
 // members.
-func (p *peerBacklogs) noteRead(read *pb.PartsRead) {
-	if len(p.reads) < maxReads {
-		p.reads = append(p.reads, read)
+func (p *peerBacklogs) recordPrefix(read *pb.PartsRead) {
+	if len(p.prefixes) < maxReportedPrefixes {
+		p.prefixes = append(p.prefixes, read)
 	}
-	p.group.reads.add(read)
+	p.group.prefixes.add(read)
 }
 
-func newPeerBacklogs() peerBacklogs { return peerBacklogs{heard: decision.NewPeers()} }
+func newPeerBacklogs() peerBacklogs { return peerBacklogs{reports: decision.NewPeers()} }
 
-// known is the part of the other entries whose backlogs are known.
-func (p *peerBacklogs) known(r *Reducer) float64 {
-	return p.heard.Known(r.now, len(r.view.entries)-1)
+// knownFraction is the fraction of the other entries whose backlogs are known.
+func (p *peerBacklogs) knownFraction(r *Reducer) float64 {
+	return p.reports.Known(r.now, len(r.view.entries)-1)
 }
 
-// notePeers writes a line when most of the other entries begin or cease to report.
-func (r *Reducer) notePeers() {
-	known := r.peers.known(r)
-	if most := known >= mostPeers; most != r.peers.most {
-		r.peers.most = most
+// logPeersKnown logs when most of the other entries start or stop reporting.
+func (r *Reducer) logPeersKnown() {
+	known := r.peers.knownFraction(r)
+	if most := known >= minPeersKnown; most != r.peers.mostKnown {
+		r.peers.mostKnown = most
 		reason := "few peers report; their backlogs are estimated from counts"
 		if most {
 			reason = "most peers report their backlogs"
@@ -104,21 +109,21 @@
 	}
 }
 
-// noteSent notes that a request was sent to a server, which the next choice must know of.
-func (r *Reducer) noteSent(s *server) {
+// markSent records a dispatch to a server, of which the next entry that chooses must know.
+func (r *Reducer) markSent(s *server) {
 	if s.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL {
-		r.peers.sent = true
+		r.peers.sendPending = true
 	}
 }
 
-// noteReading counts a prompt whose reading begins or ends as news.
-func (r *Reducer) noteReading(q *request) {
+// countPrefillChange adds the prefill time of a prompt whose prefill begins or ends.
+func (r *Reducer) countPrefillChange(q *request) {
 	s := q.prefiller()
-	if s == nil || !r.speeds.learns(s) {
+	if s == nil || !r.speeds.learnsFrom(s) {
 		return
 	}
-	seconds := float64(q.unread) / r.speeds.reading(s).Rate()
-	r.peers.news += time.Duration(seconds * float64(time.Second))
+	seconds := float64(q.prefillTokens) / r.speeds.prefillEstimate(s).Rate()
+	r.peers.prefillChange += time.Duration(seconds * float64(time.Second))
 }
 
 func (r *Reducer) peerReported(ev PeerReported) {
@@ -127,34 +132,34 @@
 		return
 	}
 	p := &r.peers
-	if p.group.isMember() {
-		// The sender holds another view: its backlog comes with the aggregator's sum.
+	if p.group.isGroupMember() {
+		// The sender has a different view. Its backlog arrives with the aggregator's sum.
 		return
 	}
 	for _, read := range req.GetReads() {
 		r.decide.picker.HoldsParts(r.now, read.GetServer(), read.GetChain())
 		if req.GetSummed() > 0 {
-			p.group.reads.add(read)
+			p.group.prefixes.add(read)
 			continue
 		}
-		if p.group.aggregates {
-			p.noteRead(read)
+		if p.group.isAggregator {
+			p.recordPrefix(read)
 		}
 	}
-	before := p.heard.Unread(req.GetEntry())
-	p.heard.Take(r.now, req.GetEntry(), decision.PeerReport{
+	before := p.reports.Unread(req.GetEntry())
+	p.reports.Take(r.now, req.GetEntry(), decision.PeerReport{
 		Incarnation: req.GetIncarnation(), Sequence: req.GetSequence(), Entries: 1 + int(req.GetSummed()),
-		Valid: p.group.validFor(req.GetServers()), Servers: backlogsOf(req.GetServers()),
+		Valid: p.group.reportValidity(req.GetServers()), Servers: backlogsOf(req.GetServers()),
 	})
-	fromMember := p.group.aggregates && req.GetSummed() == 0
-	r.heardDied(req.GetDied(), fromMember)
-	r.heardAlive(req.GetAlive(), r.now, fromMember)
-	r.heardLimits(req.GetWords(), fromMember)
-	r.heardOthersLeaving(req.GetLeaving(), fromMember)
-	// What one aggregator tells another goes no further.
-	p.changed = p.changed || fromMember
-	if more := p.heard.Unread(req.GetEntry()) - before; fromMember && more > 0 && r.speeds.assumed.PrefillRate > 0 {
-		p.news += time.Duration(float64(more) / r.speeds.assumed.PrefillRate * float64(time.Second))
+	fromMember := p.group.isAggregator && req.GetSummed() == 0
+	r.applyPeerDeaths(req.GetDied(), fromMember)
+	r.applyPeerAlive(req.GetAlive(), r.now, fromMember)
+	r.applyPeerLimits(req.GetWords(), fromMember)
+	r.applyPeerLeaving(req.GetLeaving(), fromMember)
+	// Reports between aggregators are not forwarded.
+	p.changePending = p.changePending || fromMember
+	if more := p.reports.Unread(req.GetEntry()) - before; fromMember && more > 0 && r.speeds.assumed.PrefillRate > 0 {
+		p.prefillChange += time.Duration(float64(more) / r.speeds.assumed.PrefillRate * float64(time.Second))
 	}
 	r.sharedFleet = nil
 }
@@ -171,54 +176,54 @@
 	return servers
 }
 
-// reportToPeers reports to the other entries, or to those of its group's that sum up, what
-// this one has at servers that report counts only.
+// reportToPeers reports this entry's requests at servers that report counts only to the other
+// entries or, in groups, to the aggregators concerned.
 func (r *Reducer) reportToPeers() {
 	p := &r.peers
-	if r.speeds.assumed.PrefillRate <= 0 || r.now-p.reportedAt < p.reportWait(r) {
+	if r.speeds.assumed.PrefillRate <= 0 || r.now-p.reportedAt < p.reportInterval(r) {
 		return
 	}
 	addresses := r.reportAddresses()
-	servers, summed := r.backlogs(), 0
-	if p.group.aggregates {
+	servers, summed := r.ownBacklogs(), 0
+	if p.group.isAggregator {
 		servers, summed = r.groupBacklogs(servers)
 	}
-	nothing := len(servers) == 0 && !p.anything && !p.group.formed
+	nothing := len(servers) == 0 && !p.reportedAny && !p.group.formed
 	if len(addresses) == 0 || nothing {
-		p.reported(r.now, false)
+		p.reportSent(r.now, false)
 		return
 	}
 	p.sequence++
 	r.emit(ReportToPeers{Addresses: addresses, Request: &pb.PeerReport{
 		ClusterId: r.cfg.Cluster, Entry: r.cfg.Identity.GetName(), Incarnation: r.cfg.Identity.GetIncarnation(),
-		Sequence: p.sequence, Servers: servers, Reads: p.reads, Summed: uint32(summed),
-		Alive: r.newWords(), Died: r.newDeaths(), Words: r.newLimits(), Leaving: r.newLeaving(),
+		Sequence: p.sequence, Servers: servers, Reads: p.prefixes, Summed: uint32(summed),
+		Alive: r.unreportedAlive(), Died: r.unreportedDeaths(), Words: r.unreportedLimits(), Leaving: r.unreportedLeaving(),
 	}})
-	p.reported(r.now, len(servers) > 0)
+	p.reportSent(r.now, len(servers) > 0)
 }
 
-// reported begins the wait for the next report.
-func (p *peerBacklogs) reported(now time.Duration, anything bool) {
-	p.reportedAt, p.news, p.anything, p.reads = now, 0, anything, nil
-	p.sent, p.changed = false, false
+// reportSent starts the wait for the next report.
+func (p *peerBacklogs) reportSent(now time.Duration, any bool) {
+	p.reportedAt, p.prefillChange, p.reportedAny, p.prefixes = now, 0, any, nil
+	p.sendPending, p.changePending = false, false
 }
 
-// reportWait is how long after the last report the next one is due.
-func (p *peerBacklogs) reportWait(r *Reducer) time.Duration {
+// reportInterval is the time from the last report to the next one.
+func (p *peerBacklogs) reportInterval(r *Reducer) time.Duration {
 	switch {
 	case p.group.formed:
-		return p.groupWait()
-	case p.news > 0 && p.news >= r.speeds.pace(peerReportPart, minNews, maxNews):
-		return peerReportEvery
+		return p.groupReportInterval()
+	case p.prefillChange > 0 && p.prefillChange >= r.speeds.prefillTimeFraction(peerReportFraction, minPrefillChange, maxPrefillChange):
+		return minPeerReportInterval
 	default:
-		return peerReportAgain
+		return peerReportRepeat
 	}
 }
 
-// reportAddresses are the entries that get this one's reports.
+// reportAddresses returns the entries that get this entry's reports.
 func (r *Reducer) reportAddresses() []string {
 	if r.peers.group.formed {
-		return r.peers.group.reportTo(r.now)
+		return r.peers.group.reportTargets(r.now)
 	}
 	return r.peerAddresses()
 }
@@ -233,8 +238,8 @@
 	return list
 }
 
-// backlogs is what this entry has at the servers.
-func (r *Reducer) backlogs() []*pb.ServerBacklog {
+// ownBacklogs returns this entry's requests at the servers.
+func (r *Reducer) ownBacklogs() []*pb.ServerBacklog {
 	var list []*pb.ServerBacklog
 	for _, s := range r.servers.sorted {
 		if len(s.running) == 0 || s.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL {
@@ -246,7 +251,7 @@
 }
 
 func (r *Reducer) backlogAt(s *server) decision.Backlog {
-	sent := r.sent(s)
+	sent := r.outstanding(s)
 	return decision.Backlog{Requests: sent.Requests, Unread: sent.Unread, KV: sent.KVTokens}
 }
 
@@ -256,7 +261,7 @@
 	}
 }
 
-// unreadByRank leaves out the ranks after the last that has any.
+// unreadByRank leaves out the ranks after the last one with tokens.
 func unreadByRank(u *decision.Unread) []uint64 {
 	var list []uint64
 	for rank, tokens := range u {
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -49,7 +49,7 @@
 func TestEntryReportsItsBacklog(t *testing.T) {
 	w := relayedWorld(t)
 	w.viewWithPeers(2, serving(1)...)
-	w.after(peerReportEvery)
+	w.after(minPeerReportInterval)
 	long := func(a *RequestArrived) { a.Work.PromptTokens = 10000 }
 	w.relayed("r1", long)
 	d := w.dispatched()
@@ -65,11 +65,11 @@
 		t.Errorf("reported again in the same instant: %+v", early)
 	}
 	second := w.dispatched()
-	w.after(peerReportEvery)
+	w.after(minPeerReportInterval)
 	if next := pick[ReportToPeers](w.step(Tick{})); len(next) != 1 || next[0].Request.Servers[0].Requests != 2 {
 		t.Fatalf("20 ms later: reported %+v", next)
 	}
-	w.after(peerReportEvery)
+	w.after(minPeerReportInterval)
 	if short := pick[ReportToPeers](w.relayed("r3", nil)); len(short) != 0 {
 		t.Errorf("reported a prompt of 100 tokens: %+v", short)
 	}
@@ -77,12 +77,12 @@
 	for _, d := range []Dispatch{d, second, third} {
 		w.ended(d, func(ev *AttemptEnded) { ev.Complete = true })
 	}
-	w.after(peerReportAgain)
+	w.after(peerReportRepeat)
 	last := pick[ReportToPeers](w.step(Tick{}))
 	if len(last) != 1 || len(last[0].Request.Servers) != 0 || last[0].Request.Sequence <= reports[0].Request.Sequence {
 		t.Fatalf("with nothing any more: reported %+v", last)
 	}
-	w.after(2 * peerReportAgain)
+	w.after(2 * peerReportRepeat)
 	w.renew()
 	if more := pick[ReportToPeers](w.step(Tick{})); len(more) != 0 {
 		t.Errorf("reported though nothing has changed: %+v", more)
@@ -95,7 +95,7 @@
 	w := relayedWorld(t)
 	w.viewWithPeers(69, serving(1)...)
 	w.relayed("r1", nil)
-	w.after(sentReportEvery)
+	w.after(sentReportInterval)
 	reports := pick[ReportToPeers](w.step(Tick{}))
 	if len(reports) != 1 || len(reports[0].Addresses) != 1 || len(reports[0].Request.Servers) != 1 {
 		t.Errorf("reported %+v", reports)
--- a/internal/entry/permits.go
+++ b/internal/entry/permits.go
@@ -12,83 +12,89 @@
 )
 
 const (
-	// maxKeepers is how many entries are tried as the keeper of a schedule before this one sends
-	// its part of the limit alone.
-	maxKeepers = 3
-	// avoidKeeper is how long one that gave no answer is passed by.
-	avoidKeeper = 2 * time.Second
-	// leastSought and soughtFor bound the permits that are asked for at once: some, or what the
-	// server takes in that time.
-	leastSought = 4
-	soughtFor   = 250 * time.Millisecond
+	// maxOwnersTried is how many entries are tried as the owner of a schedule before this entry
+	// sends its share of the limit on its own.
+	maxOwnersTried = 3
+	// ownerAvoidance is how long an owner that gave no answer is avoided.
+	ownerAvoidance = 2 * time.Second
+	// minPermitBatch and permitBatchTime bound the permits requested at once: the larger of
+	// minPermitBatch and what the server accepts during permitBatchTime.
+	minPermitBatch  = 4
+	permitBatchTime = 250 * time.Millisecond
 )
 
-// lifeKey names one life of a server.
-type lifeKey struct {
+// incarnationKey identifies one incarnation of a server.
+type incarnationKey struct {
 	server string
 	hash   uint64
 }
 
-// permits is what the entry keeps for the limits of servers.
+// permits holds the state of this entry for the rate limits of servers.
 type permits struct {
-	// schedules are those that it keeps for all entries.
-	schedules map[lifeKey]*backpressure.Schedule
-	// silentUntil is until when entries that gave no answers are passed by, by address.
-	silentUntil map[string]time.Duration
+	// schedules are those that this entry owns on behalf of all entries.
+	schedules map[incarnationKey]*backpressure.Schedule
+	// avoidUntil tells until when entries that gave no answer are avoided, by address.
+	avoidUntil map[string]time.Duration
 }
 
 func newPermits() permits {
 	return permits{
-		schedules: make(map[lifeKey]*backpressure.Schedule), silentUntil: make(map[string]time.Duration),
+		schedules: make(map[incarnationKey]*backpressure.Schedule), avoidUntil: make(map[string]time.Duration),
 	}
 }
 
-// keeper gives the entry that keeps a server's schedule: the first by a hash that all entries
-// reckon alike, of those that answer. Empty name: none does.
-func (r *Reducer) keeper(server string) (name, address string) {
-	var best []EntryWeight
+// scheduleOwner returns the entry that owns a server's permit schedule: the first by rendezvous
+// hash, the same at all entries, that has not timed out recently. The name is empty if there is
+// none.
+func (r *Reducer) scheduleOwner(server string) (name, address string) {
+	var candidates []EntryWeight
 	for _, e := range r.view.entries {
 		id := e.info.GetIdentity()
 		if !e.info.GetLeaving() && (id.GetPeerAddress() != "" || id.GetName() == r.cfg.Identity.GetName()) {
-			best = append(best, EntryWeight{Name: id.GetName(), Address: id.GetPeerAddress()})
+			candidates = append(candidates, EntryWeight{Name: id.GetName(), Address: id.GetPeerAddress()})
 		}
 	}
-	if len(best) == 0 {
+	if len(candidates) == 0 {
 		return r.cfg.Identity.GetName(), ""
 	}
-	slices.SortFunc(best, func(a, b EntryWeight) int { return compareScore(a, b, server) })
-	for _, e := range best[:min(maxKeepers, len(best))] {
-		if e.Name == r.cfg.Identity.GetName() || r.now >= r.permits.silentUntil[e.Address] {
+	slices.SortFunc(candidates, func(a, b EntryWeight) int { return compareByHash(a, b, server) })
+	for _, e := range candidates[:min(maxOwnersTried, len(candidates))] {
+		if e.Name == r.cfg.Identity.GetName() || r.now >= r.permits.avoidUntil[e.Address] {
 			return e.Name, e.Address
 		}
 	}
 	return "", ""
 }
 
-// maxSought is how many permits for a server with that limit may be asked for at once.
-func maxSought(rate float64) int {
-	return max(leastSought, int(min(rate, maxRate)*soughtFor.Seconds()))
+// maxPermitBatch is how many permits may be requested at once for a server with that limit.
+func maxPermitBatch(rate float64) int {
+	return max(minPermitBatch, int(min(rate, maxLimitRate)*permitBatchTime.Seconds()))
 }
 
-// maxRate bounds the limits that are reckoned with: beyond it there is none in effect.
-const maxRate = 1e6
+// maxLimitRate bounds the rates used in calculations. A higher limit restricts nothing in
+// practice.
+const maxLimitRate = 1e6
 
-// seek notes that a request finds servers closed that could run it.
-func (r *Reducer) seek(w *decision.Work) {
-	r.closedFor(w, func(s *server) {
-		if s.wants.Limit.Wants(r.now) {
-			s.sought++
+// countBlocked counts, for each server that has no permit left, that a request could run there.
+func (r *Reducer) countBlocked(w *decision.Work) {
+	r.forEachBlockedServer(w, func(s *server) {
+		if s.backpressure.Limit.Wants(r.now) {
+			s.blocked++
 		}
 	})
 }
 
-// miss notes that a request came while servers were closed that could run it.
-func (r *Reducer) miss(w *decision.Work) { r.closedFor(w, func(s *server) { s.missed++ }) }
+// countBlockedArrival counts a new request for each server that could run it but has no permit
+// left.
+func (r *Reducer) countBlockedArrival(w *decision.Work) {
+	r.forEachBlockedServer(w, func(s *server) { s.blockedArrivals++ })
+}
 
-// closedFor calls f for each server that could run the work, were it not closed.
-func (r *Reducer) closedFor(w *decision.Work, f func(*server)) {
-	for _, s := range r.servers.bounded {
-		if s.wants.Limit.Open(r.now) || s.wants.Resting(r.now) || !s.inUse(r.now, r.stale()) {
+// forEachBlockedServer calls f for each server that could run the work if a permit were
+// available.
+func (r *Reducer) forEachBlockedServer(w *decision.Work, f func(*server)) {
+	for _, s := range r.servers.restricted {
+		if s.backpressure.Limit.Open(r.now) || s.backpressure.Resting(r.now) || !s.available(r.now, r.stale()) {
 			continue
 		}
 		if d := r.decisionServer(s, true); d.Serves(w) {
@@ -97,28 +103,28 @@
 	}
 }
 
-// askPermits asks for permits for the servers that were sought in this step.
-func (r *Reducer) askPermits() {
+// requestPermits requests permits for the servers that blocked requests in this step.
+func (r *Reducer) requestPermits() {
 	opened := false
-	for _, s := range r.servers.bounded {
-		if s.sought > 0 && s.wants.Limit.Wants(r.now) {
-			r.askPermit(s, min(max(s.sought, s.missed), maxSought(s.wants.Limit.Rate())))
-			s.missed = 0
-			opened = opened || s.wants.Open(r.now)
+	for _, s := range r.servers.restricted {
+		if s.blocked > 0 && s.backpressure.Limit.Wants(r.now) {
+			r.requestPermit(s, min(max(s.blocked, s.blockedArrivals), maxPermitBatch(s.backpressure.Limit.Rate())))
+			s.blockedArrivals = 0
+			opened = opened || s.backpressure.Open(r.now)
 		}
-		s.sought = 0
+		s.blocked = 0
 	}
 	if opened {
 		r.sharedFleet = nil
-		r.startWaiting()
+		r.dispatchWaiting()
 	}
 }
 
-func (r *Reducer) askPermit(s *server, wanted int) {
-	l := &s.wants.Limit
-	hash := s.lifeHash()
+func (r *Reducer) requestPermit(s *server, wanted int) {
+	l := &s.backpressure.Limit
+	hash := s.incarnationHash()
 	ask := backpressure.Ask{Entry: r.cfg.Identity.GetName(), Rate: l.Rate(), WordAt: l.HeardAt(), Wanted: wanted}
-	name, address := r.keeper(s.pb.Id)
+	name, address := r.scheduleOwner(s.pb.Id)
 	if name != "" && name != r.cfg.Identity.GetName() {
 		l.Asked()
 		r.emit(RequestPermit{Address: address, Server: s.pb.Id, Incarnation: s.pb.Incarnation, Request: &pb.PermitRequest{
@@ -130,11 +136,11 @@
 	if name == "" {
 		ask.Rate /= float64(max(1, len(r.view.entries)))
 	}
-	a := r.schedule(lifeKey{s.pb.Id, hash}).Grant(r.now, ask)
+	a := r.schedule(incarnationKey{s.pb.Id, hash}).Grant(r.now, ask)
 	l.Granted(r.now, a.In, a.Again)
 }
 
-func (r *Reducer) schedule(key lifeKey) *backpressure.Schedule {
+func (r *Reducer) schedule(key incarnationKey) *backpressure.Schedule {
 	s := r.permits.schedules[key]
 	if s == nil {
 		s = &backpressure.Schedule{}
@@ -143,11 +149,12 @@
 	return s
 }
 
-// expireSchedules drops those that nobody asks any more, and the silences that are over.
+// expireSchedules drops schedules that nobody uses any more, and owner avoidances that have
+// ended.
 func (r *Reducer) expireSchedules() {
-	for address, until := range r.permits.silentUntil {
+	for address, until := range r.permits.avoidUntil {
 		if r.now >= until {
-			delete(r.permits.silentUntil, address)
+			delete(r.permits.avoidUntil, address)
 		}
 	}
 	for key, s := range r.permits.schedules {
@@ -157,16 +164,16 @@
 	}
 }
 
-// permitAsked answers another entry that wants to send to a server with a limit. Any entry
-// does: which one is asked follows from the view of the one that asks.
-func (r *Reducer) permitAsked(ev PermitRequested) {
+// permitRequested answers another entry that wants to send to a server with a rate limit. Any
+// entry answers, since the view of the asking entry decides which one it asks.
+func (r *Reducer) permitRequested(ev PermitRequested) {
 	req := ev.Request
 	if req.GetClusterId() != r.cfg.Cluster || !(req.GetRate() > 0) {
 		r.emit(AnswerPermit{Key: ev.Key})
 		return
 	}
-	a := r.schedule(lifeKey{req.GetServer(), req.GetIncarnationHash()}).Grant(r.now, backpressure.Ask{
-		Entry: req.GetEntry(), Rate: req.GetRate(), WordAt: r.now - ageOf(req.GetAgeMs()), Wanted: min(int(req.GetWanted()), maxSought(req.GetRate())),
+	a := r.schedule(incarnationKey{req.GetServer(), req.GetIncarnationHash()}).Grant(r.now, backpressure.Ask{
+		Entry: req.GetEntry(), Rate: req.GetRate(), WordAt: r.now - ageOf(req.GetAgeMs()), Wanted: min(int(req.GetWanted()), maxPermitBatch(req.GetRate())),
 	})
 	answer := &pb.PermitAnswer{AgainMs: uint32(a.Again.Milliseconds())}
 	for _, in := range a.In {
@@ -175,78 +182,80 @@
 	r.emit(AnswerPermit{Key: ev.Key, Answer: answer})
 }
 
-// permitHeard takes permits, or word that there are none now.
-func (r *Reducer) permitHeard(ev PermitAnswered) {
-	s := r.servers.life(ev.Server, ev.Incarnation)
+// permitAnswered applies granted permits, or the answer that there are none at present.
+func (r *Reducer) permitAnswered(ev PermitAnswered) {
+	s := r.servers.incarnation(ev.Server, ev.Incarnation)
 	if s == nil {
 		return
 	}
-	in := make([]time.Duration, 0, len(ev.Answer.GetInMs()))
+	startDelays := make([]time.Duration, 0, len(ev.Answer.GetInMs()))
 	for _, ms := range ev.Answer.GetInMs() {
-		in = append(in, ageOf(ms))
+		startDelays = append(startDelays, ageOf(ms))
 	}
-	s.wants.Limit.Granted(r.now, in, ageOf(ev.Answer.GetAgainMs()))
+	s.backpressure.Limit.Granted(r.now, startDelays, ageOf(ev.Answer.GetAgainMs()))
 	r.sharedFleet = nil
-	r.startWaiting()
-	r.refuseClosed()
+	r.dispatchWaiting()
+	r.refuseBlocked()
 }
 
-// permitSilent turns to another entry for permits.
-func (r *Reducer) permitSilent(ev PermitTimedOut) {
-	r.permits.silentUntil[ev.Address] = r.now + avoidKeeper
-	s := r.servers.life(ev.Server, ev.Incarnation)
+// permitTimedOut turns to another entry for permits.
+func (r *Reducer) permitTimedOut(ev PermitTimedOut) {
+	r.permits.avoidUntil[ev.Address] = r.now + ownerAvoidance
+	s := r.servers.incarnation(ev.Server, ev.Incarnation)
 	if s == nil {
 		return
 	}
-	s.wants.Limit.Unanswered()
-	s.sought++
-	r.emit(LogDecision{Kind: LogPeers, Reason: "no answer to a question for permits; another entry is asked", Server: ev.Address})
+	s.backpressure.Limit.Unanswered()
+	s.blocked++
+	r.emit(LogDecision{Kind: LogPeers, Reason: "permit request timed out; asking another entry", Server: ev.Address})
 }
 
-// pass takes the permits that a choice needs; false if there are none any more. A server that
-// decodes what another one reads keeps its permit for the request until then.
-func (r *Reducer) pass(q *request, choice *placement.Choice) bool {
-	first := r.servers.byID[choice.Server.ID]
+// takePermits takes the permits that a choice needs, or returns false if there are not enough.
+// With a separate prefill the permit of the decoding server is reserved for the request until
+// then.
+func (r *Reducer) takePermits(q *request, choice *placement.Choice) bool {
+	receiver := r.servers.byID[choice.Server.ID]
 	if choice.Prefill != nil {
-		if !first.wants.Take(r.now) {
+		if !receiver.backpressure.Take(r.now) {
 			return false
 		}
-		q.reserved = first
-		first = r.servers.byID[choice.Prefill.ID]
+		q.reserved = receiver
+		receiver = r.servers.byID[choice.Prefill.ID]
 	}
-	return first.wants.Take(r.now)
+	return receiver.backpressure.Take(r.now)
 }
 
-// passDecode takes the permit of the server that decodes a request; false if there is none.
-func (r *Reducer) passDecode(q *request, s *server) bool {
+// takeDecodePermit takes the permit of the server that decodes a request, or returns false if
+// there is none.
+func (r *Reducer) takeDecodePermit(q *request, s *server) bool {
 	reserved := q.reserved == s
 	q.reserved = nil
 	if reserved {
-		return !s.wants.Resting(r.now)
+		return !s.backpressure.Resting(r.now)
 	}
-	return s.wants.Take(r.now)
+	return s.backpressure.Take(r.now)
 }
 
-// refuseClosed refuses what waits for servers that take no more work until it is too late.
-func (r *Reducer) refuseClosed() {
-	if len(r.servers.bounded) == 0 || r.decide.queue.Len() == 0 {
+// refuseBlocked refuses waiting requests whose servers accept no more work until it is too late.
+func (r *Reducer) refuseBlocked() {
+	if len(r.servers.restricted) == 0 || r.decide.queue.Len() == 0 {
 		return
 	}
 	for _, id := range sortedKeys(r.requests) {
 		q := r.requests[id]
 		if q.server == nil {
-			r.refuseIfClosed(q)
+			r.refuseIfBlocked(q)
 		}
 	}
 }
 
-// refuseIfClosed refuses a request whose servers take no more work until it is too late.
-func (r *Reducer) refuseIfClosed(q *request) bool {
-	if len(r.servers.bounded) == 0 || q.work.Resumed {
+// refuseIfBlocked refuses a request whose servers accept no more work until it is too late.
+func (r *Reducer) refuseIfBlocked(q *request) bool {
+	if len(r.servers.restricted) == 0 || q.work.Resumed {
 		return false
 	}
 	fleet, w := r.fleet(q), q.work
-	w.FirstTokenBy = q.aim
+	w.FirstTokenBy = q.originalFirstTokenBy
 	after, closed := admission.ClosedTooLong(r.now, &w, &fleet)
 	if closed {
 		r.refuse(q, refuseClosed(after))
--- a/internal/entry/prefilled.go
+++ b/internal/entry/prefilled.go
@@ -6,64 +6,64 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// prefilled chooses where a prefilled request decodes.
+// prefillDone chooses where a separately prefilled request is decoded.
 //
-// The choice comes only now, since a prefill waits its turn for up to seconds:
-// the engine that looked best before may be full by then, or leave, and one that
-// leaves must get no new work two seconds after it has said so.
-func (r *Reducer) prefilled(ev PrefillDone) {
+// The choice is made only now, since a prefill can wait in a queue for seconds. By then the
+// engine that looked best before may be full or leaving, and a leaving engine must get no new
+// work from two seconds after its announcement.
+func (r *Reducer) prefillDone(ev PrefillDone) {
 	q := r.requests[ev.RequestID]
 	if q == nil || q.attempt != ev.Attempt || q.prefill == nil {
 		return
 	}
 	planned := q.server
-	r.hasRead(q)
+	r.prefillFinished(q)
 	r.detach(q)
-	q.unread = 0
+	q.prefillTokens = 0
 	if refusal := r.authorize(q); refusal != nil {
 		r.refuse(q, refusal)
-		r.startWaiting()
+		r.dispatchWaiting()
 		return
 	}
-	s := r.decoder(q, planned)
-	if s == nil || !r.passDecode(q, s) {
-		r.log(LogWait, q, planned.pb.Id, "prefilled, but no engine decodes it", nil)
-		q.arrivals.read = true
-		if !r.takeRepeat(q) {
-			r.refuse(q, refuseRepeats())
+	s := r.chooseDecoder(q, planned)
+	if s == nil || !r.takeDecodePermit(q, s) {
+		r.log(LogWait, q, planned.pb.Id, "prefilled, but no engine can decode it", nil)
+		q.deliveries.prefilled = true
+		if !r.takeRetry(q) {
+			r.refuse(q, refuseRetryLimit())
 			return
 		}
-		r.waitAgain(q)
-		r.startWaiting()
+		r.requeue(q)
+		r.dispatchWaiting()
 		return
 	}
 	q.server = s
 	r.decide.picker.Holds(r.now, s.pb.Id, &q.work)
 	s.running = append(s.running, q.work.RequestID)
 	s.sends.add(r.now)
-	r.noteSent(s)
+	r.markSent(s)
 	r.emit(DecodeAt{
 		RequestID: ev.RequestID, Attempt: ev.Attempt,
 		Server: s.pb.Id, Incarnation: s.pb.Incarnation, Address: s.pb.Address,
 		Member: q.work.Member, Rank: q.work.Rank,
 	})
-	r.log(LogRoute, q, s.pb.Id, "decodes what was prefilled", append([]decision.Figure{
+	r.log(LogRoute, q, s.pb.Id, "decode after separate prefill", append([]decision.Figure{
 		{Name: "reported_running", Value: float64(s.load.Running)},
 		{Name: "reported_waiting", Value: float64(s.load.Queued)},
 	}, r.limitFigures(s)...))
-	r.startWaiting()
+	r.dispatchWaiting()
 }
 
-// decoder gives the engine that decodes best now, the planned one if none has room
-// but it still takes work, nil for none.
-func (r *Reducer) decoder(q *request, planned *server) *server {
+// chooseDecoder returns the engine that is best for decoding now. If none has capacity, it
+// returns the planned one if that still takes work, else nil.
+func (r *Reducer) chooseDecoder(q *request, planned *server) *server {
 	w := q.work
 	w.KVTokens = max(1, w.PromptTokens)
 	fleet := r.fleet(q)
 	if choice, ok := r.decide.picker.Pick(r.now, &w, &fleet); ok {
 		return r.servers.byID[choice.Server.ID]
 	}
-	if slices.Contains(r.servers.sorted, planned) && r.mayTake(q, planned) {
+	if slices.Contains(r.servers.sorted, planned) && r.canTake(q, planned) {
 		return planned
 	}
 	return nil
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -9,49 +9,50 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Times and bounds that the reducer decides by.
+// Durations and bounds of the reducer's decisions.
 const (
-	// maxLease bounds how long a view counts. Together with the 0.4 s that a
-	// server's own word may take it keeps new work off a leaving server after 2 s.
+	// maxLease bounds the validity of a view. Together with the 0.4 s that a server's own report
+	// may take, it keeps new work off a leaving server after 2 s.
 	maxLease = 1500 * time.Millisecond
-	// confirmFor is how long a server's own word counts while the view is stale.
-	confirmFor = 500 * time.Millisecond
-	// probeEvery is how often servers are asked while the view is stale or they
-	// failed; two answers fit into confirmFor, so that one may be lost.
-	probeEvery = 200 * time.Millisecond
-	// maxProbes bounds the servers asked at once.
+	// confirmationTime is how long a server's own report of its state counts while the view is
+	// stale.
+	confirmationTime = 500 * time.Millisecond
+	// probeInterval is how often servers are probed while the view is stale or after they
+	// failed. Two answers fit into confirmationTime, so that one of them may be lost.
+	probeInterval = 200 * time.Millisecond
+	// maxProbes bounds the servers probed in one round.
 	maxProbes = 32
-	// maxAttempts bounds the attempts of one request at this entry. A request
-	// that outlives so many servers is ended truthfully.
+	// maxAttempts bounds the attempts of one request at this entry. A request that fails on so
+	// many servers is refused, with what is known of its outcome.
 	maxAttempts = 12
-	// cancelGrace leaves a caller time to go on with its stream at another
-	// entry before it is stopped at the engine. The other entry's attempt has a
-	// higher number, so that the late cancel does not touch it.
+	// cancelGrace gives a caller time to continue its stream at another entry before the stream
+	// is stopped at the engine. The other entry's attempt has a higher number, so that the
+	// delayed cancel does not affect it.
 	cancelGrace = 2 * time.Second
-	// rampTime is how long an entry that came back gets less than its share.
+	// rampTime is how long a restarted entry gets less than its full weight.
 	rampTime = 10 * time.Second
 )
 
-// Config is what the reducer learns from the settings.
+// Config holds the settings of the reducer.
 type Config struct {
 	Cluster    string
 	Identity   *pb.EntryIdentity
 	MaxStreams int
-	// AbortOnDisconnect tells that servers stop a request whose connection breaks. Else
-	// they go on, and a fresh connection can take it up.
+	// AbortOnDisconnect tells that servers stop a request whose connection breaks. Otherwise
+	// they keep working, and a new connection can continue the request.
 	AbortOnDisconnect bool
-	// AssumedPace is what is assumed of engines that report no rates.
+	// AssumedPace is assumed of engines that report no rates.
 	AssumedPace decision.Pace
-	// RetryLimit bounds what is sent beyond the first send of each request, over all
-	// entries; nil: only the profiles' retry budgets count.
+	// RetryLimit bounds what is sent beyond the first attempt of each request, over all entries.
+	// If nil, only the profiles' retry budgets apply.
 	RetryLimit *admission.ExtraLimit
 	// Usage says how members' requests are counted.
 	Usage UsageConfig
-	// Credentials says how long callers' credentials count without control's word.
+	// Credentials says how long callers' credentials stay valid without contact with control.
 	Credentials CredentialLimits
 }
 
-// Reducer decides for one entry. Not safe for concurrent use.
+// Reducer makes the decisions of one entry. It is not safe for concurrent use.
 type Reducer struct {
 	cfg      Config
 	now      time.Duration
@@ -64,54 +65,54 @@
 	peers    peerBacklogs
 	suspects suspectTable
 	permits  permits
-	// held is accepted work that does not wait in the queue.
+	// held is accepted work that waits outside of the queue.
 	held []*request
-	// extra is nil where Config.Extra is.
-	extra   *admission.Extra
-	report  reportBuffer
-	usage   usageBook
-	leaving bool
-	// closesAt is when a leaving entry takes no more requests.
-	closesAt time.Duration
-	// shortOnlyAt is when it takes only work that is over by endsAt; zero endsAt: never.
-	shortOnlyAt, endsAt time.Duration
-	// sharedFleet is the fleet of this step, nil when it must be made anew.
+	// retryLimit is nil if Config.RetryLimit is.
+	retryLimit *admission.Extra
+	report     reportBuffer
+	usage      usageCounter
+	leaving    bool
+	// acceptUntil is when a leaving entry stops accepting requests.
+	acceptUntil time.Duration
+	// From shortOnlyFrom on, a leaving entry accepts only work that ends before endsAt. A zero
+	// endsAt means no such restriction.
+	shortOnlyFrom, endsAt time.Duration
+	// sharedFleet is the fleet of this step, nil if it has to be rebuilt.
 	sharedFleet *decision.Fleet
-	// dirty asks for a new snapshot at the end of the step.
+	// dirty requests a new snapshot at the end of the step.
 	dirty bool
-	// toldLease is the lease of the last LeaseRenewed.
-	toldLease time.Duration
-	lastProbe time.Duration
-	// nextProbe is the place of the server that is asked first next time.
-	nextProbe   int
-	lastWeights time.Duration
-	lastExpiry  time.Duration
-	// lastCachePoll is when engines were last asked for cache events,
-	// nextCachePoll where the next round begins.
+	// publishedLease is the lease of the last LeaseRenewed.
+	publishedLease time.Duration
+	lastProbe      time.Duration
+	// nextProbe is the index of the server to probe first in the next round.
+	nextProbe         int
+	lastWeightRefresh time.Duration
+	lastExpiry        time.Duration
+	// lastCachePoll is when engines were last polled for cache events, nextCachePoll the index
+	// at which the next round begins.
 	lastCachePoll time.Duration
 	nextCachePoll int
 }
 
-// New gives a reducer that knows nothing yet.
+// New returns a reducer without any state.
 func New(cfg Config) *Reducer {
 	return &Reducer{
-		cfg:      cfg,
-		view:     newView(),
-		servers:  newServerTable(),
-		requests: make(map[string]*request),
-		decide:   newDecider(),
-		speeds:   newSpeeds(cfg.AssumedPace),
-		peers:    newPeerBacklogs(),
-		suspects: newSuspectTable(),
-		permits:  newPermits(),
-		report:   newReportBuffer(),
-		usage:    newUsageBook(cfg.Usage, cfg.Identity.GetName()),
-		extra:    admission.NewExtra(cfg.RetryLimit),
+		cfg:        cfg,
+		view:       newView(),
+		servers:    newServerTable(),
+		requests:   make(map[string]*request),
+		decide:     newDecider(),
+		speeds:     newSpeeds(cfg.AssumedPace),
+		peers:      newPeerBacklogs(),
+		suspects:   newSuspectTable(),
+		permits:    newPermits(),
+		report:     newReportBuffer(),
+		usage:      newUsageCounter(cfg.Usage, cfg.Identity.GetName()),
+		retryLimit: admission.NewExtra(cfg.RetryLimit),
 	}
 }
 
-// Step takes one event at a time and gives what must be done about it. Time
-// must not go back.
+// Step processes one event and returns the effects to carry out. Time must not go back.
 func (r *Reducer) Step(now time.Duration, ev Event) []Effect {
 	r.now = now
 	r.effects = nil
@@ -124,17 +125,17 @@
 	case Announced:
 		r.announced(ev)
 	case ServerReported:
-		r.serverSaid(ev)
+		r.serverReported(ev)
 	case CacheReported:
 		r.cacheReported(ev)
 	case ProbeFailed:
 		r.probeFailed(ev)
 	case ReportFailed:
 		r.report.failed(ev.Request)
-		r.usage.tellAgain()
+		r.usage.resendAll()
 	case ReportAnswered:
-		r.report.told.taken(ev.Request, ev.ResendInFull)
-		r.usage.taken(ev.Term)
+		r.report.sent.acknowledged(ev.Request, ev.ResendInFull)
+		r.usage.acknowledged(ev.Term)
 	case RequestArrived:
 		r.arrived(ev)
 	case AttemptProgress:
@@ -142,41 +143,41 @@
 	case AttemptEnded:
 		r.attemptEnded(ev)
 	case PrefillDone:
-		r.prefilled(ev)
+		r.prefillDone(ev)
 	case CallerDisconnected:
-		r.callerGone(ev)
+		r.callerDisconnected(ev)
 	case DeadlineExpired:
-		r.timeUp(ev)
+		r.deadlineExpired(ev)
 	case PeerReported:
 		r.peerReported(ev)
 	case SumRequested:
-		r.sumAsked(ev)
+		r.sumRequested(ev)
 	case SumReceived:
-		r.sumHeard(ev)
+		r.sumReceived(ev)
 	case AggregatorTimedOut:
-		r.aggregatorSilent(ev)
+		r.aggregatorTimedOut(ev)
 	case PermitRequested:
-		r.permitAsked(ev)
+		r.permitRequested(ev)
 	case PermitAnswered:
-		r.permitHeard(ev)
+		r.permitAnswered(ev)
 	case PermitTimedOut:
-		r.permitSilent(ev)
+		r.permitTimedOut(ev)
 	case Stop:
 		r.stop(ev)
 	}
-	r.askPermits()
+	r.requestPermits()
 	r.reportToPeers()
 	r.publish()
-	r.tellLease()
+	r.emitLease()
 	return r.effects
 }
 
-// tellLease comes after the view that the lease is on was published: whoever sees the lease
-// must find that view.
-func (r *Reducer) tellLease() {
-	if r.view.leaseUntil != r.toldLease {
-		r.toldLease = r.view.leaseUntil
-		r.emit(LeaseRenewed{Until: r.toldLease})
+// emitLease runs after the view of the lease was published: whoever sees the lease must find
+// that view.
+func (r *Reducer) emitLease() {
+	if r.view.leaseUntil != r.publishedLease {
+		r.publishedLease = r.view.leaseUntil
+		r.emit(LeaseRenewed{Until: r.publishedLease})
 	}
 }
 
@@ -184,59 +185,58 @@
 
 func (r *Reducer) tick() {
 	r.suspects.expire(r.now)
-	r.peers.live.expireDeaths(r.now)
+	r.peers.liveness.expireDeaths(r.now)
 	for _, s := range r.servers.sorted {
-		s.forgetSent(r.now - sentFor)
+		s.forgetSent(r.now - sentRetention)
 	}
-	r.passRests()
-	r.noteUnsure()
-	r.probe()
+	r.expirePauses()
+	r.updateLeaseExpiring()
+	r.sendProbes()
 	r.pollCaches()
 	r.expireWaiting()
-	r.startWaiting()
-	r.refuseClosed()
+	r.dispatchWaiting()
+	r.refuseBlocked()
 	r.expireSchedules()
 	r.refreshSum()
 	r.sendReport()
-	r.notePeers()
+	r.logPeersKnown()
 	r.refreshWeights()
 }
 
-// Idle tells whether nothing waits for time to pass but what is paced by
-// seconds: there is no request, the view is in force, and no server is probed
-// or carries out an order.
+// Idle tells whether nothing waits for time to pass except what happens at intervals of seconds:
+// there is no request, the lease is valid, and no server is probed or carries out an order.
 func (r *Reducer) Idle() bool {
-	if len(r.requests) > 0 || r.leaving || r.stale() || r.report.changing || r.peers.anything {
+	if len(r.requests) > 0 || r.leaving || r.stale() || r.report.changing || r.peers.reportedAny {
 		return false
 	}
 	return !slices.ContainsFunc(r.servers.sorted, func(s *server) bool { return s.failures > 0 })
 }
 
-// stale tells whether the view has run out.
+// stale tells whether the lease on the view has ended.
 func (r *Reducer) stale() bool { return r.now >= r.view.leaseUntil }
 
-// stop keeps the entry open for callers that hold older address answers.
+// stop keeps the entry open for callers that resolved its address earlier.
 func (r *Reducer) stop(ev Stop) {
 	if r.leaving {
 		return
 	}
 	r.leaving, r.dirty = true, true
-	r.closesAt, r.shortOnlyAt = r.now+ev.AcceptFor, r.now+ev.ShortOnlyAfter
+	r.acceptUntil, r.shortOnlyFrom = r.now+ev.AcceptFor, r.now+ev.ShortOnlyAfter
 	if ev.EndsAfter > 0 {
 		r.endsAt = r.now + ev.EndsAfter
 	}
 }
 
-// closed tells whether a leaving entry takes the request no more.
+// refusesNew tells whether a leaving entry no longer accepts the request.
 //
-// Failure: a dossier of a caller with an old answer came 3.7 s after the stop began and
-// was cut 3.9 s later, in the middle of its stream, when the entry had to end. The
-// caller is told at once instead and has all of its time for another entry. Before
-// shortOnlyAt there is time enough for nearly all, and callers have no better answer yet.
-func (r *Reducer) closed(q *request) bool {
+// If a dossier arrives 3.7 s after the stop began, it would be cut 3.9 s later in the middle of
+// its stream, when the entry has to end. Its caller is refused at once instead and has its whole
+// deadline left for another entry. Before shortOnlyFrom nearly all requests still have enough
+// time, and callers have not learned of other addresses yet.
+func (r *Reducer) refusesNew(q *request) bool {
 	if !r.leaving {
 		return false
 	}
-	late := r.endsAt > 0 && q.endsInTime && r.now >= r.shortOnlyAt && q.work.FinishBy > r.endsAt
-	return late || r.now >= r.closesAt
+	late := r.endsAt > 0 && q.hardDeadline && r.now >= r.shortOnlyFrom && q.work.FinishBy > r.endsAt
+	return late || r.now >= r.acceptUntil
 }
--- a/internal/entry/reducer_test.go
+++ b/internal/entry/reducer_test.go
@@ -43,7 +43,7 @@
 	if d := w.dispatched(); d.Server != "engine-1" {
 		t.Fatalf("went to %s", d.Server)
 	}
-	w.after(confirmFor)
+	w.after(confirmationTime)
 	w.arrive("r3")
 	if r := w.refused(); r.Code != outcome.CodeStaleView {
 		t.Fatalf("refusal %+v", r)
@@ -94,7 +94,7 @@
 
 	w.ended(first, died)
 	w.ended(other, died)
-	w.after(staggerFor)
+	w.after(maxStagger)
 	w.renew()
 	runs := pick[Dispatch](w.effects)
 	if len(runs) != 2 || runs[0].Server == runs[1].Server {
@@ -157,7 +157,7 @@
 	w.ended(first, died)
 	w.ended(other, died)
 	for range 3 {
-		w.after(staggerFor)
+		w.after(maxStagger)
 		w.renew()
 		if runs := len(w.r.servers.byID["engine-1"].running); runs != 1 {
 			t.Fatalf("%d suspects run on the engine that is left", runs)
@@ -165,7 +165,7 @@
 	}
 	id := w.r.servers.byID["engine-1"].running[0]
 	w.step(AttemptProgress{RequestID: id, Attempt: w.r.requests[id].attempt, Tokens: probationTokens})
-	w.after(apartFor)
+	w.after(isolationTime)
 	w.renew()
 	if runs := len(w.r.servers.byID["engine-1"].running); runs != 2 {
 		t.Fatalf("%d requests run after the first has shown progress", runs)
@@ -204,7 +204,7 @@
 		t.Fatalf("reports %v", reports)
 	}
 	w.step(ReportFailed{Request: reports[0].Request})
-	w.after(reportEvery)
+	w.after(reportInterval)
 	again := pick[Report](w.step(Tick{}))
 	if len(again) != 1 || len(again[0].Request.Deaths) != 1 {
 		t.Fatalf("after a lost report: %v", again)
@@ -291,7 +291,7 @@
 	if len(pick[Dispatch](w.effects)) != 0 || len(pick[Refuse](w.effects)) != 0 {
 		t.Fatalf("beyond the budget: %v", w.effects)
 	}
-	w.after(retryPause)
+	w.after(retryBackOff)
 	w.renew()
 	w.dispatched()
 }
@@ -414,7 +414,7 @@
 	innocent := w.arrival("innocent", "hotels")
 	w.delta(&pb.WatchResponse{Suspects: []*pb.Quarantine{{Member: "hotels", Fingerprint: innocent.Fingerprint}}})
 	w.step(innocent)
-	w.after(suspectWait)
+	w.after(suspectStartDelay)
 	w.renew()
 	w.dispatched()
 }
--- a/internal/entry/refusals.go
+++ b/internal/entry/refusals.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// soon is when to come back after a state that lasts about a second.
-	soon = time.Second
-	// later is when to come back after a state that lasts a few seconds.
-	later = 2 * time.Second
+	// retrySoon is the retry delay after a condition that lasts about a second.
+	retrySoon = time.Second
+	// retryLater is the retry delay after a condition that lasts a few seconds.
+	retryLater = 2 * time.Second
 )
 
-// outcomeOf is what is known of a request that gets no answer. Reducer.refuse
-// sets it on every refusal.
+// outcomeOf is what is known of a request that gets no answer. Reducer.refuse sets it on every
+// refusal.
 func outcomeOf(q *request) outcome.Outcome {
 	if q.mayHaveRun {
 		return outcome.Unknown
@@ -23,7 +23,7 @@
 	return outcome.NotRun
 }
 
-// unavailable refuses what another entry, or the same one after a while, may do.
+// unavailable refuses a request that another entry, or this one after a delay, may accept.
 func unavailable(code outcome.Code, message string, after time.Duration) *outcome.Refusal {
 	return &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: code, Message: message, RetryAfter: after,
@@ -31,10 +31,11 @@
 }
 
 func refuseStale() *outcome.Refusal {
-	return unavailable(outcome.CodeStaleView, "this entry is cut off and no backend server confirmed itself; ask another", soon)
+	return unavailable(outcome.CodeStaleView, "this entry is cut off and no backend server confirmed itself; ask another", retrySoon)
 }
 
-// refuseUnknownCredential: coming back with the same one won't help.
+// refuseUnknownCredential sets no retry delay, since a retry with the same credential can't
+// succeed.
 func refuseUnknownCredential() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status: http.StatusUnauthorized, Code: outcome.CodeUnauthenticated,
@@ -43,21 +44,21 @@
 }
 
 func refuseOutdatedCredentials() *outcome.Refusal {
-	return unavailable(outcome.CodeStaleView, "this entry is cut off and can't tell which credentials still count; ask another", soon)
+	return unavailable(outcome.CodeStaleView, "this entry is cut off and can't tell which credentials still count; ask another", retrySoon)
 }
 
 func refuseLeaving() *outcome.Refusal {
-	return unavailable(outcome.CodeLeaving, "this entry stops; ask another", soon)
+	return unavailable(outcome.CodeLeaving, "this entry stops; ask another", retrySoon)
 }
 
 func refuseFull() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status: http.StatusTooManyRequests, Code: outcome.CodeOverloaded,
-		Message: "this entry has as many requests as it may hold", RetryAfter: later,
+		Message: "this entry has as many requests as it may hold", RetryAfter: retryLater,
 	}
 }
 
-// refuseQuarantined: 422, since sending the same content again can't help.
+// refuseQuarantined uses status 422, since sending the same content again can't succeed.
 func refuseQuarantined() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status: http.StatusUnprocessableEntity, Code: outcome.CodeQuarantined,
@@ -75,7 +76,7 @@
 func refuseFailed() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status: http.StatusBadGateway, Code: outcome.CodeServerFailed,
-		Message: "the backend servers that were tried gave no whole answer", RetryAfter: later,
+		Message: "the backend servers that were tried gave no whole answer", RetryAfter: retryLater,
 	}
 }
 
@@ -86,7 +87,7 @@
 	}
 }
 
-// refuseTimeout: what has not run by its time may still be sent again.
+// refuseTimeout leaves a request that has not run open to a retry.
 func refuseTimeout(q *request) *outcome.Refusal {
 	if !q.mayHaveRun {
 		return refuseLate()
@@ -98,22 +99,23 @@
 }
 
 func refuseNoServer() *outcome.Refusal {
-	return unavailable(outcome.CodeNoServer, "no backend server is left that runs it", soon)
+	return unavailable(outcome.CodeNoServer, "no backend server is left that runs it", retrySoon)
 }
 
 func refuseNotTaken() *outcome.Refusal {
-	return unavailable(outcome.CodeOverloaded, "the backend servers that were tried did not run it", soon)
+	return unavailable(outcome.CodeOverloaded, "the backend servers that were tried did not run it", retrySoon)
 }
 
-func refuseRepeats() *outcome.Refusal {
-	return unavailable(outcome.CodeOverloaded, "too much is being sent again to send this once more", soon)
+func refuseRetryLimit() *outcome.Refusal {
+	return unavailable(outcome.CodeOverloaded, "too much is being sent again to send this once more", retrySoon)
 }
 
-// refuseClosed: the servers have said when they take more, or how much.
+// refuseClosed sets the retry delay by what the servers said about when, or at what rate, they
+// accept requests.
 func refuseClosed(after time.Duration) *outcome.Refusal {
 	return unavailable(outcome.CodeDeadline, "its servers take no more work until it is too late", after)
 }
 
 func refuseLate() *outcome.Refusal {
-	return unavailable(outcome.CodeDeadline, "it can't be answered before its deadline any more", later)
+	return unavailable(outcome.CodeDeadline, "it can't be answered before its deadline any more", retryLater)
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// reportEvery paces what is not urgent: heartbeats and demand. Each call
-	// costs some 700 bytes of headers, of the 3 KB/s that control may cost a
-	// node. Three entries hear each server, and control's lease is 5 s, so that
-	// two reports of the same server may be lost.
-	reportEvery = 2 * time.Second
-	// changingEvery paces the announcements of servers that carry out an order
-	// or leave: control waits for their word with an engine out of use.
-	changingEvery = 250 * time.Millisecond
-	// maxPendingDeaths bounds deaths that control has not taken yet.
+	// reportInterval is the interval of reports without urgent content, such as heartbeats and
+	// demand. Each call costs some 700 bytes of headers, out of the 3 KB/s that the control
+	// plane may cost a node. Each server announces to three entries and control's lease is 5 s,
+	// so that two reports of the same server may be lost.
+	reportInterval = 2 * time.Second
+	// changingReportInterval is the report interval for servers that carry out an order or
+	// leave. Control waits for their announcements while the engine is out of use.
+	changingReportInterval = 250 * time.Millisecond
+	// maxPendingDeaths bounds the crashes that control has not acknowledged yet.
 	maxPendingDeaths = 256
 )
 
 type demandKey struct{ profile, model string }
 
-// reportBuffer collects what control is to be told.
+// reportBuffer collects what is to be reported to control.
 type reportBuffer struct {
 	announcements map[string]engineapi.Announcement
-	told          toldTable
+	sent          sentTable
 	demand        map[demandKey]*pb.Demand
 	deaths        []*pb.ServerDeath
-	// urgent asks for a report now, changing for one soon.
+	// urgent requests a report at once, changing requests one soon.
 	urgent     bool
 	changing   bool
 	last       time.Duration
@@ -45,21 +45,20 @@
 func newReportBuffer() reportBuffer {
 	return reportBuffer{
 		announcements: make(map[string]engineapi.Announcement),
-		told:          newToldTable(),
+		sent:          newSentTable(),
 		demand:        make(map[demandKey]*pb.Demand),
 	}
 }
 
-// announce keeps the newest word of each server. News (another life, state or
-// finished order) makes the report urgent; a server that the view shows out of
-// use is reported soon.
-func (b *reportBuffer) announce(a engineapi.Announcement, shown *pb.BackendServer) {
-	if !b.told.seen(a) {
+// announce keeps the newest announcement of each server. A change of incarnation, state or order
+// makes the report urgent. A server that the view does not show as serving is reported soon.
+func (b *reportBuffer) announce(a engineapi.Announcement, inView *pb.BackendServer) {
+	if !b.sent.hasRoom(a) {
 		return
 	}
 	b.announcements[a.ID] = a
-	b.urgent = b.urgent || b.told.news(a)
-	b.changing = b.changing || !heartbeatServes(a, shown)
+	b.urgent = b.urgent || b.sent.observe(a)
+	b.changing = b.changing || !heartbeatSuffices(a, inView)
 }
 
 func (b *reportBuffer) death(d *pb.ServerDeath) {
@@ -70,10 +69,10 @@
 	b.urgent = true
 }
 
-// offer counts what callers ask for, refused work included: roles are decided
-// on what was offered, not on what admission let in.
-func (b *reportBuffer) offer(w *decision.Work) {
-	d := b.of(w)
+// countDemand counts what callers ask for, including refused work: role decisions depend on the
+// offered load and not on the admitted load.
+func (b *reportBuffer) countDemand(w *decision.Work) {
+	d := b.demandFor(w)
 	d.Requests++
 	if w.Kind == declaration.KindModel {
 		d.PrefillTokens += uint64(w.PromptTokens)
@@ -81,9 +80,9 @@
 	}
 }
 
-func (b *reportBuffer) refused(w *decision.Work) { b.of(w).Refused++ }
+func (b *reportBuffer) countRefused(w *decision.Work) { b.demandFor(w).Refused++ }
 
-func (b *reportBuffer) of(w *decision.Work) *pb.Demand {
+func (b *reportBuffer) demandFor(w *decision.Work) *pb.Demand {
 	k := demandKey{w.Profile, w.Model}
 	if b.demand[k] == nil {
 		b.demand[k] = &pb.Demand{Profile: k.profile, Model: k.model}
@@ -91,21 +90,21 @@
 	return b.demand[k]
 }
 
-// failed takes back what control may not have got. Demand is left out: counted
-// twice it would mislead the decision on roles more than a gap does.
+// failed restores what control may not have received. Demand is left out: counted twice, it
+// would mislead the role decision more than a gap does.
 func (b *reportBuffer) failed(req *pb.ReportRequest) {
 	for _, d := range req.Deaths {
 		b.death(d)
 	}
 	for _, a := range req.Announcements {
-		b.told.forget(a.GetServer().GetId())
+		b.sent.forget(a.GetServer().GetId())
 	}
 	b.urgent, b.changing = false, true
 }
 
 func (b *reportBuffer) due(now time.Duration) bool {
 	waited := now - b.last
-	return b.urgent || waited >= reportEvery || b.changing && waited >= changingEvery
+	return b.urgent || waited >= reportInterval || b.changing && waited >= changingReportInterval
 }
 
 func (b *reportBuffer) empty() bool {
@@ -122,7 +121,7 @@
 	for _, id := range sortedKeys(b.announcements) {
 		r.addAnnouncement(req, b.announcements[id])
 	}
-	if r.now-b.lastDemand >= reportEvery {
+	if r.now-b.lastDemand >= reportInterval {
 		req.Demand = b.takeDemand(r.now)
 	}
 	r.usage.fill(r.now, req)
@@ -131,21 +130,21 @@
 	r.emit(Report{Request: req})
 }
 
-// addAnnouncement tells of a server in full, or by a heartbeat when control has
-// all that it says already.
+// addAnnouncement reports a server in full, or by a heartbeat if control already has the same
+// announcement.
 func (r *Reducer) addAnnouncement(req *pb.ReportRequest, a engineapi.Announcement) {
 	full := toProto(a)
-	var shown *pb.BackendServer
-	if s := r.servers.life(a.ID, a.Incarnation); s != nil {
-		shown = s.pb
+	var inView *pb.BackendServer
+	if s := r.servers.incarnation(a.ID, a.Incarnation); s != nil {
+		inView = s.pb
 	}
-	if heartbeatServes(a, shown) && r.report.told.whole(full) {
+	if heartbeatSuffices(a, inView) && r.report.sent.controlHas(full) {
 		req.Heartbeats = append(req.Heartbeats, &pb.Heartbeat{
 			Server: a.ID, IncarnationHash: xxhash.Sum64String(a.Incarnation), Load: full.Load,
 		})
 		return
 	}
-	r.report.told.sent(full)
+	r.report.sent.sent(full)
 	req.Announcements = append(req.Announcements, full)
 }
 
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -6,10 +6,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// attemptHop is how far apart the attempt numbers of two entries lie that run
-// the same request one after the other. It is more than maxAttempts, so that a
-// later entry's number is higher than any that an earlier one has used.
-const attemptHop = 1 << 8
+// attemptStride is the distance between the attempt numbers of two entries that run the same
+// request one after the other. It exceeds maxAttempts, so that a later entry's numbers are
+// higher than any that an earlier one has used.
+const attemptStride = 1 << 8
 
 const (
 	second = time.Second
@@ -20,67 +20,70 @@
 // request is one request from its arrival to its final effect.
 type request struct {
 	work        decision.Work
-	repeat      RetryRule
+	retry       RetryRule
 	caller      caller
 	fingerprint uint64
 	retryBudget float64
 	attempt     uint32
-	// engineAttempt is the attempt that the server knows: a fresh connection
-	// goes on with the attempt that runs there.
+	// engineAttempt is the attempt number that the server knows: a reconnect continues the
+	// attempt that runs there.
 	engineAttempt uint32
 	attempts      int
-	// runs is how many attempts may have run; maxRuns bounds them, 0: no bound.
-	runs     int
-	maxRuns  int
-	arrivals arrivals
-	// unrun counts sends that servers did not run.
-	unrun int
-	// tried are the servers that have failed it.
-	tried []*server
-	// aim is when its answer was to begin when it came.
-	aim time.Duration
-	// endsInTime: the final answer is due at work.FinishBy.
-	endsInTime bool
-	// server is where the attempt runs; nil while the request waits. prefill
-	// is the engine that prefills for it, if another one does.
+	// runs is how many attempts may have run. maxRuns bounds them, 0 means no bound.
+	runs       int
+	maxRuns    int
+	deliveries deliveries
+	// notRunCount counts attempts that servers did not run.
+	notRunCount int
+	// failedServers are the servers that have failed the request.
+	failedServers []*server
+	// originalFirstTokenBy is the first-token deadline at arrival. Requeueing extends the one in
+	// work.
+	originalFirstTokenBy time.Duration
+	// hardDeadline tells that the final answer is due at work.FinishBy.
+	hardDeadline bool
+	// server is where the attempt runs, nil while the request waits. prefill is the engine of a
+	// separate prefill, if there is one.
 	server  *server
 	prefill *server
-	// reserved is the server whose permit the request holds to decode there.
+	// reserved is the server whose permit the request holds for decoding there.
 	reserved *server
-	// unread is how many tokens the prefiller has to read, before how many it was
-	// thought to read before them; reading is set until it has shown how long that took.
-	unread  int
-	before  float64
-	reading bool
-	// done is how many tokens earlier attempts gave, got those of this one.
-	// here is how many this server gave before a fresh connection to it.
-	done int
-	got  int
-	here int
-	// reconnects counts fresh connections to the same server without a token.
+	// prefillTokens is how many tokens the prefilling server has to compute. tokensAhead
+	// estimates the tokens queued there before them. prefilling is set until the end of the
+	// prefill was observed.
+	prefillTokens int
+	tokensAhead   float64
+	prefilling    bool
+	// earlierTokens is how many tokens earlier attempts delivered, attemptTokens how many the
+	// current attempt did. serverTokens is how many the current server delivered before a
+	// reconnect.
+	earlierTokens int
+	attemptTokens int
+	serverTokens  int
+	// reconnects counts new connections to the same server without a token.
 	reconnects int
-	// reached is set once the server has shown that it has this attempt. Without
-	// it the request may have been sent to a server that was dead already. sentAt
-	// is when the attempt was dispatched.
-	reached bool
-	sentAt  time.Duration
-	// mayHaveRun is set once a server may have begun it.
+	// acknowledged is set once the server has shown that it has this attempt. Before that, the
+	// request may have been sent to a server that was already dead. sentAt is when the attempt
+	// was dispatched.
+	acknowledged bool
+	sentAt       time.Duration
+	// mayHaveRun is set once a server may have begun the request.
 	mayHaveRun bool
-	// counted is set once it stands in its member's usage.
-	counted bool
-	// notBefore holds a retry back; waitsSince is when it began to wait.
-	notBefore  time.Duration
-	waitsSince time.Duration
+	// usageCounted is set once the request is included in its member's usage.
+	usageCounted bool
+	// notBefore delays a retry. waitingSince is when the request began to wait.
+	notBefore    time.Duration
+	waitingSince time.Duration
 }
 
 func (q *request) prefillLeft() int {
-	if q.got > 0 {
+	if q.attemptTokens > 0 {
 		return 0
 	}
-	return q.unread
+	return q.prefillTokens
 }
 
-// prefiller is the server that does the request's prefill.
+// prefiller returns the server that does the request's prefill.
 func (q *request) prefiller() *server {
 	if q.prefill != nil {
 		return q.prefill
@@ -88,16 +91,18 @@
 	return q.server
 }
 
-func (q *request) decodeLeft() int { return max(0, q.work.OutputTokens-q.done-q.got) }
+func (q *request) decodeLeft() int {
+	return max(0, q.work.OutputTokens-q.earlierTokens-q.attemptTokens)
+}
 
 func (q *request) key() quarantineKey { return quarantineKey{q.work.Member, q.fingerprint} }
 
 func (r *Reducer) log(kind string, q *request, server, reason string, figures []Figure) {
-	r.logFrom("", kind, q, server, reason, figures)
+	r.logWithSource("", kind, q, server, reason, figures)
 }
 
-// logFrom writes a line that says from where the load was known that was decided on.
-func (r *Reducer) logFrom(source, kind string, q *request, server, reason string, figures []Figure) {
+// logWithSource logs a decision together with the source of the load that it was based on.
+func (r *Reducer) logWithSource(source, kind string, q *request, server, reason string, figures []Figure) {
 	r.emit(LogDecision{
 		Source: source, Kind: kind, RequestID: q.work.RequestID, Member: q.work.Member, Profile: q.work.Profile,
 		Class: string(q.work.Class), Server: server, Reason: reason, Figures: figures,
--- /dev/null
+++ b/internal/entry/retries.go
@@ -0,0 +1,78 @@
+package entry
+
+import (
+	"goldcrestseam.dev/goldcrestseam/internal/decision/placement"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
+)
+
+// deliveries records which servers have received a request, and how many retries were taken from
+// the deployment's retry limit for it and not used yet.
+//
+// An attempt with a separate prefill is delivered to two engines. If it counted as one retry,
+// the deployment would exceed its limit when many engines crash at once.
+type deliveries struct {
+	// separatePrefill is set while the current attempt has a separate prefill.
+	separatePrefill bool
+	// prefilled is set once a server may have received the request for its prefill only,
+	// executed once a server may have received it for execution.
+	prefilled, executed bool
+	// paid is how many retries were taken and not used.
+	paid int
+}
+
+// ended records which servers an ended attempt reached.
+func (a *deliveries) ended(ev *AttemptEnded) {
+	if ev.Unsent {
+		return
+	}
+	a.paid = 0
+	a.prefilled = a.prefilled || a.separatePrefill
+	a.executed = a.executed || !ev.AtPrefillServer
+}
+
+// retries is how many retries an attempt costs: the first call of each kind is free.
+func (a *deliveries) retries(separatePrefill bool) int {
+	n := 0
+	if separatePrefill && a.prefilled {
+		n++
+	}
+	if a.executed {
+		n++
+	}
+	return n
+}
+
+// takeRetry takes a retry from the deployment's limit for the request's next attempt. An attempt
+// that no server received does not count. Otherwise it would use up the limit just when a server
+// is unreachable, and requests that no server has seen would be refused for it.
+func (r *Reducer) takeRetry(q *request) bool {
+	if q.deliveries.paid > 0 {
+		return true
+	}
+	if !r.retryLimit.Take(r.now, q.work.Service, len(r.view.entries)) {
+		return false
+	}
+	q.deliveries.paid++
+	return true
+}
+
+// payRetries takes the retries that the choice needs beyond those already taken. If the limit
+// does not allow them, the decoding engine prefills the prompt itself. It returns false if the
+// limit does not allow that either.
+func (r *Reducer) payRetries(q *request, choice *placement.Choice) bool {
+	a := &q.deliveries
+	for a.paid < a.retries(choice.Prefill != nil) {
+		if r.retryLimit.Take(r.now, q.work.Service, len(r.view.entries)) {
+			a.paid++
+			continue
+		}
+		if a.paid < a.retries(false) || choice.Server.Role != engineapi.RoleMixed {
+			return false
+		}
+		*choice = placement.Choice{
+			Server: choice.Server, Unread: q.work.PromptTokens, Brought: q.work.PromptTokens,
+			Reason: "retry limit leaves no room for a separate prefill", Figures: choice.Figures,
+		}
+	}
+	return true
+}
--- a/internal/entry/schedule_test.go
+++ b/internal/entry/schedule_test.go
@@ -177,7 +177,7 @@
 	if !d.Reconnect {
 		confirmed, ok := s.confirmed[d.Server]
 		stale := s.now >= s.sentAt+1500*time.Millisecond
-		if s.left[d.Server] || s.left[d.PrefillServer] || (stale && (!ok || s.now-confirmed >= confirmFor)) {
+		if s.left[d.Server] || s.left[d.PrefillServer] || (stale && (!ok || s.now-confirmed >= confirmationTime)) {
 			s.rt.Fatalf("new work for %s: left %v, stale %v", d.Server, s.left[d.Server], stale)
 		}
 	}
--- a/internal/entry/told_test.go
+++ b/internal/entry/sent_test.go
@@ -17,7 +17,7 @@
 		State: state, RunningOrder: runningOrder,
 	}})
 	reports := pick[Report](w.effects)
-	w.after(reportEvery)
+	w.after(reportInterval)
 	return append(reports, pick[Report](w.step(Tick{}))...)
 }
 
