--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -13,59 +13,61 @@
 )
 
 const (
-	// firstCooling keeps new work off a server that refused a connection or
-	// gave no answer; it doubles with each failure up to maxCooling.
-	firstCooling = 500 * time.Millisecond
-	maxCooling   = 8 * time.Second
-	// sentFor bounds how long work counts as sent after the last load report,
-	// for servers that report no load.
-	sentFor = 5 * time.Second
+	// firstCoolDown is how long new work is kept off a server that refused a connection or gave
+	// no answer. It doubles with each failure up to maxCoolDown.
+	firstCoolDown = 500 * time.Millisecond
+	maxCoolDown   = 8 * time.Second
+	// sentRetention bounds how long work counts as sent since the last load report, for servers
+	// that report no load.
+	sentRetention = 5 * time.Second
 )
 
-// server is what is known of one backend server: control's word from the view
-// and its own word from announcements, answers and probes.
+// server is what is known of one backend server: control's view of it and its own reports in
+// announcements, responses and probes.
 type server struct {
 	pb *pb.BackendServer
-	// aliveAt is when it last gave a token or a word.
+	// aliveAt is when the server last delivered a token or a report.
 	aliveAt time.Duration
-	// ownState is its own last word in this incarnation, ownAt when it came.
-	ownState engineapi.State
-	ownAt    time.Duration
-	// wordIsNew is set while no other entry was told of it.
-	wordIsNew  bool
-	load       engineapi.Load
-	reportedAt time.Duration
-	failures   int
-	coolUntil  time.Duration
-	// died is set once this life was reported dead, until it shows otherwise.
+	// ownState is the last state that the server reported itself in this incarnation, ownStateAt
+	// is when.
+	ownState   engineapi.State
+	ownStateAt time.Duration
+	// aliveUnreported is set until other entries are told of that state.
+	aliveUnreported bool
+	load            engineapi.Load
+	reportedAt      time.Duration
+	failures        int
+	coolUntil       time.Duration
+	// died is set once this incarnation was reported dead, until it proves alive.
 	died bool
-	// running holds the ids of the requests that this entry has there.
+	// running holds the ids of this entry's requests there.
 	running []string
-	cache   cacheFollower
-	// others estimates other entries' requests there; usual is what a request has
-	// to read and hold there.
-	others decision.Others
-	usual  usualWork
-	// usualOfRole is shared by all servers of the role.
-	usualOfRole *decision.Usual
-	// since sums what was sent after the load was measured.
-	since []sentWork
-	// slowness is how much longer it takes to read than engines of its role do.
+	cache   cacheCursor
+	// otherEntries estimates the requests of other entries there. averageWork is the average
+	// prefill and KV cache size of a request there.
+	otherEntries decision.Others
+	averageWork  workAverage
+	// roleAverage is shared by all servers of the role.
+	roleAverage *decision.Usual
+	// sentSinceReport is the work sent after the load was measured.
+	sentSinceReport []sentWork
+	// slowness is the factor by which prefill takes longer than at other engines of the role.
 	slowness speed.Factor
-	// slow is set while it was last logged as slower than others.
+	// slow is set if the last log line about it says that the server is slower than others.
 	slow bool
-	// wants is what it has said of the work that it wants, sends what it was sent lately.
-	wants *backpressure.State
-	sends sendCount
-	// sought counts the requests of this step for which it was closed, missed those that came
-	// since permits were last asked for.
-	sought, missed int
-	// limitIsNew is set while no other entry was told of its limit, limitSent when the request
-	// was sent that brought it.
-	limitIsNew bool
-	limitSent  time.Duration
-	// leaveIsNew is set while no other entry was told that it leaves.
-	leaveIsNew bool
+	// backpressure is what the server said about the load that it accepts, sends counts what it
+	// was sent recently.
+	backpressure *backpressure.State
+	sends        sendCount
+	// blocked counts the requests of this step that lacked a permit for the server,
+	// blockedArrivals those that arrived since permits were last requested.
+	blocked, blockedArrivals int
+	// limitUnreported is set until other entries are told of the server's rate limit.
+	// limitSentAt is when the request was sent whose response set it.
+	limitUnreported bool
+	limitSentAt     time.Duration
+	// leavingUnreported is set until other entries are told that the server is leaving.
+	leavingUnreported bool
 }
 
 type sentWork struct {
@@ -73,7 +75,7 @@
 	tokens decision.Tokens
 }
 
-// roleKey names servers that do the same work.
+// roleKey groups servers that do the same work.
 type roleKey struct {
 	role pb.EngineRole
 	pool string
@@ -87,37 +89,37 @@
 	return key
 }
 
-func (t *serverTable) usualOf(p *pb.BackendServer) *decision.Usual {
+func (t *serverTable) roleAverage(p *pb.BackendServer) *decision.Usual {
 	key := roleOf(p)
-	if t.usual[key] == nil {
-		t.usual[key] = &decision.Usual{}
+	if t.roleAverages[key] == nil {
+		t.roleAverages[key] = &decision.Usual{}
 	}
-	return t.usual[key]
+	return t.roleAverages[key]
 }
 
 type serverTable struct {
 	byID map[string]*server
-	// sorted holds them in order of id.
+	// sorted holds the servers in order of id.
 	sorted []*server
-	// usual is what servers have on average, by role and pool.
-	usual map[roleKey]*decision.Usual
-	// early keeps the own word of servers that the view does not name yet.
-	early map[string]engineapi.Announcement
-	// bounded are those that take less than they have places for, in order of id.
-	bounded []*server
-	lives   livesEnded
+	// roleAverages holds the average load of servers by role and pool.
+	roleAverages map[roleKey]*decision.Usual
+	// pending keeps the announcements of servers that the view does not contain yet.
+	pending map[string]engineapi.Announcement
+	// restricted are the servers that accept less than they have slots for, in order of id.
+	restricted []*server
+	ended      endedIncarnations
 }
 
 func newServerTable() serverTable {
 	return serverTable{
-		byID: make(map[string]*server), usual: make(map[roleKey]*decision.Usual), early: make(map[string]engineapi.Announcement),
+		byID: make(map[string]*server), roleAverages: make(map[roleKey]*decision.Usual), pending: make(map[string]engineapi.Announcement),
 	}
 }
 
-// applyView takes the servers of the view and gives the ids whose life is over.
+// applyView applies the servers of a view and returns the ids whose incarnation has ended.
 func (t *serverTable) applyView(resp *pb.WatchResponse, now time.Duration) []string {
 	old := t.byID
-	var over []string
+	var replaced []string
 	if resp.Full {
 		t.byID = make(map[string]*server, len(resp.Servers))
 		t.keepEnded(old)
@@ -125,30 +127,30 @@
 	for _, p := range resp.Servers {
 		s := old[p.Id]
 		if s == nil || s.pb.Incarnation != p.Incarnation {
-			t.lives.keep(s)
+			t.ended.keep(s)
 			s = t.newServer(p, now)
-			over = append(over, p.Id)
+			replaced = append(replaced, p.Id)
 		}
-		s.pb, s.usualOfRole = p, t.usualOf(p)
+		s.pb, s.roleAverage = p, t.roleAverage(p)
 		t.byID[p.Id] = s
 	}
 	for _, id := range resp.RemovedServers {
-		t.lives.keep(t.byID[id])
+		t.ended.keep(t.byID[id])
 		delete(t.byID, id)
-		over = append(over, id)
+		replaced = append(replaced, id)
 	}
 	t.sort()
-	t.findBounded(now)
-	return over
+	t.findRestricted(now)
+	return replaced
 }
 
 func (t *serverTable) newServer(p *pb.BackendServer, now time.Duration) *server {
-	s := &server{pb: p, usualOfRole: t.usualOf(p), wants: t.lives.take(p.Incarnation)}
-	if a, ok := t.early[p.Id]; ok && a.Incarnation == p.Incarnation {
-		s.hear(a.State, now)
+	s := &server{pb: p, roleAverage: t.roleAverage(p), backpressure: t.ended.take(p.Incarnation)}
+	if a, ok := t.pending[p.Id]; ok && a.Incarnation == p.Incarnation {
+		s.observeState(a.State, now)
 		s.setLoad(a.Load, now)
 	}
-	delete(t.early, p.Id)
+	delete(t.pending, p.Id)
 	return s
 }
 
@@ -160,18 +162,18 @@
 	slices.SortFunc(t.sorted, func(a, b *server) int { return cmp.Compare(a.pb.Id, b.pb.Id) })
 }
 
-// findBounded lists anew the servers that take less than they have places for.
-func (t *serverTable) findBounded(now time.Duration) {
-	t.bounded = t.bounded[:0]
+// findRestricted rebuilds the list of restricted servers.
+func (t *serverTable) findRestricted(now time.Duration) {
+	t.restricted = t.restricted[:0]
 	for _, s := range t.sorted {
-		if s.wants.Bounded(now) {
-			t.bounded = append(t.bounded, s)
+		if s.backpressure.Bounded(now) {
+			t.restricted = append(t.restricted, s)
 		}
 	}
 }
 
-// life gives the server if that incarnation is the one in force, else nil.
-func (t *serverTable) life(id, incarnation string) *server {
+// incarnation returns the server if that incarnation is the current one, else nil.
+func (t *serverTable) incarnation(id, incarnation string) *server {
 	s := t.byID[id]
 	if s == nil || s.pb.Incarnation != incarnation {
 		return nil
@@ -179,26 +181,27 @@
 	return s
 }
 
-// hear takes a server's own word. An answer that was under way when the server
-// began to leave may come after the word of leaving: leaving is never taken
+// observeState records the server's own report of its state. A response that was under way when
+// the server began to leave may arrive after the report of leaving, so leaving is never taken
 // back within an incarnation.
-func (s *server) hear(state engineapi.State, now time.Duration) {
-	s.ownState, s.ownAt, s.aliveAt, s.wordIsNew = state, now, now, true
+func (s *server) observeState(state engineapi.State, now time.Duration) {
+	s.ownState, s.ownStateAt, s.aliveAt, s.aliveUnreported = state, now, now, true
 	if state == engineapi.StateLeaving {
-		s.leave()
+		s.markLeaving()
 	}
 	if state == engineapi.StateServing {
 		s.failures, s.coolUntil, s.died = 0, 0, false
 	}
 }
 
-// leave notes that the server leaves, for the rest of its life, and that others are to be told.
-func (s *server) leave() {
-	s.leaveIsNew = s.leaveIsNew || !s.wants.Leaving
-	s.wants.Leaving = true
+// markLeaving records that the server is leaving for the rest of its incarnation, and that other
+// entries have to be told.
+func (s *server) markLeaving() {
+	s.leavingUnreported = s.leavingUnreported || !s.backpressure.Leaving
+	s.backpressure.Leaving = true
 }
 
-// setLoad takes a load report and forgets what was sent before it was true.
+// setLoad applies a load report and drops the work that was sent before the load was measured.
 func (s *server) setLoad(load engineapi.Load, now time.Duration) {
 	at := now - time.Duration(load.AgeMS)*time.Millisecond
 	if at < s.reportedAt {
@@ -206,48 +209,49 @@
 	}
 	s.load, s.reportedAt = load, at
 	s.forgetSent(at)
-	s.others.Reported(now, int(load.Running), int(load.Queued), len(s.running), s.usualOfRole)
+	s.otherEntries.Reported(now, int(load.Running), int(load.Queued), len(s.running), s.roleAverage)
 }
 
-// usualWork averages what this entry's requests had to do at a server.
-type usualWork struct {
-	unread, kv float64
-	count      int
+// workAverage averages the work of this entry's requests at a server.
+type workAverage struct {
+	prefill, kv float64
+	count       int
 }
 
-// usualWeight is the weight of a request in the averages.
-const usualWeight = 0.05
+// minAverageWeight is the least weight of a new request in the averages.
+const minAverageWeight = 0.05
 
-func (u *usualWork) add(t decision.Tokens) {
+func (u *workAverage) add(t decision.Tokens) {
 	u.count++
-	weight := max(usualWeight, 1/float64(u.count))
-	u.unread += weight * (float64(t.Prefill) - u.unread)
+	weight := max(minAverageWeight, 1/float64(u.count))
+	u.prefill += weight * (float64(t.Prefill) - u.prefill)
 	u.kv += weight * (float64(t.KV) - u.kv)
 }
 
 func (s *server) forgetSent(before time.Duration) {
-	s.since = slices.DeleteFunc(s.since, func(w sentWork) bool { return w.at < before })
+	s.sentSinceReport = slices.DeleteFunc(s.sentSinceReport, func(w sentWork) bool { return w.at < before })
 }
 
 func (s *server) fail(now time.Duration) {
-	cooling := min(firstCooling<<min(s.failures, 5), maxCooling)
+	coolDown := min(firstCoolDown<<min(s.failures, 5), maxCoolDown)
 	s.failures++
-	s.coolUntil = now + cooling
+	s.coolUntil = now + coolDown
 }
 
-// mayTakeWork tells whether new work may go to the server: it is in use, and wants more.
-func (s *server) mayTakeWork(now time.Duration, stale bool) bool {
-	return s.inUse(now, stale) && s.wants.Open(now)
+// acceptsWork tells whether new work may go to the server: it is available, and its backpressure
+// allows a request.
+func (s *server) acceptsWork(now time.Duration, stale bool) bool {
+	return s.available(now, stale) && s.backpressure.Open(now)
 }
 
-// inUse tells whether new work may go to the server, as far as it wants any.
+// available tells whether new work may go to the server, apart from backpressure.
 //
-// Two independent words say that a server leaves: the view's and its own. After
-// either nothing more is sent. A view whose lease has run out may hide that a
-// server leaves (the entry may be cut off from control), so that then only a
-// server counts that has said within confirmFor that it serves.
-func (s *server) inUse(now time.Duration, stale bool) bool {
-	if s.wants.Leaving || s.died || s.pb.Drained || s.pb.State != pb.ServerState_SERVER_STATE_SERVING {
+// There are two independent signs that a server is leaving: the view and its own report. After
+// either of them it gets no more work. A view whose lease has ended may hide that a server is
+// leaving, since the entry may be cut off from control. While it is stale, only servers count
+// that have reported themselves serving within confirmationTime.
+func (s *server) available(now time.Duration, stale bool) bool {
+	if s.backpressure.Leaving || s.died || s.pb.Drained || s.pb.State != pb.ServerState_SERVER_STATE_SERVING {
 		return false
 	}
 	if s.ownState == engineapi.StateChanging || now < s.coolUntil {
@@ -260,5 +264,5 @@
 }
 
 func (s *server) confirmed(now time.Duration) bool {
-	return s.ownState == engineapi.StateServing && now-s.ownAt < confirmFor
+	return s.ownState == engineapi.StateServing && now-s.ownStateAt < confirmationTime
 }
--- a/internal/entry/snapshot.go
+++ b/internal/entry/snapshot.go
@@ -6,7 +6,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// Snapshot is what the traffic goroutines may read. It is never changed.
+// Snapshot is the state that traffic goroutines may read. It is immutable.
 type Snapshot struct {
 	Declaration *declaration.Declaration
 	// Members maps the hash of a credential to its member.
@@ -17,28 +17,29 @@
 	Entries     []EntryWeight
 	ViewVersion uint64
 	Revision    uint64
-	// Drained holds the backend servers that operators drained.
+	// Drained holds the backend servers that operators have drained.
 	Drained map[string]bool
-	// Servers is how many backend servers the view names.
+	// Servers is the number of backend servers in the view.
 	Servers int
-	// UnavailableUntil has until when lives of servers that were sent to want nothing, since boot.
+	// UnavailableUntil tells until when server incarnations accept no requests, in time since
+	// boot.
 	UnavailableUntil map[string]time.Duration
-	// Control lists the control replicas that the view names.
+	// Control lists the control replicas of the view.
 	Control []string
 	Leaving bool
-	// Aggregator is the address of the entry that is asked for the sum of all others'
-	// backlogs before a server is chosen; empty for none.
+	// Aggregator is the address of the entry that is asked for the sum of all other entries'
+	// backlogs before a server is chosen, empty for none.
 	Aggregator string
-	// AskAggregatorFrom is when it may be asked, since boot.
+	// AskAggregatorFrom is when it may be asked, in time since boot.
 	AskAggregatorFrom time.Duration
-	// LeaseExpiring tells that control's word has run out or soon will: other entries are asked
-	// then which servers live.
+	// LeaseExpiring tells that the view's lease has ended or soon will. Other entries are then
+	// asked which servers are alive.
 	LeaseExpiring bool
-	// Load is the share of this entry's streams that is in use.
+	// Load is the fraction of this entry's streams that is in use.
 	Load float64
 }
 
-// AcceptsRequests tells whether a life of a server wants requests at that time.
+// AcceptsRequests tells whether a server incarnation accepts requests at that time.
 func (s *Snapshot) AcceptsRequests(life string, now time.Duration) bool {
 	return now >= s.UnavailableUntil[life]
 }
--- a/internal/entry/speeds.go
+++ b/internal/entry/speeds.go
@@ -9,154 +9,157 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// speeds is what this entry has seen of engines that report no rates, by role.
+// speeds holds the speeds that this entry has observed of engines that report no rates, by role.
 type speeds struct {
-	// assumed is what counts before any answer.
-	assumed  decision.Pace
-	readings map[roleKey]*speed.Reading
-	// tokenTimes are for each token of the output that the caller expected, in seconds:
-	// so they need no word on how many tokens one event of a stream holds.
+	// assumed applies until there are observations.
+	assumed          decision.Pace
+	prefillEstimates map[roleKey]*speed.Reading
+	// tokenTimes are in seconds for each output token that the caller expected, so that they do
+	// not depend on how many tokens one event of a stream contains.
 	tokenTimes map[roleKey]*speed.Median
-	// readTime is how long prompts take to be read, waits included, in seconds.
-	readTime speed.Median
+	// prefillTime is how long prompts take from dispatch to the end of their prefill, including
+	// the queue wait, in seconds.
+	prefillTime speed.Median
 }
 
-// pace is that part of the time in which prompts are read, within bounds.
-func (s *speeds) pace(part float64, least, most time.Duration) time.Duration {
-	usual := time.Duration(part * s.readTime.Value(0) * float64(time.Second))
+// prefillTimeFraction is a fraction of the median prefill time, within bounds.
+func (s *speeds) prefillTimeFraction(part float64, least, most time.Duration) time.Duration {
+	usual := time.Duration(part * s.prefillTime.Value(0) * float64(time.Second))
 	return min(most, max(least, usual))
 }
 
 func newSpeeds(assumed decision.Pace) speeds {
 	return speeds{
-		assumed: assumed, readings: make(map[roleKey]*speed.Reading), tokenTimes: make(map[roleKey]*speed.Median),
+		assumed: assumed, prefillEstimates: make(map[roleKey]*speed.Reading), tokenTimes: make(map[roleKey]*speed.Median),
 	}
 }
 
-// prefillOnlyGain is how much faster an engine is assumed to prefill that does nothing
-// else than one that decodes beside it: twice, by the engines' own description.
+// prefillOnlyGain is how much faster an engine that only prefills is assumed to be than one that
+// also decodes. The factor is from the engines' documentation.
 const prefillOnlyGain = 2
 
-// learns tells whether anything is to be learned of the server: where no speed is
-// assumed servers report theirs.
-func (s *speeds) learns(of *server) bool {
-	return s.assumed.PrefillRate > 0 && of.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL && of.countsOnly()
+// learnsFrom tells whether speeds are learned from the server. Without an assumed speed, servers
+// report their own rates.
+func (s *speeds) learnsFrom(srv *server) bool {
+	return s.assumed.PrefillRate > 0 && srv.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL && srv.reportsCountsOnly()
 }
 
-func (s *speeds) reading(of *server) *speed.Reading {
-	key := roleOf(of.pb)
-	known := s.readings[key]
+func (s *speeds) prefillEstimate(srv *server) *speed.Reading {
+	key := roleOf(srv.pb)
+	known := s.prefillEstimates[key]
 	if known == nil {
 		rate := s.assumed.PrefillRate
-		if of.pb.Role == pb.EngineRole_ENGINE_ROLE_PREFILL {
+		if srv.pb.Role == pb.EngineRole_ENGINE_ROLE_PREFILL {
 			rate *= prefillOnlyGain
 		}
 		known = speed.NewReading(rate)
-		s.readings[key] = known
+		s.prefillEstimates[key] = known
 	}
 	return known
 }
 
 // tokenTime is the time of one token of a stream at such a server, in seconds.
-func (s *speeds) tokenTime(of *server) float64 {
-	known := s.tokenTimes[roleOf(of.pb)]
+func (s *speeds) tokenTime(srv *server) float64 {
+	known := s.tokenTimes[roleOf(srv.pb)]
 	if known == nil {
 		return s.assumed.TokenTime.Seconds()
 	}
 	return known.Value(s.assumed.TokenTime.Seconds())
 }
 
-// hasRead notes that a request's prompt has been read by its server.
-func (r *Reducer) hasRead(q *request) {
-	if !q.reading {
+// prefillFinished records that a server has prefilled a request's prompt.
+func (r *Reducer) prefillFinished(q *request) {
+	if !q.prefilling {
 		return
 	}
-	r.peers.read(q.prefiller().pb.Id, &q.work)
-	r.noteReading(q)
-	r.speeds.readTime.Observe((r.now - q.sentAt).Seconds())
-	r.learnReading(q)
+	r.peers.prefixRead(q.prefiller().pb.Id, &q.work)
+	r.countPrefillChange(q)
+	r.speeds.prefillTime.Observe((r.now - q.sentAt).Seconds())
+	r.learnPrefill(q)
 }
 
-// learnReading learns from how long a prompt has taken by now.
-func (r *Reducer) learnReading(q *request) {
-	q.reading = false
-	if s := q.prefiller(); r.speeds.learns(s) {
-		r.speeds.reading(s).Observe(r.now, q.before+float64(q.unread), r.now-q.sentAt, &s.slowness)
-		r.noteSlowness(s)
+// learnPrefill learns from the time that a prefill has taken so far.
+func (r *Reducer) learnPrefill(q *request) {
+	q.prefilling = false
+	if s := q.prefiller(); r.speeds.learnsFrom(s) {
+		r.speeds.prefillEstimate(s).Observe(r.now, q.tokensAhead+float64(q.prefillTokens), r.now-q.sentAt, &s.slowness)
+		r.logSlowness(s)
 	}
 }
 
 const (
-	// slowFrom and slowUntil are the factors between which a server that was logged as
-	// slow, or as no longer slow, stays so: single answers move it by a twentieth.
-	slowFrom  = 1.5
-	slowUntil = 1.2
+	// A server is logged as slow at slowThreshold and as recovered at recoveredThreshold. The
+	// gap between them keeps single responses, which change the factor by a twentieth, from
+	// toggling the state.
+	slowThreshold      = 1.5
+	recoveredThreshold = 1.2
 )
 
-// noteSlowness writes a line when a server begins or ceases to read slower than others.
-func (r *Reducer) noteSlowness(s *server) {
+// logSlowness logs when a server starts or stops prefilling more slowly than others.
+func (r *Reducer) logSlowness(s *server) {
 	factor := s.slowness.Value(r.now)
-	turned := !s.slow && factor >= slowFrom
-	recovered := s.slow && factor <= slowUntil
-	if !turned && !recovered {
+	becameSlow := !s.slow && factor >= slowThreshold
+	recovered := s.slow && factor <= recoveredThreshold
+	if !becameSlow && !recovered {
 		return
 	}
-	s.slow = turned
-	reason := "reads as fast as others again"
-	if turned {
-		reason = "reads slower than others"
+	s.slow = becameSlow
+	reason := "prefills as fast as others of its role again"
+	if becameSlow {
+		reason = "prefills slower than others of its role"
 	}
 	r.emit(LogDecision{Kind: LogServer, Server: s.pb.Id, Reason: reason, Figures: []Figure{
 		{Name: "slowness", Value: factor},
-		{Name: "role_tokens_per_second", Value: r.speeds.reading(s).Rate()},
-		{Name: "role_fixed_seconds", Value: r.speeds.reading(s).Fixed()},
+		{Name: "role_tokens_per_second", Value: r.speeds.prefillEstimate(s).Rate()},
+		{Name: "role_fixed_seconds", Value: r.speeds.prefillEstimate(s).Fixed()},
 	}})
 }
 
-// learnEnded learns from an attempt that has ended. One whose prompt was not read in
-// longer than was expected shows an engine that is slower than it was thought to be.
-func (r *Reducer) learnEnded(q *request, ev AttemptEnded) {
+// learnFromAttempt learns from an ended attempt. If its prompt was not prefilled within the
+// expected time, the engine is slower than estimated.
+func (r *Reducer) learnFromAttempt(q *request, ev AttemptEnded) {
 	s := q.server
-	if !r.speeds.learns(s) {
+	if !r.speeds.learnsFrom(s) {
 		return
 	}
-	if q.reading && ev.Outcome == outcome.Unknown && !ev.ServerDied && r.now-q.sentAt > q.expectedReading(r) {
-		r.learnReading(q)
+	if q.prefilling && ev.Outcome == outcome.Unknown && !ev.ServerDied && r.now-q.sentAt > q.expectedPrefill(r) {
+		r.learnPrefill(q)
 	}
 	if ev.Complete && q.work.OutputTokens > 0 && ev.Tokens > 1 {
-		r.speeds.learnTokens(s, ev.Decode.Seconds()/float64(q.work.OutputTokens))
+		r.speeds.learnTokenTime(s, ev.Decode.Seconds()/float64(q.work.OutputTokens))
 	}
 }
 
-func (q *request) expectedReading(r *Reducer) time.Duration {
-	reading := r.speeds.reading(q.prefiller())
-	seconds := reading.Fixed() + (q.before+float64(q.unread))/reading.Rate()
+func (q *request) expectedPrefill(r *Reducer) time.Duration {
+	estimate := r.speeds.prefillEstimate(q.prefiller())
+	seconds := estimate.Fixed() + (q.tokensAhead+float64(q.prefillTokens))/estimate.Rate()
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (s *speeds) learnTokens(of *server, seconds float64) {
-	key := roleOf(of.pb)
+func (s *speeds) learnTokenTime(srv *server, seconds float64) {
+	key := roleOf(srv.pb)
 	if s.tokenTimes[key] == nil {
 		s.tokenTimes[key] = &speed.Median{}
 	}
 	s.tokenTimes[key].Observe(seconds)
 }
 
-// paceOf is how fast the engines of the work's pool were seen to work, the fastest role.
-func (s *speeds) paceOf(servers []*server, w *decision.Work) decision.Pace {
+// fastestPace is the observed pace of the engines that serve the work's model, that of the
+// fastest role.
+func (s *speeds) fastestPace(servers []*server, w *decision.Work) decision.Pace {
 	pace := w.Pace
 	if pace.PrefillRate <= 0 {
 		return pace
 	}
 	best := 0.0
 	seen := make(map[roleKey]bool)
-	for _, of := range servers {
-		key := roleOf(of.pb)
-		if of.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL || of.pb.Model != w.Model || seen[key] || s.readings[key] == nil {
+	for _, srv := range servers {
+		key := roleOf(srv.pb)
+		if srv.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL || srv.pb.Model != w.Model || seen[key] || s.prefillEstimates[key] == nil {
 			continue
 		}
 		seen[key] = true
-		best = max(best, s.readings[key].Rate())
+		best = max(best, s.prefillEstimates[key].Rate())
 	}
 	if best > 0 {
 		pace.PrefillRate = best
--- a/internal/entry/sums.go
+++ b/internal/entry/sums.go
@@ -7,18 +7,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// askAgainEvery is how old a sum may be while work waits for a place.
-const askAgainEvery = 100 * time.Millisecond
+// sumRefreshInterval is how old a sum may be while work waits for a server.
+const sumRefreshInterval = 100 * time.Millisecond
 
-// groupBacklogs adds what members have reported to this aggregator's own backlogs, and
-// counts the members.
+// groupBacklogs adds the backlogs reported by group members to this aggregator's own, and counts
+// the members.
 func (r *Reducer) groupBacklogs(own []*pb.ServerBacklog) ([]*pb.ServerBacklog, int) {
-	sums, members := r.peers.heard.Single(r.now)
-	return withOwn(sums, own), members
+	sums, members := r.peers.reports.Single(r.now)
+	return addBacklogs(sums, own), members
 }
 
-// withOwn adds own backlogs to the sums, in order of server.
-func withOwn(sums map[string]decision.Backlog, own []*pb.ServerBacklog) []*pb.ServerBacklog {
+// addBacklogs adds own backlogs to the sums, in order of server.
+func addBacklogs(sums map[string]decision.Backlog, own []*pb.ServerBacklog) []*pb.ServerBacklog {
 	for server, b := range backlogsOf(own) {
 		sum := sums[server]
 		sum.Add(b)
@@ -31,92 +31,92 @@
 	return list
 }
 
-// sumAsked answers a member that is about to choose. An entry that is no aggregator by its
-// own view knows too little, and says so: the member asks another one.
-func (r *Reducer) sumAsked(ev SumRequested) {
+// sumRequested answers a group member that is about to choose a server. An entry that is not an
+// aggregator in its own view knows too little and says so. The member then asks another one.
+func (r *Reducer) sumRequested(ev SumRequested) {
 	p := &r.peers
-	if !p.group.aggregates || ev.Request.GetClusterId() != r.cfg.Cluster {
+	if !p.group.isAggregator || ev.Request.GetClusterId() != r.cfg.Cluster {
 		r.emit(AnswerSum{Key: ev.Key})
 		return
 	}
-	sums, entries := p.heard.Except(r.now, ev.Request.GetEntry())
+	sums, entries := p.reports.Except(r.now, ev.Request.GetEntry())
 	from := ev.Request.GetReadsFrom()
 	if ev.Request.GetAggregator() != r.cfg.Identity.GetIncarnation() {
 		from = 0
 	}
-	reads, next := p.group.reads.since(from)
+	reads, next := p.group.prefixes.since(from)
 	sum := &pb.PeerSum{
 		Aggregator: r.cfg.Identity.GetName(), Incarnation: r.cfg.Identity.GetIncarnation(),
-		Entries: uint32(entries + 1), Servers: withOwn(sums, r.backlogs()), Reads: reads, ReadsNext: next,
-		Died: r.allDeaths(), Words: r.allLimits(), Leaving: r.allLeaving(),
+		Entries: uint32(entries + 1), Servers: addBacklogs(sums, r.ownBacklogs()), Reads: reads, ReadsNext: next,
+		Died: r.recentDeaths(), Words: r.allLimits(), Leaving: r.allLeaving(),
 	}
 	if ev.Request.GetWantAlive() {
-		sum.Alive = r.words()
+		sum.Alive = r.allAlive()
 	}
 	r.emit(AnswerSum{Key: ev.Key, Sum: sum})
 }
 
-// sumHeard takes the aggregator's sum in the place of all that was heard before.
-func (r *Reducer) sumHeard(ev SumReceived) {
+// sumReceived replaces everything received before by the aggregator's sum.
+func (r *Reducer) sumReceived(ev SumReceived) {
 	g := &r.peers.group
 	sum := ev.Sum
-	if !g.isMember() {
+	if !g.isGroupMember() {
 		return
 	}
-	if g.from != sum.GetAggregator() {
-		r.peers.heard = decision.NewPeers()
-		g.from = sum.GetAggregator()
+	if g.sumSource != sum.GetAggregator() {
+		r.peers.reports = decision.NewPeers()
+		g.sumSource = sum.GetAggregator()
 	}
-	g.sums++
-	g.silences = 0
-	r.peers.heard.Take(r.now, sum.GetAggregator(), decision.PeerReport{
-		Sequence: g.sums, Entries: int(sum.GetEntries()), Valid: decision.PeerReportFor,
+	g.sumCount++
+	g.timeouts = 0
+	r.peers.reports.Take(r.now, sum.GetAggregator(), decision.PeerReport{
+		Sequence: g.sumCount, Entries: int(sum.GetEntries()), Valid: decision.PeerReportFor,
 		Servers: backlogsOf(sum.GetServers()),
 	})
 	for _, read := range sum.GetReads() {
 		r.decide.picker.HoldsParts(r.now, read.GetServer(), read.GetChain())
 	}
-	r.heardDied(sum.GetDied(), false)
-	r.heardAlive(sum.GetAlive(), ev.SentAt, false)
-	r.heardLimits(sum.GetWords(), false)
-	r.heardOthersLeaving(sum.GetLeaving(), false)
+	r.applyPeerDeaths(sum.GetDied(), false)
+	r.applyPeerAlive(sum.GetAlive(), ev.SentAt, false)
+	r.applyPeerLimits(sum.GetWords(), false)
+	r.applyPeerLeaving(sum.GetLeaving(), false)
 	r.sharedFleet = nil
-	r.startWaiting()
+	r.dispatchWaiting()
 }
 
-// aggregatorSilent waits a little before the aggregator is asked again, and passes it by
-// after some silences.
+// aggregatorTimedOut pauses before the aggregator is asked again, and avoids it after several
+// timeouts.
 //
-// Failure: an aggregator that is busy for a moment answers late. If its members went to
-// another one at once, that one would be busy next, and all entries would ask in turn and
-// learn nothing.
-func (r *Reducer) aggregatorSilent(ev AggregatorTimedOut) {
+// An aggregator that is busy for a moment answers late. If its members moved to another one at
+// once, that one would be overloaded next, and all entries would ask one after the other without
+// learning anything.
+func (r *Reducer) aggregatorTimedOut(ev AggregatorTimedOut) {
 	g := &r.peers.group
 	if g.aggregatorAddress(r.now) != ev.Address {
 		return
 	}
-	g.pauseUntil = r.now + pauseAfterSilence<<g.silences
-	g.silences++
+	g.pauseUntil = r.now + firstTimeoutPause<<g.timeouts
+	g.timeouts++
 	r.dirty = true
-	if g.silences < mostSilences {
+	if g.timeouts < maxTimeouts {
 		return
 	}
-	g.silences, g.pauseUntil = 0, 0
-	if g.silentUntil == nil {
-		g.silentUntil = make(map[string]time.Duration)
+	g.timeouts, g.pauseUntil = 0, 0
+	if g.avoidUntil == nil {
+		g.avoidUntil = make(map[string]time.Duration)
 	}
-	g.silentUntil[ev.Address] = r.now + avoidAggregator
-	r.peers.changed = true
-	r.emit(LogDecision{Kind: LogPeers, Reason: "the aggregator gave no answers; another one is asked", Server: ev.Address})
+	g.avoidUntil[ev.Address] = r.now + aggregatorAvoidance
+	r.peers.changePending = true
+	r.emit(LogDecision{Kind: LogPeers, Reason: "aggregator did not answer; asking another one", Server: ev.Address})
 }
 
-// refreshSum asks for a new sum while work waits for a place: the last one grows old, and
-// what has become free is not in it.
+// refreshSum requests a new sum while work waits for a server. The last sum lacks the capacity
+// that has become free since.
 func (r *Reducer) refreshSum() {
 	g := &r.peers.group
-	if r.decide.queue.Len() == 0 || r.now-g.askedAt < askAgainEvery || g.aggregator(r.now) == nil {
+	if r.decide.queue.Len() == 0 || r.now-g.sumRequestedAt < sumRefreshInterval || g.aggregator(r.now) == nil {
 		return
 	}
-	g.askedAt = r.now
+	g.sumRequestedAt = r.now
 	r.emit(RequestSum{})
 }
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -14,64 +14,62 @@
 )
 
 const (
-	// probationTokens is how many tokens a request must get from a server to
-	// look innocent of its death: a request that crashes servers does so as it
-	// starts, or again and again at the same place of its answer.
+	// probationTokens is how many tokens a request must get from a server to be unlikely as the
+	// cause of its crash. A request that crashes servers does so at its start, or repeatedly at
+	// the same position of its answer.
 	probationTokens = 4
-	// freshGuilt, lateGuilt and doubtGuilt are what a death adds for a request
-	// that began there without progress, for one with progress, and for one of
-	// which it is not known that the server was still alive. They count in
-	// quarters of a death. The lesser ones keep a request that crashes servers
-	// late, or at once, from going on for ever, while a dossier whose servers
-	// die of something else several times is not taken for guilty.
-	freshGuilt = 4
-	lateGuilt  = 2
-	doubtGuilt = 1
-	// guiltPerDeath is how much guilt makes one death towards control.
-	guiltPerDeath = 4
-	// longAnswerless: a server that is dead already closes a connection, or has
-	// something in between close it, in a few milliseconds. One that kept the
-	// request for longer had begun with it.
-	longAnswerless = 2 * time.Millisecond
-	// apartFor is how long a suspect waits for a server of its own, and others
-	// wait for servers without a suspect, before they share one.
-	apartFor = 2 * time.Second
-	// staggerFor spreads the next runs of suspects over time. All entries choose
-	// for themselves: without it the suspects of one death, at several entries,
-	// start again together, and the guilty one meets the same innocent ones on
-	// the next server within milliseconds.
-	staggerFor = 500 * time.Millisecond
-	// suspectWait is how long a request waits for its start when it ran on a
-	// server that died lately. Control tells all entries of a quarantine in some
-	// 20 ms: a caller that sends its request again to another entry, in the
-	// millisecond after its final answer, must not crash one more server there.
-	suspectWait = 300 * time.Millisecond
-	// suspectedFor is for how long after a death a request waits so.
-	suspectedFor = 30 * time.Second
-	// maxSuspects bounds the table; the oldest goes first.
+	// A crash adds earlyCrashScore to a request that had begun there without progress,
+	// lateCrashScore to one with progress, and uncertainCrashScore to one that may have been
+	// sent after the crash. The scores count in quarters of a crash. The lower ones bound the
+	// retries of a request that crashes servers late or at once, while a dossier whose servers
+	// crash several times for other reasons is not quarantined.
+	earlyCrashScore     = 4
+	lateCrashScore      = 2
+	uncertainCrashScore = 1
+	// scorePerCrash is the score that counts as one crash towards control.
+	scorePerCrash = 4
+	// assumedStartedAfter is how long an attempt must have been open to count as started. If the
+	// server is already dead, it or a proxy in between closes the connection within a few
+	// milliseconds.
+	assumedStartedAfter = 2 * time.Millisecond
+	// isolationTime is how long a suspect waits for a server of its own, and other requests for
+	// servers without a suspect, before they share one.
+	isolationTime = 2 * time.Second
+	// maxStagger spreads the next attempts of suspects over time. Each entry decides on its own.
+	// Without the spread, the suspects of one crash at several entries would start together
+	// again, and the one that crashes servers would meet the same other suspects on the next
+	// server within milliseconds.
+	maxStagger = 500 * time.Millisecond
+	// suspectStartDelay is how long a request waits before its start if it ran on a server that
+	// crashed recently. Control notifies all entries of a quarantine within about 20 ms. A
+	// caller that repeats its request at another entry, within a millisecond of its final
+	// answer, must not crash another server there.
+	suspectStartDelay = 300 * time.Millisecond
+	// suspectDelayPeriod is for how long after a crash requests are delayed in this way.
+	suspectDelayPeriod = 30 * time.Second
+	// maxSuspects bounds the table. The oldest suspect is dropped first.
 	maxSuspects = 4096
 )
 
-// suspect is a request that ran on a server when it died.
+// suspect is a request that ran on a server when it crashed.
 type suspect struct {
-	// guilt counts deaths in quarters.
-	guilt int
+	// score counts crashes in quarters.
+	score int
 	at    time.Duration
-	// cleared is set once it made progress again.
+	// cleared is set once the request has made progress again.
 	cleared bool
 }
 
-// suspectTable keeps requests that may crash servers.
+// suspectTable tracks requests that may crash servers.
 //
-// Now and then one request crashes each server that runs it. It shows as
-// servers dying one after the other with the same request on each. After the
-// first death all that ran there are suspects and are resumed apart from each
-// other, so that the next death names the guilty one; after QuarantineDeaths it
-// gets its final answer. Fingerprints are per member: no member can quarantine
-// another's request.
+// Occasionally a request crashes each server that runs it, so that servers die one after the
+// other. After the first crash all requests that ran there are suspects. They are resumed on
+// separate servers, so that the next crash identifies the cause. After QuarantineDeaths crashes
+// the request gets its final answer. Fingerprints are per member, so that no member can
+// quarantine another one's request.
 type suspectTable struct {
 	byKey map[quarantineKey]*suspect
-	// order holds the keys by time of their first death.
+	// order holds the keys by time of their first crash.
 	order []quarantineKey
 }
 
@@ -90,36 +88,36 @@
 	}
 }
 
-// died adds a death's guilt; true when that makes another whole death.
-func (t *suspectTable) died(q *request, now time.Duration) bool {
+// recordCrash adds the score of a crash. It returns true if that completes another whole crash.
+func (t *suspectTable) recordCrash(q *request, now time.Duration) bool {
 	s := t.byKey[q.key()]
 	if s == nil {
 		s = &suspect{}
 		t.byKey[q.key()] = s
 		t.order = append(t.order, q.key())
 	}
-	guilt := q.guilt()
-	before := s.guilt / guiltPerDeath
-	s.guilt += guilt
-	s.at, s.cleared = now, guilt != freshGuilt
-	return s.guilt/guiltPerDeath > before
+	score := q.crashScore()
+	before := s.score / scorePerCrash
+	s.score += score
+	s.at, s.cleared = now, score != earlyCrashScore
+	return s.score/scorePerCrash > before
 }
 
-func (q *request) guilt() int {
+func (q *request) crashScore() int {
 	switch {
-	case !q.reached:
-		return doubtGuilt
-	case q.here+q.got >= probationTokens:
-		return lateGuilt
+	case !q.acknowledged:
+		return uncertainCrashScore
+	case q.serverTokens+q.attemptTokens >= probationTokens:
+		return lateCrashScore
 	default:
-		return freshGuilt
+		return earlyCrashScore
 	}
 }
 
-// progressed gives true when a suspect has just made enough progress.
+// progressed returns true if a suspect has just made enough progress to be cleared.
 func (t *suspectTable) progressed(q *request) bool {
 	s := t.byKey[q.key()]
-	if s == nil || s.cleared || q.here+q.got < probationTokens {
+	if s == nil || s.cleared || q.serverTokens+q.attemptTokens < probationTokens {
 		return false
 	}
 	s.cleared = true
@@ -139,40 +137,39 @@
 	return s != nil && !s.cleared
 }
 
-// apart tells whether the request may go to the server as far as suspects are
-// concerned: never two suspects on one server; a suspect and others on one
-// server only after apartFor.
-func (t *suspectTable) apart(r *Reducer, q *request, s *server) bool {
+// mayShareServer tells whether the request may go to the server as far as suspects are
+// concerned. Two suspects never share a server. A suspect and other requests share one only
+// after isolationTime.
+func (t *suspectTable) mayShareServer(r *Reducer, q *request, s *server) bool {
 	if len(t.byKey) == 0 {
 		return true
 	}
-	patient := r.now-q.waitsSince < apartFor
-	mine := t.onProbation(q)
-	if mine && patient && len(s.running) > 0 {
+	isolating := r.now-q.waitingSince < isolationTime
+	isSuspect := t.onProbation(q)
+	if isSuspect && isolating && len(s.running) > 0 {
 		return false
 	}
 	for _, id := range s.running {
-		other := t.onProbation(r.requests[id])
-		if other && (mine || patient) {
+		otherIsSuspect := t.onProbation(r.requests[id])
+		if otherIsSuspect && (isSuspect || isolating) {
 			return false
 		}
 	}
 	return true
 }
 
-// stagger gives how long a suspect waits before its next run.
+// stagger returns how long a suspect waits before its next attempt.
 func (t *suspectTable) stagger(q *request) time.Duration {
 	if !t.onProbation(q) {
 		return 0
 	}
-	return time.Duration(suspectHash(q, "") % uint64(staggerFor))
+	return time.Duration(suspectHash(q, "") % uint64(maxStagger))
 }
 
-// spread leaves a suspect one server that its hash chooses, while it waits
-// patiently: the cheapest server would be the same for the suspects of all
-// entries.
-func (t *suspectTable) spread(r *Reducer, q *request, f *decision.Fleet) {
-	if !t.onProbation(q) || r.now-q.waitsSince >= apartFor {
+// pinToServer leaves a suspect only the server that its hash selects, during isolationTime. The
+// cheapest server would be the same for the suspects of all entries.
+func (t *suspectTable) pinToServer(r *Reducer, q *request, f *decision.Fleet) {
+	if !t.onProbation(q) || r.now-q.waitingSince >= isolationTime {
 		return
 	}
 	best, highest := -1, uint64(0)
@@ -191,13 +188,13 @@
 	return xxhash.Sum64String(server + "/" + q.work.Member + "/" + strconv.FormatUint(q.fingerprint+uint64(q.attempts), 16))
 }
 
-// quarantined tells whether the request gets no more runs.
+// quarantined tells whether the request gets no more attempts.
 func (r *Reducer) quarantined(q *request) bool {
 	if r.view.quarantine[q.key()] {
 		return true
 	}
 	s := r.suspects.byKey[q.key()]
-	return s != nil && s.guilt >= guiltPerDeath*r.quarantineDeaths()
+	return s != nil && s.score >= scorePerCrash*r.quarantineDeaths()
 }
 
 func (r *Reducer) quarantineDeaths() int {
@@ -207,39 +204,39 @@
 	return declaration.DefaultQuarantineDeaths
 }
 
-// serverDied counts one death of one life of a server and names the suspects:
-// all that this entry had there, but for a request that was not started.
+// serverDied records the crash of a server incarnation once and reports the suspects: all
+// requests of this entry there, except one that was not started.
 func (r *Reducer) serverDied(s *server, q *request, ev AttemptEnded) {
 	s.fail(r.now)
 	if s.died {
 		return
 	}
 	s.died = true
-	r.noteDeath(s.pb.Id, s.lifeHash(), r.now)
+	r.recordDeath(s.pb.Id, s.incarnationHash(), r.now)
 	death := &pb.ServerDeath{Server: s.pb.Id, Incarnation: s.pb.Incarnation}
 	for _, id := range s.running {
 		other := r.requests[id]
 		if other == q && ev.Outcome == outcome.NotRun {
 			continue
 		}
-		if r.suspects.died(other, r.now) {
+		if r.suspects.recordCrash(other, r.now) {
 			death.Suspects = append(death.Suspects, &pb.Quarantine{
 				Member: other.work.Member, Fingerprint: other.fingerprint,
 			})
 		}
 	}
 	r.report.death(death)
-	r.logServer(s, "died")
+	r.logServer(s, "crashed")
 }
 
-// suspected tells whether new work ran on a server that died lately, by the word
-// of control.
-func (r *Reducer) suspected(q *request) bool {
+// recentlySuspected tells whether a new request ran on a server that crashed recently, according
+// to control.
+func (r *Reducer) recentlySuspected(q *request) bool {
 	until, ok := r.view.suspected[q.key()]
 	return ok && r.now < until
 }
 
-// refuseQuarantined gives what waits its final answer once it is quarantined.
+// refuseQuarantined refuses waiting requests once they are quarantined.
 func (r *Reducer) refuseQuarantined() {
 	for _, id := range sortedKeys(r.requests) {
 		q := r.requests[id]
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -13,54 +13,57 @@
 
 // UsageConfig says how usage is counted.
 type UsageConfig struct {
-	// Window is the length of a window; zero: nothing is counted.
+	// Window is the length of a counting window. If zero, nothing is counted.
 	Window time.Duration
-	// BootUnixTime is the time from the start of 1970 to the boot of the VM, as the wall clock told
-	// it when the process began: a clock that is set later moves no count.
+	// BootUnixTime is the time from the Unix epoch to the boot of the VM, by the wall clock at
+	// the start of the process. A later adjustment of the clock does not shift any count.
 	BootUnixTime time.Duration
 }
 
 const (
-	// usageKeptFor is how long after its end a window is kept, to be told to a new leader.
-	usageKeptFor = time.Minute
-	// usageSpread spreads the reports after a window's end over time: all entries have one.
-	usageSpread = 800 * time.Millisecond
+	// usageRetention is how long after its end a window is kept, so that a new leader can get
+	// it.
+	usageRetention = time.Minute
+	// usageReportJitter spreads the reports after the end of a window over time, since the
+	// window ends for all entries at once.
+	usageReportJitter = 800 * time.Millisecond
 )
 
-// usageBook counts the requests of members that began to run, by window.
+// usageCounter counts the requests of members that began to run, by window.
 //
-// Counts are told as sums of this life of the entry, so that a report which comes twice
-// counts once; a leader that has none of them is told all that are kept.
-type usageBook struct {
+// Counts are reported as sums over this incarnation of the entry, so that a repeated report
+// counts once. A leader that has none of them gets all that are kept.
+type usageCounter struct {
 	cfg     UsageConfig
-	spread  time.Duration
+	jitter  time.Duration
 	windows map[int64]*usageCounts
-	// term is that of the leader that was told, toldTo the window up to which.
-	term   uint64
-	toldTo int64
+	// term is that of the leader that got the last report, reportedTo is the window up to which
+	// counts were reported.
+	term       uint64
+	reportedTo int64
 }
 
 type usageCounts struct {
 	requests map[string]uint64
-	// told is set while the leader has been sent these counts.
-	told bool
+	// reported is set while the leader has been sent these counts.
+	reported bool
 }
 
-func newUsageBook(cfg UsageConfig, entry string) usageBook {
-	return usageBook{
+func newUsageCounter(cfg UsageConfig, entry string) usageCounter {
+	return usageCounter{
 		cfg: cfg, windows: make(map[int64]*usageCounts),
-		spread: time.Duration(xxhash.Sum64String(entry) % uint64(usageSpread)),
+		jitter: time.Duration(xxhash.Sum64String(entry) % uint64(usageReportJitter)),
 	}
 }
 
-func (b *usageBook) on() bool { return b.cfg.Window > 0 }
+func (b *usageCounter) enabled() bool { return b.cfg.Window > 0 }
 
-func (b *usageBook) windowAt(now time.Duration) int64 {
+func (b *usageCounter) windowAt(now time.Duration) int64 {
 	return int64((now + b.cfg.BootUnixTime) / b.cfg.Window)
 }
 
-// began counts a request of a member.
-func (b *usageBook) began(now time.Duration, member string) {
+// count adds a request of a member.
+func (b *usageCounter) count(now time.Duration, member string) {
 	window := b.windowAt(now)
 	c := b.windows[window]
 	if c == nil {
@@ -69,35 +72,35 @@
 		b.forget(window)
 	}
 	c.requests[member]++
-	c.told = false
+	c.reported = false
 }
 
 // forget drops windows that ended long before this one.
-func (b *usageBook) forget(window int64) {
-	kept := int64(usageKeptFor / b.cfg.Window)
+func (b *usageCounter) forget(window int64) {
+	kept := int64(usageRetention / b.cfg.Window)
 	maps.DeleteFunc(b.windows, func(w int64, _ *usageCounts) bool { return w < window-kept })
 }
 
-// due tells whether a window has ended that control was not told of as complete.
-func (b *usageBook) due(now time.Duration) bool {
-	return b.on() && b.windowAt(now-b.spread) > b.toldTo
+// due tells whether a window has ended that was not reported as complete.
+func (b *usageCounter) due(now time.Duration) bool {
+	return b.enabled() && b.windowAt(now-b.jitter) > b.reportedTo
 }
 
-// fill puts into a report what the leader lacks.
-func (b *usageBook) fill(now time.Duration, req *pb.ReportRequest) {
-	if !b.on() {
+// fill adds to a report what the leader lacks.
+func (b *usageCounter) fill(now time.Duration, req *pb.ReportRequest) {
+	if !b.enabled() {
 		return
 	}
 	for _, window := range slices.Sorted(maps.Keys(b.windows)) {
 		c := b.windows[window]
-		if c.told {
+		if c.reported {
 			continue
 		}
-		c.told = true
+		c.reported = true
 		req.Usage = append(req.Usage, c.proto(window))
 	}
-	b.toldTo = b.windowAt(now)
-	req.UsageComplete = b.toldTo
+	b.reportedTo = b.windowAt(now)
+	req.UsageComplete = b.reportedTo
 }
 
 func (c *usageCounts) proto(window int64) *pb.UsageWindow {
@@ -108,34 +111,36 @@
 	return w
 }
 
-// taken notes who has answered a report. Another leader than before has got only this one.
-func (b *usageBook) taken(term uint64) {
+// acknowledged records which leader answered a report. A new leader has received only this
+// report.
+func (b *usageCounter) acknowledged(term uint64) {
 	if term != b.term {
 		b.term = term
-		b.tellAgain()
+		b.resendAll()
 	}
 }
 
-// tellAgain lets the next report tell of all windows that are kept.
-func (b *usageBook) tellAgain() {
+// resendAll makes the next report contain all windows that are kept.
+func (b *usageCounter) resendAll() {
 	for _, c := range b.windows {
-		c.told = false
+		c.reported = false
 	}
-	b.toldTo = 0
+	b.reportedTo = 0
 }
 
-// noteBegun counts a request for its member once, when it is first seen to have begun.
-func (r *Reducer) noteBegun(q *request) {
-	if !r.usage.on() || q.counted || q.work.Member == "" {
+// countUsage counts a request for its member once, when it is first seen to have begun.
+func (r *Reducer) countUsage(q *request) {
+	if !r.usage.enabled() || q.usageCounted || q.work.Member == "" {
 		return
 	}
-	q.counted = true
-	r.usage.began(r.now, q.work.Member)
+	q.usageCounted = true
+	r.usage.count(r.now, q.work.Member)
 }
 
-// noteEnded counts what gave no sign of its beginning: a call that is answered at once.
-func (r *Reducer) noteEnded(q *request, ev AttemptEnded) {
+// countUsageAtEnd counts a request that showed no earlier sign of having begun, such as a call
+// that is answered at once.
+func (r *Reducer) countUsageAtEnd(q *request, ev AttemptEnded) {
 	if ev.Complete || ev.Outcome == outcome.Ran {
-		r.noteBegun(q)
+		r.countUsage(q)
 	}
 }
--- a/internal/entry/usage_test.go
+++ b/internal/entry/usage_test.go
@@ -12,7 +12,7 @@
 // countingWorld counts the requests of a member with a credential.
 func countingWorld(t *testing.T) *world {
 	w := relayedWorld(t)
-	w.r.usage = newUsageBook(UsageConfig{Window: 5 * second, BootUnixTime: 1000 * second}, "entry-a1")
+	w.r.usage = newUsageCounter(UsageConfig{Window: 5 * second, BootUnixTime: 1000 * second}, "entry-a1")
 	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(2)...)
 	return w
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -17,30 +17,30 @@
 	fingerprint uint64
 }
 
-// entryState is an entry of the view and when its life was first seen.
+// entryState is an entry of the view, and when its incarnation was first seen.
 type entryState struct {
 	info  *pb.EntryInfo
 	since time.Duration
 }
 
-// view is what control last told.
+// view is the last state received from control.
 type view struct {
 	version    uint64
 	revision   uint64
 	leaseUntil time.Duration
-	// confirmedAt is when the last answer was asked for that control gave.
+	// confirmedAt is when the last request was sent that control answered.
 	confirmedAt time.Duration
 	objects     map[objectKey]*pb.Object
 	reader      *declaration.Reader
 	declaration *declaration.Declaration
 	members     map[string]*declaration.Member
 	routes      declaration.RouteTable
-	// cacheTokens is the declared memory of an engine by its model.
+	// cacheTokens is the declared KV cache size of an engine, by model.
 	cacheTokens map[string]uint64
 	entries     map[string]*entryState
 	quarantine  map[quarantineKey]bool
-	// suspected are requests that ran on a server that died lately, and until
-	// when that counts.
+	// suspected are requests that ran on a server that crashed recently, and until when that
+	// counts.
 	suspected map[quarantineKey]time.Duration
 	control   []string
 }
@@ -56,12 +56,11 @@
 	}
 }
 
-// viewReceived applies a whole view or a delta, and renews the lease.
+// viewReceived applies a full view or a delta, and renews the lease.
 //
-// Answers can come late and out of order, and from a control replica that has
-// fallen behind. A delta against another version than the one in force, and
-// anything older than what is in force, is dropped together with its lease:
-// otherwise an accepted configuration would revert for a while.
+// Responses can arrive late, out of order, or from a control replica that lags behind. A delta
+// against a version other than the current one, and anything older than the current view, is
+// dropped together with its lease. Otherwise an accepted configuration would revert for a while.
 func (r *Reducer) viewReceived(ev ViewReceived) {
 	resp := ev.Response
 	v := &r.view
@@ -85,11 +84,11 @@
 	if len(resp.Quarantine) > 0 {
 		r.refuseQuarantined()
 	}
-	r.startWaiting()
+	r.dispatchWaiting()
 }
 
-// applyView gives false when the declaration in it can't be read; the view in
-// force stays then.
+// applyView returns false if the declaration in the view can't be parsed. The current view then
+// stays.
 func (r *Reducer) applyView(ev ViewReceived) bool {
 	v, resp := &r.view, ev.Response
 	if resp.Full || len(resp.Objects) > 0 || len(resp.RemovedObjects) > 0 {
@@ -158,8 +157,8 @@
 	v.declaration, v.members, v.routes = d, members, declaration.NewRouteTable(d)
 }
 
-// applyEntries keeps since when each life of an entry is known. What a first
-// whole view names counts as long known: this entry is the newcomer then.
+// applyEntries records since when each incarnation of an entry is known. Entries of the first
+// full view count as known for long, since this entry itself is the new one.
 func (r *Reducer) applyEntries(resp *pb.WatchResponse) {
 	v := &r.view
 	since := r.now
@@ -182,10 +181,10 @@
 		v.entries[info.Identity.Name] = state
 	}
 	for _, name := range resp.RemovedEntries {
-		r.peers.heard.Forget(name)
+		r.peers.reports.Forget(name)
 		delete(v.entries, name)
 	}
-	r.regroup()
+	r.updateGroups()
 }
 
 func (v *view) applyQuarantine(resp *pb.WatchResponse, now time.Duration) {
@@ -197,14 +196,14 @@
 	}
 	maps.DeleteFunc(v.suspected, func(_ quarantineKey, until time.Duration) bool { return until <= now })
 	for _, q := range resp.Suspects {
-		v.suspected[quarantineKey{q.Member, q.Fingerprint}] = now + suspectedFor
+		v.suspected[quarantineKey{q.Member, q.Fingerprint}] = now + suspectDelayPeriod
 	}
 	for _, q := range resp.RemovedQuarantine {
 		delete(v.quarantine, quarantineKey{q.Member, q.Fingerprint})
 	}
 }
 
-// sortedEntries gives the entries in order of name.
+// sortedEntries returns the entries in order of name.
 func (v *view) sortedEntries() []*entryState {
 	list := make([]*entryState, 0, len(v.entries))
 	for _, e := range v.entries {
