--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -179,7 +179,7 @@
 	slices.SortFunc(list, func(a, b EntryWeight) int {
 		return compareByHash(a, b, key)
 	})
-	var first, rest []EntryWeight
+	var firstPerDataCentre, rest []EntryWeight
 	seen := make(map[string]bool)
 	for _, e := range list {
 		if seen[e.DataCentre] {
@@ -187,9 +187,9 @@
 			continue
 		}
 		seen[e.DataCentre] = true
-		first = append(first, e)
+		firstPerDataCentre = append(firstPerDataCentre, e)
 	}
-	all := append(first, rest...)
+	all := append(firstPerDataCentre, rest...)
 	return all[:min(n, len(all))]
 }
 
--- a/internal/entry/addresses_test.go
+++ b/internal/entry/addresses_test.go
@@ -8,8 +8,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// fleetOfEntries gives three entries in each of three data centres.
-func fleetOfEntries() []*pb.EntryInfo {
+// entriesInThreeDataCentres returns three entries in each of three data centres.
+func entriesInThreeDataCentres() []*pb.EntryInfo {
 	var list []*pb.EntryInfo
 	for _, dc := range []string{"a", "b", "c"} {
 		for i := 1; i <= 3; i++ {
@@ -22,63 +22,64 @@
 	return list
 }
 
-func (w *world) entries(list ...*pb.EntryInfo) *Snapshot {
+func (w *harness) viewEntries(list ...*pb.EntryInfo) *Snapshot {
 	w.version++
 	effects := w.step(ViewReceived{SentAt: w.now, Response: &pb.WatchResponse{
 		Version: w.version, Full: true, Revision: 1, LeaseMs: 1500, Entries: list,
 		Objects: testDeclaration(1).ToProto().Objects,
 	}})
-	return pick[Publish](effects)[0].Snapshot
+	return effectsOf[Publish](effects)[0].Snapshot
 }
 
-// An entry crashes under load and comes back idle. With its full weight at once
-// it would, as the least loaded, draw all callers whose answers run out then.
-func TestReturningEntryGetsItsShareSlowly(t *testing.T) {
-	w := newWorld(t)
-	w.entries(fleetOfEntries()...)
-	w.after(rampTime)
-	back := fleetOfEntries()
-	back[1].Identity.Incarnation = "i2"
-	list := w.entries(back...).AddressesFor("dc-a")
+// Guards against a restarted entry that attracts all callers. It comes back idle, and with its
+// full weight at once it would be the least loaded entry for all callers that resolve addresses
+// at that time.
+func TestRestartedEntryRampsUp(t *testing.T) {
+	w := newHarness(t)
+	w.viewEntries(entriesInThreeDataCentres()...)
+	w.advance(rampTime)
+	entries := entriesInThreeDataCentres()
+	entries[1].Identity.Incarnation = "i2"
+	list := w.viewEntries(entries...).AddressesFor("dc-a")
 	if len(list) != 9 || list[2].Name != "entry-a2" || list[2].Weight != minWeight || list[0].Weight < 0.9 {
-		t.Fatalf("just back: %v", list[:3])
+		t.Fatalf("just restarted: %v", list[:3])
 	}
-	w.after(rampTime)
+	w.advance(rampTime)
 	w.step(Tick{})
-	list = pick[Publish](w.effects)[0].Snapshot.AddressesFor("dc-a")
+	list = effectsOf[Publish](w.effects)[0].Snapshot.AddressesFor("dc-a")
 	for _, e := range list[:3] {
 		if e.Weight < 0.9 {
-			t.Fatalf("after the ramp: %v", list[:3])
+			t.Fatalf("after the ramp-up: %v", list[:3])
 		}
 	}
 }
 
-// Entries that leave are not named, and callers get their own data centre first,
-// another one when all of it leaves.
-func TestLeavingEntriesAreNotNamed(t *testing.T) {
-	w := newWorld(t)
-	all := fleetOfEntries()
+// Guards against callers that get the addresses of leaving entries, or of another data centre
+// while their own has entries left.
+func TestLeavingEntriesAreNotListed(t *testing.T) {
+	w := newHarness(t)
+	all := entriesInThreeDataCentres()
 	all[1].Leaving = true
-	list := w.entries(all...).AddressesFor("dc-a")
+	list := w.viewEntries(all...).AddressesFor("dc-a")
 	if len(list) != 8 || list[0].DataCentre != "dc-a" || list[1].DataCentre != "dc-a" || list[2].DataCentre == "dc-a" {
 		t.Fatalf("%v", list)
 	}
 	all[2].Leaving = true
-	w.entries(all...)
-	// The entry itself, entry-a1, knows first that it leaves.
-	s := pick[Publish](w.step(Stop{}))[0].Snapshot
+	w.viewEntries(all...)
+	// The entry itself, entry-a1, is the first to know that it leaves.
+	s := effectsOf[Publish](w.step(Stop{}))[0].Snapshot
 	if list = s.AddressesFor("dc-a"); len(list) != 6 || list[0].DataCentre == "dc-a" {
 		t.Fatalf("%v", list)
 	}
 }
 
-// Backend servers announce to entries in different data centres, so that the
-// loss of one leaves their word heard; the spread over entries is even, and a
-// lost entry moves only its own servers.
+// Guards against the loss of all announcements of a server with one data centre. Servers
+// announce to entries in different data centres, evenly spread, and a lost entry moves only its
+// own servers.
 func TestAnnouncementsAreSpread(t *testing.T) {
-	w := newWorld(t)
-	s := w.entries(fleetOfEntries()...)
-	fewer := w.entries(fleetOfEntries()[1:]...)
+	w := newHarness(t)
+	s := w.viewEntries(entriesInThreeDataCentres()...)
+	fewer := w.viewEntries(entriesInThreeDataCentres()[1:]...)
 	count, moved := make(map[string]int), 0
 	for i := range 900 {
 		id := fmt.Sprintf("engine-%d", i)
@@ -99,7 +100,7 @@
 	}
 	for name, n := range count {
 		if n < 200 || n > 400 {
-			t.Errorf("%s has %d of 2700", name, n)
+			t.Errorf("%s gets %d of 2700 announcements", name, n)
 		}
 	}
 	if moved > 300 {
@@ -107,9 +108,9 @@
 	}
 }
 
-// A fleet grows until every entry spends more on hearing servers than control
-// may cost it. The pace slows down, but never so far that control's lease on a
-// server could run out between two of its words.
+// Guards against entries of a large fleet that spend more on announcements than the control
+// plane may cost. The interval grows, but never so far that control's lease on a server could
+// end between two announcements.
 func TestServersAnnounceLessOftenInLargeFleets(t *testing.T) {
 	for _, c := range []struct {
 		servers, entries int
--- a/internal/entry/announcements.go
+++ b/internal/entry/announcements.go
@@ -67,7 +67,7 @@
 		return
 	}
 	r.lastProbe = r.now
-	left, partition, servers := maxProbes, r.peers.group.partition(r.now), r.servers.sorted
+	remaining, partition, servers := maxProbes, r.peers.group.partition(r.now), r.servers.sorted
 	due := make([]bool, len(servers))
 	for i, s := range servers {
 		due[i] = r.shouldProbe(s, &partition)
@@ -78,10 +78,10 @@
 		if !due[i] {
 			continue
 		}
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
-		left--
+		remaining--
 		r.nextProbe = i + 1
 		s := servers[i]
 		r.emit(Probe{
--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -10,7 +10,7 @@
 
 // arrived either refuses a request at once or accepts it. A repeated event for the same request
 // is ignored.
-func (r *Reducer) arrived(ev RequestArrived) {
+func (r *Reducer) requestArrived(ev RequestArrived) {
 	id := ev.Work.RequestID
 	if r.requests[id] != nil {
 		return
@@ -47,10 +47,10 @@
 		r.held = append(r.held, q)
 		return
 	}
-	r.decide.queue.Push(q.work)
+	r.decisions.queue.Push(q.work)
 	r.dispatchWaiting()
 	if q.server == nil && r.requests[id] == q {
-		r.log(LogWait, q, "", "no server has capacity", []Figure{{Name: "waiting", Value: float64(r.decide.queue.Len())}})
+		r.log(LogWait, q, "", "no server has capacity", []Figure{{Name: "waiting", Value: float64(r.decisions.queue.Len())}})
 	}
 }
 
@@ -76,7 +76,7 @@
 	if r.stale() && !anyServesInTime(&fleet, &q.work) {
 		return refuseStale(), nil
 	}
-	return r.decide.admit(r.now, &q.work, &fleet)
+	return r.decisions.admit(r.now, &q.work, &fleet)
 }
 
 func anyServes(fleet *decision.Fleet, w *decision.Work) bool {
--- a/internal/entry/authorize.go
+++ b/internal/entry/authorize.go
@@ -49,11 +49,11 @@
 		return refuseOutdatedCredentials()
 	}
 	member := r.view.members[c.credential]
-	other := member != nil && c.member != "" && c.member != member.Name
+	otherMember := member != nil && c.member != "" && c.member != member.Name
 	switch {
 	case c.membersOnly && c.credential == "":
 		return refuseUnknownCredential()
-	case c.membersOnly && (member == nil || other):
+	case c.membersOnly && (member == nil || otherMember):
 		return r.refuseCredential()
 	case c.credential == "" || member == nil:
 		q.work.Member, q.work.Rank = c.member, c.routeRank
--- a/internal/entry/authorize_test.go
+++ b/internal/entry/authorize_test.go
@@ -10,8 +10,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// declares lets control declare these members, with these servers.
-func (w *world) declares(members []declaration.Member, servers ...*pb.BackendServer) []Effect {
+// declare applies a view with these members and servers.
+func (w *harness) declare(members []declaration.Member, servers ...*pb.BackendServer) []Effect {
 	w.version++
 	d := testDeclaration(w.version)
 	d.Members = members
@@ -21,153 +21,156 @@
 	}})
 }
 
-func holder(name string, credentials ...string) declaration.Member {
+func memberWithCredentials(name string, credentials ...string) declaration.Member {
 	return declaration.Member{Name: name, Weight: 1, CredentialsSHA256: credentials}
 }
 
-// asks sends a request with a credential on a route for members only.
-func (w *world) asks(id, credential string) []Effect {
-	return w.relayed(id, func(a *RequestArrived) { a.Credential, a.MembersOnly = credential, true })
+// arriveWithCredential sends a request with a credential on a route for members only.
+func (w *harness) arriveWithCredential(id, credential string) []Effect {
+	return w.arriveWithDeadline(id, func(a *RequestArrived) { a.Credential, a.MembersOnly = credential, true })
 }
 
-// full lets a request of nobody's take the only place, so that the next one waits.
-func (w *world) full(members ...declaration.Member) Dispatch {
+// fillOnlySlot lets a request without a member take the only slot, so that the next one waits.
+func (w *harness) fillOnlySlot(members ...declaration.Member) Dispatch {
 	w.t.Helper()
-	w.declares(members, onePlace()...)
-	w.relayed("first", nil)
-	return w.dispatched()
+	w.declare(members, singleSlotServer()...)
+	w.arriveWithDeadline("first", nil)
+	return w.singleDispatch()
 }
 
-func onePlace() []*pb.BackendServer {
+func singleSlotServer() []*pb.BackendServer {
 	list := serving(1)
 	list[0].Slots = 1
 	return list
 }
 
-func whole(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran }
+func completed(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran }
 
 // Guards against a request that runs without a credential, or under an unknown one.
 func TestUnknownCredentialIsRefused(t *testing.T) {
-	w := relayedWorld(t)
-	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(1)...)
+	w := newDeadlineHarness(t)
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-1")}, serving(1)...)
 	for _, credential := range []string{"", "key-2"} {
-		w.asks("r"+credential, credential)
-		if r := w.refused(); r.Status != http.StatusUnauthorized || r.Outcome != outcome.NotRun {
+		w.arriveWithCredential("r"+credential, credential)
+		if r := w.singleRefusal(); r.Status != http.StatusUnauthorized || r.Outcome != outcome.NotRun {
 			t.Errorf("credential %q: %+v", credential, r)
 		}
 	}
-	w.asks("r1", "key-1")
-	if d := w.dispatched(); d.Member != "hotels" {
+	w.arriveWithCredential("r1", "key-1")
+	if d := w.singleDispatch(); d.Member != "hotels" {
 		t.Errorf("runs for %q", d.Member)
 	}
 }
 
-// Guards against a final "unknown credential" by an entry that may have missed the change that declared it.
+// Guards against a final "unknown credential" from an entry that may have missed the change that
+// declared it.
 func TestUnknownCredentialIsNotFinalWithoutALease(t *testing.T) {
-	w := relayedWorld(t)
-	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(1)...)
+	w := newDeadlineHarness(t)
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-1")}, serving(1)...)
 	w.now += 2 * time.Second
-	w.asks("r1", "key-2")
-	if r := w.refused(); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 || r.Outcome != outcome.NotRun {
+	w.arriveWithCredential("r1", "key-2")
+	if r := w.singleRefusal(); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 || r.Outcome != outcome.NotRun {
 		t.Errorf("without a lease: %+v", r)
 	}
-	w.asks("r2", "")
-	if r := w.refused(); r.Status != http.StatusUnauthorized {
+	w.arriveWithCredential("r2", "")
+	if r := w.singleRefusal(); r.Status != http.StatusUnauthorized {
 		t.Errorf("no credential: %+v", r)
 	}
 }
 
-// Guards against a request that waits for a place while its key is taken away, and runs.
+// Guards against a request that runs although its credential was revoked while it waited for a
+// slot.
 func TestWaitingRequestOfARevokedCredentialIsRefused(t *testing.T) {
-	w := relayedWorld(t)
-	first := w.full(holder("hotels", "key-1"))
-	w.asks("r1", "key-1")
-	if n := len(pick[Dispatch](w.effects)); n != 0 {
+	w := newDeadlineHarness(t)
+	first := w.fillOnlySlot(memberWithCredentials("hotels", "key-1"))
+	w.arriveWithCredential("r1", "key-1")
+	if n := len(effectsOf[Dispatch](w.effects)); n != 0 {
 		t.Fatalf("%d dispatches while the server is full", n)
 	}
-	w.declares([]declaration.Member{holder("hotels", "key-2")}, onePlace()...)
-	w.ended(first, whole)
-	if r := w.refused(); r.Status != http.StatusUnauthorized || r.Outcome != outcome.NotRun {
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-2")}, singleSlotServer()...)
+	w.endAttempt(first, completed)
+	if r := w.singleRefusal(); r.Status != http.StatusUnauthorized || r.Outcome != outcome.NotRun {
 		t.Errorf("refused with %+v", r)
 	}
 }
 
-// Guards against a request that runs for the member that held its key when it came.
+// Guards against a request that runs for the member that held its credential on arrival, after
+// the credential moved to another member.
 func TestWaitingRequestRunsForThePresentHolder(t *testing.T) {
-	w := relayedWorld(t)
+	w := newDeadlineHarness(t)
 	rank := 3
-	first := w.full(holder("hotels", "key-1"), holder("cafes", "key-2"))
-	w.asks("r1", "key-1")
-	cafes := holder("cafes", "key-2", "key-1")
+	first := w.fillOnlySlot(memberWithCredentials("hotels", "key-1"), memberWithCredentials("cafes", "key-2"))
+	w.arriveWithCredential("r1", "key-1")
+	cafes := memberWithCredentials("cafes", "key-2", "key-1")
 	cafes.Rank = &rank
-	w.declares([]declaration.Member{holder("hotels"), cafes}, onePlace()...)
-	w.ended(first, whole)
-	if d := w.dispatched(); d.Member != "cafes" || d.Rank != rank {
+	w.declare([]declaration.Member{memberWithCredentials("hotels"), cafes}, singleSlotServer()...)
+	w.endAttempt(first, completed)
+	if d := w.singleDispatch(); d.Member != "cafes" || d.Rank != rank {
 		t.Errorf("runs for %q at rank %d", d.Member, d.Rank)
 	}
 }
 
-// Guards against a prompt that is read under a key and answered after the key is gone.
+// Guards against a request that is decoded after its credential was revoked during the prefill.
 func TestPrefilledRequestOfARevokedCredentialIsNotDecoded(t *testing.T) {
-	w := relayedWorld(t)
-	members := []declaration.Member{holder("hotels", "key-1")}
-	w.declares(members, prefillers(2, 1)...)
-	w.relayed("r1", func(a *RequestArrived) {
+	w := newDeadlineHarness(t)
+	members := []declaration.Member{memberWithCredentials("hotels", "key-1")}
+	w.declare(members, withPrefillEngines(2, 1)...)
+	w.arriveWithDeadline("r1", func(a *RequestArrived) {
 		a.Credential, a.MembersOnly = "key-1", true
 		a.Work.PromptTokens, a.Work.Pace.MoveRate = 17000, 2e6
 	})
-	d := w.dispatched()
-	w.declares(nil, prefillers(2, 1)...)
+	d := w.singleDispatch()
+	w.declare(nil, withPrefillEngines(2, 1)...)
 	w.step(PrefillDone{RequestID: "r1", Attempt: d.Attempt})
-	if at := pick[DecodeAt](w.effects); len(at) > 0 {
+	if at := effectsOf[DecodeAt](w.effects); len(at) > 0 {
 		t.Errorf("decodes at %+v", at)
 	}
-	if r := w.refused(); r.Status != http.StatusUnauthorized {
+	if r := w.singleRefusal(); r.Status != http.StatusUnauthorized {
 		t.Errorf("refused with %+v", r)
 	}
 }
 
-// Guards against a retry, after a server's failure, under a key that is gone meanwhile; its
-// request may have run, and no answer may say that it has not.
+// Guards against a retry after a server failure under a credential that was revoked in the
+// meantime. The request may have run, and the refusal must not say that it has not.
 func TestRetryOfARevokedCredentialIsRefusedTruthfully(t *testing.T) {
-	w := relayedWorld(t)
-	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(2)...)
-	w.relayed("r1", func(a *RequestArrived) { a.Credential, a.MembersOnly, a.Retry = "key-1", true, RetryAllowed })
-	d := w.dispatched()
-	w.declares(nil, serving(2)...)
-	w.ended(d, func(ev *AttemptEnded) { ev.Outcome = outcome.Ran })
-	if n := len(pick[Dispatch](w.effects)); n != 0 {
-		t.Errorf("sent on %d times more", n)
+	w := newDeadlineHarness(t)
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-1")}, serving(2)...)
+	w.arriveWithDeadline("r1", func(a *RequestArrived) { a.Credential, a.MembersOnly, a.Retry = "key-1", true, RetryAllowed })
+	d := w.singleDispatch()
+	w.declare(nil, serving(2)...)
+	w.endAttempt(d, func(ev *AttemptEnded) { ev.Outcome = outcome.Ran })
+	if n := len(effectsOf[Dispatch](w.effects)); n != 0 {
+		t.Errorf("sent %d more times", n)
 	}
-	if r := w.refused(); r.Outcome != outcome.Unknown {
+	if r := w.singleRefusal(); r.Outcome != outcome.Unknown {
 		t.Errorf("refused with %+v", r)
 	}
 }
 
-// Guards against credentials that come back with an older view of control.
+// Guards against revoked credentials that become valid again with an older view of control.
 func TestOlderViewDoesNotBringACredentialBack(t *testing.T) {
-	w := relayedWorld(t)
-	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(1)...)
-	w.declares([]declaration.Member{holder("hotels", "key-2")}, serving(1)...)
+	w := newDeadlineHarness(t)
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-1")}, serving(1)...)
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-2")}, serving(1)...)
 	w.version = 0
-	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(1)...)
-	w.asks("r1", "key-1")
-	if r := w.refused(); r.Status != http.StatusUnauthorized {
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-1")}, serving(1)...)
+	w.arriveWithCredential("r1", "key-1")
+	if r := w.singleRefusal(); r.Status != http.StatusUnauthorized {
 		t.Errorf("refused with %+v", r)
 	}
 }
 
-// Guards against an entry that control does not reach and that, told to be strict, goes on
-// serving keys which may be gone.
+// Guards against an entry without contact to control that, although strict, serves credentials
+// that may have been revoked.
 func TestStrictEntryServesNoCredentialsWithoutControl(t *testing.T) {
 	for _, strict := range []bool{true, false} {
-		w := relayedWorld(t)
+		w := newDeadlineHarness(t)
 		w.r.cfg.Credentials = CredentialLimits{Strict: strict, ConfirmedWithin: 5 * time.Second}
-		w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(1)...)
-		w.after(6 * time.Second)
+		w.declare([]declaration.Member{memberWithCredentials("hotels", "key-1")}, serving(1)...)
+		w.advance(6 * time.Second)
 		w.step(ServerReported{Server: "engine-0", Incarnation: "life-1", State: "serving"})
-		w.asks("r1", "key-1")
-		if refused := len(pick[Refuse](w.effects)) == 1; refused != strict {
+		w.arriveWithCredential("r1", "key-1")
+		if refused := len(effectsOf[Refuse](w.effects)) == 1; refused != strict {
 			t.Errorf("strict %v: refused %v", strict, refused)
 		}
 	}
--- a/internal/entry/cachepoll.go
+++ b/internal/entry/cachepoll.go
@@ -61,17 +61,17 @@
 	}
 	r.lastCachePoll = r.now
 	servers := r.servers.sorted
-	left := maxCachePolls
+	remaining := maxCachePolls
 	for i := range servers {
 		s := servers[(r.nextCachePoll+i)%len(servers)]
 		if !s.cachePollDue(r.now) {
 			continue
 		}
-		if left == 0 {
+		if remaining == 0 {
 			r.nextCachePoll = (r.nextCachePoll + i) % len(servers)
 			return
 		}
-		left--
+		remaining--
 		s.cache.polledAt = r.now
 		r.emit(PollCache{Server: s.pb.Id, Incarnation: s.pb.Incarnation, Address: s.pb.Address, After: s.cache.lastSequence})
 	}
@@ -89,6 +89,6 @@
 	if s == nil || ev.Events.Next <= s.cache.lastSequence {
 		return
 	}
-	r.decide.picker.CacheChanged(r.now, ev.Server, ev.Events.Events)
+	r.decisions.picker.CacheChanged(r.now, ev.Server, ev.Events.Events)
 	s.cache.lastSequence = ev.Events.Next - 1
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -13,7 +13,7 @@
 	r.dispatchHeld()
 	for {
 		var choice placement.Choice
-		w, ok := r.decide.queue.Pop(r.now, func(w *decision.Work) bool {
+		w, ok := r.decisions.queue.Pop(r.now, func(w *decision.Work) bool {
 			var fits bool
 			choice, fits = r.place(w)
 			return fits
@@ -47,9 +47,9 @@
 		r.requeue(q)
 		return
 	}
-	r.decide.picker.Sent(r.now, &q.work, choice)
+	r.decisions.picker.Sent(r.now, &q.work, choice)
 	if !r.cfg.AbortOnDisconnect {
-		r.decide.picker.Holds(r.now, choice.Server.ID, &q.work)
+		r.decisions.picker.Holds(r.now, choice.Server.ID, &q.work)
 	}
 	r.dispatch(q, r.servers.byID[choice.Server.ID], choice, false)
 }
@@ -58,7 +58,7 @@
 	q := r.requests[w.RequestID]
 	fleet := r.fleet(q)
 	r.countBlocked(w)
-	return r.decide.picker.Pick(r.now, w, &fleet)
+	return r.decisions.picker.Pick(r.now, w, &fleet)
 }
 
 // dispatch sends an attempt to a server.
@@ -83,13 +83,13 @@
 		s.running = append(s.running, q.work.RequestID)
 	}
 	s.cache.usedAt = r.now
-	context := q.work.PromptTokens + q.earlierTokens
-	q.prefillTokens = context
+	contextTokens := q.work.PromptTokens + q.earlierTokens
+	q.prefillTokens = contextTokens
 	q.prefilling = choice.Server != nil
 	if choice.Server != nil {
 		q.prefillTokens, q.tokensAhead = choice.Unread+q.earlierTokens, choice.Before
 	}
-	tokens := decision.Tokens{Prefill: q.prefillTokens, Decode: q.decodeLeft(), KV: context + q.decodeLeft()}
+	tokens := decision.Tokens{Prefill: q.prefillTokens, Decode: q.decodeLeft(), KV: contextTokens + q.decodeLeft()}
 	if choice.Prefill != nil {
 		tokens.Prefill = 0
 	}
@@ -124,9 +124,9 @@
 	q.prefill = p
 	p.running = append(p.running, q.work.RequestID)
 	p.cache.usedAt = r.now
-	reading := decision.Tokens{Prefill: q.prefillTokens, KV: q.work.PromptTokens + q.earlierTokens}
-	p.sentSinceReport = append(p.sentSinceReport, sentWork{r.now, reading})
-	p.averageWork.add(reading)
+	tokens := decision.Tokens{Prefill: q.prefillTokens, KV: q.work.PromptTokens + q.earlierTokens}
+	p.sentSinceReport = append(p.sentSinceReport, sentWork{r.now, tokens})
+	p.averageWork.add(tokens)
 	p.sends.add(r.now)
 	return p
 }
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -39,7 +39,7 @@
 		s = q.prefill
 	}
 	q.countOutcome(ev, s)
-	q.deliveries.ended(&ev)
+	q.deliveries.record(&ev)
 	r.countUsageAtEnd(q, ev)
 	if ev.Outcome != outcome.NotRun && q.reconnects == 0 {
 		q.acknowledged = q.acknowledged || ev.Elapsed >= assumedStartedAfter || s.aliveAt > q.sentAt
@@ -53,7 +53,7 @@
 	q.attemptTokens = 0
 	r.detach(q)
 	q.reserved = nil
-	r.decide.observe(r.now, s, ev)
+	r.decisions.observe(r.now, s, ev)
 	r.resolveAttempt(q, s, ev)
 	if r.report.urgent {
 		r.sendReport()
@@ -77,8 +77,8 @@
 func (r *Reducer) resolveAttempt(q *request, s *server, ev AttemptEnded) {
 	switch {
 	case ev.Complete:
-		r.decide.admission.Served(q.work.Profile, q.retryBudget)
-		r.suspects.cleared(q)
+		r.decisions.admission.Served(q.work.Profile, q.retryBudget)
+		r.suspects.remove(q)
 		r.finish(q)
 	case ev.Invalid:
 		r.refuse(q, refuseInvalid())
@@ -124,7 +124,7 @@
 	if ev.Outcome != outcome.Ran {
 		s.fail(r.now)
 	}
-	if q.attempts >= maxCallAttempts || !r.decide.admission.Retry(q.work.Profile) {
+	if q.attempts >= maxCallAttempts || !r.decisions.admission.Retry(q.work.Profile) {
 		r.refuse(q, refuseFailed())
 		return
 	}
@@ -135,8 +135,8 @@
 // working, so the first step is a new connection to the same engine. If that delivers no token
 // either, or the engine has died, another engine continues from the tokens received so far.
 func (r *Reducer) resume(q *request, s *server, ev AttemptEnded) {
-	unreachable := ev.ServerDied || ev.StreamUnknown || ev.AtPrefillServer || r.cfg.AbortOnDisconnect
-	if !unreachable && q.reconnects < maxReconnects && s.backpressure.Take(r.now) {
+	mustRestart := ev.ServerDied || ev.StreamUnknown || ev.AtPrefillServer || r.cfg.AbortOnDisconnect
+	if !mustRestart && q.reconnects < maxReconnects && s.backpressure.Take(r.now) {
 		q.reconnects++
 		r.dispatch(q, s, placement.Choice{Reason: "reconnect to the same server"}, true)
 		return
@@ -144,12 +144,12 @@
 	if r.cfg.AbortOnDisconnect && !ev.ServerDied {
 		s.fail(r.now)
 	}
-	if !unreachable {
+	if !mustRestart {
 		s.fail(r.now)
 		r.emit(Cancel{RequestID: q.work.RequestID, Attempt: q.engineAttempt, Address: s.pb.Address})
 	}
 	q.reconnects = 0
-	if !r.decide.admission.Retry(q.work.Profile) {
+	if !r.decisions.admission.Retry(q.work.Profile) {
 		q.notBefore = r.now + retryBackOff
 	}
 	r.requeue(q)
@@ -167,7 +167,7 @@
 		r.held = append(r.held, q)
 		return
 	}
-	r.decide.queue.Push(q.work)
+	r.decisions.queue.Push(q.work)
 }
 
 // dispatchHeld dispatches held work that is due. Held work stays out of the queue, where it
@@ -181,7 +181,7 @@
 			return false
 		}
 		if !r.suspects.onProbation(q) {
-			r.decide.queue.Push(q.work)
+			r.decisions.queue.Push(q.work)
 			return true
 		}
 		choice, fits := r.place(&q.work)
--- a/internal/entry/final.go
+++ b/internal/entry/final.go
@@ -41,20 +41,20 @@
 		{Name: "status", Value: float64(refusal.Status)},
 		{Name: "retry_after_s", Value: refusal.RetryAfter.Seconds()},
 		{Name: "attempts", Value: float64(q.attempts)},
-		{Name: "waiting", Value: float64(r.decide.queue.Len())},
+		{Name: "waiting", Value: float64(r.decisions.queue.Len())},
 		{Name: "view_age_ms", Value: float64((r.now - r.view.leaseUntil + maxLease).Milliseconds())},
 	}, figures...))
 }
 
 func (r *Reducer) removeRequest(q *request) {
 	r.detach(q)
-	r.decide.queue.Remove(q.work.RequestID)
+	r.decisions.queue.Remove(q.work.RequestID)
 	delete(r.requests, q.work.RequestID)
 }
 
 // expireWaiting refuses requests that can't be answered in time any more.
 func (r *Reducer) expireWaiting() {
-	for _, w := range r.decide.queue.Expire(r.now) {
+	for _, w := range r.decisions.queue.Expire(r.now) {
 		if q := r.requests[w.RequestID]; q != nil {
 			r.refuse(q, refuseLate())
 		}
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -89,7 +89,7 @@
 			byDataCentre[id.GetDataCentre()] = append(byDataCentre[id.GetDataCentre()], id)
 		}
 	}
-	var near, far []*pb.EntryIdentity
+	var local, remote []*pb.EntryIdentity
 	for _, dc := range sortedKeys(byDataCentre) {
 		list := byDataCentre[dc]
 		sortByHash(list, aggregatorKey)
@@ -99,12 +99,12 @@
 			g.allAggregators = append(g.allAggregators, id.GetName())
 		}
 		if dc == self.GetDataCentre() {
-			near = list
+			local = list
 		} else {
-			far = append(far, list...)
+			remote = append(remote, list...)
 		}
 	}
-	for _, id := range slices.Concat(near, far) {
+	for _, id := range slices.Concat(local, remote) {
 		g.aggregators[id.GetName()] = true
 		if id.GetName() == self.GetName() {
 			g.isAggregator = true
@@ -112,9 +112,9 @@
 		}
 		g.otherAggregators = append(g.otherAggregators, id.GetPeerAddress())
 	}
-	sortByHash(near, self.GetName())
-	sortByHash(far, self.GetName())
-	for _, id := range slices.Concat(near, far) {
+	sortByHash(local, self.GetName())
+	sortByHash(remote, self.GetName())
+	for _, id := range slices.Concat(local, remote) {
 		g.candidates = append(g.candidates, aggregator{id.GetName(), id.GetPeerAddress()})
 	}
 }
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -9,8 +9,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// manyEntries are n entries in five data centres.
-func manyEntries(n int) []*pb.EntryIdentity {
+// entriesInFiveDataCentres returns n entries in five data centres.
+func entriesInFiveDataCentres(n int) []*pb.EntryIdentity {
 	var list []*pb.EntryIdentity
 	for i := range n {
 		list = append(list, &pb.EntryIdentity{
@@ -21,9 +21,9 @@
 	return list
 }
 
-// groupWorld is one of many entries that all hold the same view.
-func groupWorld(t *testing.T, entries []*pb.EntryIdentity, self int, servers ...*pb.BackendServer) *world {
-	w := relayedWorld(t)
+// newGroupHarness is one of many entries that all have the same view.
+func newGroupHarness(t *testing.T, entries []*pb.EntryIdentity, self int, servers ...*pb.BackendServer) *harness {
+	w := newDeadlineHarness(t)
 	w.r.cfg.Identity = entries[self]
 	w.version++
 	resp := &pb.WatchResponse{
@@ -37,11 +37,11 @@
 	return w
 }
 
-// worldsOf gives the first member and its aggregator.
-func worldsOf(t *testing.T, entries []*pb.EntryIdentity, servers ...*pb.BackendServer) (member, sums *world) {
+// memberAndAggregator returns the first group member and its aggregator.
+func memberAndAggregator(t *testing.T, entries []*pb.EntryIdentity, servers ...*pb.BackendServer) (member, aggregator *harness) {
 	t.Helper()
 	for i := range entries {
-		if w := groupWorld(t, entries, i, servers...); w.r.peers.group.isGroupMember() {
+		if w := newGroupHarness(t, entries, i, servers...); w.r.peers.group.isGroupMember() {
 			member = w
 			break
 		}
@@ -49,102 +49,101 @@
 	address := member.r.peers.group.aggregatorAddress(member.now)
 	for i, id := range entries {
 		if id.PeerAddress == address {
-			return member, groupWorld(t, entries, i, servers...)
+			return member, newGroupHarness(t, entries, i, servers...)
 		}
 	}
-	t.Fatalf("the aggregator %s is no entry", address)
+	t.Fatalf("the aggregator %s is not an entry", address)
 	return nil, nil
 }
 
-// askedBy gives the aggregator's answer to a member.
-func (w *world) askedBy(member *world, from uint64) *pb.PeerSum {
+// requestSum returns the aggregator's answer to a group member.
+func (w *harness) requestSum(member *harness, from uint64) *pb.PeerSum {
 	w.t.Helper()
 	w.step(SumRequested{Key: "k", Request: &pb.PeerSumRequest{
 		ClusterId: "test", Entry: member.r.cfg.Identity.Name, ReadsFrom: from, Aggregator: w.r.cfg.Identity.Incarnation,
 	}})
-	answers := pick[AnswerSum](w.effects)
+	answers := effectsOf[AnswerSum](w.effects)
 	if len(answers) != 1 || answers[0].Key != "k" {
 		w.t.Fatalf("answered %+v", answers)
 	}
 	return answers[0].Sum
 }
 
-// All entries must choose the same aggregators without a word between them, some in each
-// data centre, none of them a group much larger than groupMembers; each member has one that
-// is near.
+// All entries must select the same aggregators without communication, some in each data centre.
+// No group may be much larger than groupSize, and each group member has an aggregator.
 func TestEntriesAgreeOnTheirAggregators(t *testing.T) {
 	for _, n := range []int{84, 191, 330} {
-		entries := manyEntries(n)
-		first := groupWorld(t, entries, 0).r.peers.group.aggregators
+		entries := entriesInFiveDataCentres(n)
+		first := newGroupHarness(t, entries, 0).r.peers.group.aggregators
 		if want := 5 * ((n/5 + groupSize) / groupSize); len(first) > want || len(first) < n/groupSize {
 			t.Errorf("%d entries have %d aggregators", n, len(first))
 		}
 		members := make(map[string]int)
 		for i, id := range entries {
-			g := groupWorld(t, entries, i).r.peers.group
+			g := newGroupHarness(t, entries, i).r.peers.group
 			if len(g.aggregators) != len(first) {
-				t.Fatalf("entry %d counts %d aggregators, the first %d", i, len(g.aggregators), len(first))
+				t.Fatalf("entry %d knows %d aggregators, the first one %d", i, len(g.aggregators), len(first))
 			}
 			if g.isAggregator != first[id.Name] {
-				t.Errorf("entry %d aggregates: %v, by the first one's view: %v", i, g.isAggregator, first[id.Name])
+				t.Errorf("entry %d is an aggregator: %v, in the first one's view: %v", i, g.isAggregator, first[id.Name])
 			}
 			if a := g.aggregator(time.Second); a != nil {
 				members[a.name]++
 				if !first[a.name] {
-					t.Errorf("entry %d reports to %s, which is none", i, a.name)
+					t.Errorf("entry %d reports to %s, which is not an aggregator", i, a.name)
 				}
 			}
 		}
 		for name, count := range members {
 			if count > 2*groupSize {
-				t.Errorf("%d entries: %s has %d members", n, name, count)
+				t.Errorf("%d entries: the group of %s has %d members", n, name, count)
 			}
 		}
 	}
 }
 
-// One member has sent a long prompt to an engine. Another one is about to choose: it must
-// learn of the prompt before it does, and its own prompts must not count twice.
-func TestMemberLearnsOfOthersBeforeItChooses(t *testing.T) {
-	entries := manyEntries(191)
-	member, sums := worldsOf(t, entries, serving(2)...)
-	sums.step(PeerReported{Request: &pb.PeerReport{
+// Guards against a group member that chooses a server without knowing of a long prompt that
+// another member has just sent there, or that counts its own prompts twice.
+func TestGroupMemberLearnsOthersBacklogsBeforePlacement(t *testing.T) {
+	entries := entriesInFiveDataCentres(191)
+	member, aggregator := memberAndAggregator(t, entries, serving(2)...)
+	aggregator.step(PeerReported{Request: &pb.PeerReport{
 		ClusterId: "test", Entry: "another", Incarnation: "p1", Sequence: 1,
 		Servers: []*pb.ServerBacklog{{Server: "engine-0", Requests: 1, UnreadTokens: []uint64{40000}, CacheTokens: 40000}},
 	}})
-	sums.step(PeerReported{Request: &pb.PeerReport{
+	aggregator.step(PeerReported{Request: &pb.PeerReport{
 		ClusterId: "test", Entry: member.r.cfg.Identity.Name, Incarnation: "p1", Sequence: 1,
 		Servers: []*pb.ServerBacklog{{Server: "engine-1", Requests: 1, UnreadTokens: []uint64{70000}}},
 	}})
-	sum := sums.askedBy(member, 0)
+	sum := aggregator.requestSum(member, 0)
 	if len(sum.Servers) != 1 || sum.Servers[0].Server != "engine-0" || sum.Entries != 2 {
 		t.Fatalf("the sum is %v", sum)
 	}
 	member.step(SumReceived{Sum: sum})
-	member.relayed("r1", nil)
-	if d := member.dispatched(); d.Server != "engine-1" {
-		t.Errorf("went to %s behind 40,000 tokens", d.Server)
+	member.arriveWithDeadline("r1", nil)
+	if d := member.singleDispatch(); d.Server != "engine-1" {
+		t.Errorf("dispatched to %s behind 40,000 tokens", d.Server)
 	}
-	line := pick[LogDecision](member.effects)[0]
+	line := effectsOf[LogDecision](member.effects)[0]
 	if line.Source != SourceAggregator {
-		t.Errorf("the line says that the load was known from %q", line.Source)
+		t.Errorf("the log line says that the load is known from %q", line.Source)
 	}
 }
 
-// Aggregators tell each other their members' sums and no more: what one was told by another
-// must not come back to it, or the same prompt counts again at each of them.
-func TestAggregatorTellsItsOwnGroupOnly(t *testing.T) {
-	_, sums := worldsOf(t, manyEntries(191), serving(2)...)
+// Guards against prompts that count several times. An aggregator reports the sum of its own
+// group to the other aggregators, and nothing that it received from them.
+func TestAggregatorReportsItsOwnGroupOnly(t *testing.T) {
+	_, aggregator := memberAndAggregator(t, entriesInFiveDataCentres(191), serving(2)...)
 	report := func(from string, summed uint32, server string) {
-		sums.step(PeerReported{Request: &pb.PeerReport{
+		aggregator.step(PeerReported{Request: &pb.PeerReport{
 			ClusterId: "test", Entry: from, Incarnation: "p1", Sequence: 1, Summed: summed,
 			Servers: []*pb.ServerBacklog{{Server: server, Requests: 1, UnreadTokens: []uint64{500}}},
 		}})
 	}
 	report("another aggregator", 18, "engine-0")
 	report("a member", 0, "engine-1")
-	sums.after(aggregatorReportInterval)
-	reports := pick[ReportToPeers](sums.step(Tick{}))
+	aggregator.advance(aggregatorReportInterval)
+	reports := effectsOf[ReportToPeers](aggregator.step(Tick{}))
 	if len(reports) != 1 {
 		t.Fatalf("reported %+v", reports)
 	}
@@ -152,100 +151,100 @@
 		t.Errorf("reported %v", req)
 	}
 	for _, address := range reports[0].Addresses {
-		if address == sums.r.cfg.Identity.PeerAddress {
+		if address == aggregator.r.cfg.Identity.PeerAddress {
 			t.Error("reported to itself")
 		}
 	}
 }
 
-// The aggregator gives no answers. The member must not wait for it at each of its requests:
-// it pauses, reports to another one after some silences, and goes back later.
-func TestSilentAggregatorIsPassedBy(t *testing.T) {
-	member, sums := worldsOf(t, manyEntries(191), serving(2)...)
-	member.relayed("r1", nil)
-	first := sums.r.cfg.Identity.PeerAddress
+// Guards against a group member that waits at each request for an aggregator that does not
+// answer. It pauses, reports to another aggregator after some timeouts, and returns later.
+func TestUnresponsiveAggregatorIsAvoided(t *testing.T) {
+	member, aggregator := memberAndAggregator(t, entriesInFiveDataCentres(191), serving(2)...)
+	member.arriveWithDeadline("r1", nil)
+	first := aggregator.r.cfg.Identity.PeerAddress
 	for i := range 3 {
 		if at := member.r.peers.group.aggregatorAddress(member.now); at != first {
-			t.Fatalf("asks %q after %d silences", at, i)
+			t.Fatalf("asks %q after %d timeouts", at, i)
 		}
-		snap := pick[Publish](member.step(AggregatorTimedOut{Address: first}))
+		snap := effectsOf[Publish](member.step(AggregatorTimedOut{Address: first}))
 		if len(snap) != 1 || snap[0].Snapshot.Aggregator == first && snap[0].Snapshot.AskAggregatorFrom <= member.now {
-			t.Errorf("%q is asked at once after %d silences", first, i+1)
+			t.Errorf("%q is asked at once after %d timeouts", first, i+1)
 		}
-		member.after(firstTimeoutPause << i)
+		member.advance(firstTimeoutPause << i)
 	}
 	if next := member.r.peers.group.aggregatorAddress(member.now); next == first || next == "" {
-		t.Fatalf("the member asks %q after %q was silent", next, first)
+		t.Fatalf("the group member asks %q after %q timed out", next, first)
 	}
-	member.after(endReportInterval)
-	reports := pick[ReportToPeers](member.step(Tick{}))
+	member.advance(endReportInterval)
+	reports := effectsOf[ReportToPeers](member.step(Tick{}))
 	if len(reports) != 1 || reports[0].Addresses[0] == first || len(reports[0].Request.Servers) != 1 {
 		t.Fatalf("reported %+v", reports)
 	}
-	member.after(aggregatorAvoidance)
+	member.advance(aggregatorAvoidance)
 	if again := member.r.peers.group.aggregatorAddress(member.now); again != first {
-		t.Errorf("asks %q later, not %q", again, first)
+		t.Errorf("asks %q after the avoidance time, not %q", again, first)
 	}
 }
 
-// Entries hold different views for a moment: a member asks one that does not take itself
-// for an aggregator and knows nothing of the others. It must say so and not tell of an
-// idle fleet.
+// Guards against a false report of an idle fleet. Views differ for a moment, and a group member
+// asks an entry that is not an aggregator in its own view and knows nothing of the others. The
+// entry must say so.
 func TestOnlyAggregatorsGiveSums(t *testing.T) {
-	member, _ := worldsOf(t, manyEntries(191), serving(2)...)
-	if sum := member.askedBy(member, 0); sum != nil {
-		t.Errorf("a member gave the sum %v", sum)
+	member, _ := memberAndAggregator(t, entriesInFiveDataCentres(191), serving(2)...)
+	if sum := member.requestSum(member, 0); sum != nil {
+		t.Errorf("an entry that is no aggregator returned the sum %v", sum)
 	}
 	member.step(PeerReported{Request: &pb.PeerReport{
 		ClusterId: "test", Entry: "another", Incarnation: "p1", Sequence: 1,
 		Servers: []*pb.ServerBacklog{{Server: "engine-0", Requests: 1, UnreadTokens: []uint64{40000}}},
 	}})
 	if known := member.r.peers.knownFraction(member.r); known != 0 {
-		t.Errorf("a report counts at a member: %v known", known)
+		t.Errorf("a report counts at a group member: fraction %v known", known)
 	}
 }
 
-// A member has been away for a while, or asks for the first time: it is told what servers
-// have read as far as that is kept, and nothing twice.
-func TestReadsAreToldOnce(t *testing.T) {
-	member, sums := worldsOf(t, manyEntries(191), serving(2)...)
-	read := func(chain uint64) {
-		sums.r.peers.recordPrefix(&pb.PartsRead{Server: "engine-0", Chain: []uint64{chain}})
-	}
-	read(1)
-	read(2)
-	first := sums.askedBy(member, 0)
+// Guards against prefixes that a group member gets twice or never. A member that was away, or
+// that asks for the first time, gets those that are still kept.
+func TestPrefixesAreReportedOnce(t *testing.T) {
+	member, aggregator := memberAndAggregator(t, entriesInFiveDataCentres(191), serving(2)...)
+	recordPrefix := func(chain uint64) {
+		aggregator.r.peers.recordPrefix(&pb.PartsRead{Server: "engine-0", Chain: []uint64{chain}})
+	}
+	recordPrefix(1)
+	recordPrefix(2)
+	first := aggregator.requestSum(member, 0)
 	if len(first.Reads) != 2 || first.ReadsNext != 3 {
-		t.Fatalf("first told %v", first)
+		t.Fatalf("first answer %v", first)
 	}
-	if again := sums.askedBy(member, first.ReadsNext); len(again.Reads) != 0 || again.ReadsNext != 3 {
-		t.Errorf("told again %v", again)
+	if again := aggregator.requestSum(member, first.ReadsNext); len(again.Reads) != 0 || again.ReadsNext != 3 {
+		t.Errorf("the same prefixes again: %v", again)
 	}
-	read(3)
-	if next := sums.askedBy(member, first.ReadsNext); len(next.Reads) != 1 || next.Reads[0].Chain[0] != 3 {
-		t.Errorf("told next %v", next)
+	recordPrefix(3)
+	if next := aggregator.requestSum(member, first.ReadsNext); len(next.Reads) != 1 || next.Reads[0].Chain[0] != 3 {
+		t.Errorf("next answer %v", next)
 	}
 	for chain := range uint64(3 * prefixLogSize) {
-		read(chain)
+		recordPrefix(chain)
 	}
-	if all := sums.askedBy(member, 4); len(all.Reads) != prefixLogSize {
-		t.Errorf("%d of many told", len(all.Reads))
+	if all := aggregator.requestSum(member, 4); len(all.Reads) != prefixLogSize {
+		t.Errorf("%d prefixes reported, want the size of the log", len(all.Reads))
 	}
 }
 
-// An idle member reports seldom. It must not be taken for one that is unknown meanwhile,
-// and one that falls silent with work must be.
-func TestIdleMembersStayKnown(t *testing.T) {
-	member, sums := worldsOf(t, manyEntries(191), serving(2)...)
-	idle := func(from string, servers ...*pb.ServerBacklog) {
-		sums.step(PeerReported{Request: &pb.PeerReport{
+// Guards against an idle group member that counts as unknown because it reports rarely, and
+// against a busy one that still counts as known after its reports stop.
+func TestIdleGroupMembersStayKnown(t *testing.T) {
+	member, aggregator := memberAndAggregator(t, entriesInFiveDataCentres(191), serving(2)...)
+	reportBacklog := func(from string, servers ...*pb.ServerBacklog) {
+		aggregator.step(PeerReported{Request: &pb.PeerReport{
 			ClusterId: "test", Entry: from, Incarnation: "p1", Sequence: 1, Servers: servers,
 		}})
 	}
-	idle("idle")
-	idle("busy", &pb.ServerBacklog{Server: "engine-0", Requests: 1})
-	sums.after(idleReportInterval + decision.PeerReportFor)
-	if sum := sums.askedBy(member, 0); sum.Entries != 2 {
+	reportBacklog("idle")
+	reportBacklog("busy", &pb.ServerBacklog{Server: "engine-0", Requests: 1})
+	aggregator.advance(idleReportInterval + decision.PeerReportFor)
+	if sum := aggregator.requestSum(member, 0); sum.Entries != 2 {
 		t.Errorf("%d entries known, want the idle one and the aggregator", sum.Entries)
 	}
 }
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -13,33 +13,33 @@
 )
 
 func init() {
-	// The same schedules every time; a flag on the command line overrides.
+	// The schedules are the same in each run. A flag on the command line overrides the seed.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "300")
 }
 
 const testModel = "review"
 
-// world steps a reducer and keeps what it did.
-type world struct {
-	t       fataler
+// harness steps a reducer and keeps the effects of the last step.
+type harness struct {
+	t       failer
 	r       *Reducer
 	now     time.Duration
 	version uint64
 	effects []Effect
 }
 
-func newWorld(t fataler) *world {
+func newHarness(t failer) *harness {
 	id := &pb.EntryIdentity{Name: "entry-a1", Incarnation: "i1", DataCentre: "dc-a", CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:2"}
-	return &world{t: t, r: New(Config{Cluster: "test", Identity: id, MaxStreams: 50}), now: second}
+	return &harness{t: t, r: New(Config{Cluster: "test", Identity: id, MaxStreams: 50}), now: second}
 }
 
-func (w *world) step(ev Event) []Effect {
+func (w *harness) step(ev Event) []Effect {
 	w.effects = w.r.Step(w.now, ev)
 	return w.effects
 }
 
-func (w *world) after(d time.Duration) { w.now += d }
+func (w *harness) advance(d time.Duration) { w.now += d }
 
 func testServer(i int, state pb.ServerState) *pb.BackendServer {
 	return &pb.BackendServer{
@@ -67,8 +67,8 @@
 	}
 }
 
-// view gives control's whole view with these servers, newer than the last one.
-func (w *world) view(servers ...*pb.BackendServer) []Effect {
+// view applies a full view with these servers, newer than the last one.
+func (w *harness) view(servers ...*pb.BackendServer) []Effect {
 	w.version++
 	return w.step(ViewReceived{SentAt: w.now, Response: &pb.WatchResponse{
 		Version: w.version, Full: true, Revision: w.version, LeaseMs: 1500,
@@ -76,14 +76,14 @@
 	}})
 }
 
-// renew lets control confirm the view in force.
-func (w *world) renew() []Effect {
+// renew lets control confirm the current view.
+func (w *harness) renew() []Effect {
 	return w.step(ViewReceived{SentAt: w.now, Response: &pb.WatchResponse{
 		Version: w.version, KnownVersion: w.version, Revision: w.version, LeaseMs: 1500,
 	}})
 }
 
-func (w *world) arrival(id, member string) RequestArrived {
+func (w *harness) arrival(id, member string) RequestArrived {
 	return RequestArrived{
 		Work: decision.Work{
 			RequestID: id, Member: member, MemberWeight: 1, Service: "eligibility", Profile: "counter", ProfileShare: 1,
@@ -95,14 +95,14 @@
 	}
 }
 
-func (w *world) arrive(id string) []Effect { return w.step(w.arrival(id, "hotels")) }
+func (w *harness) arrive(id string) []Effect { return w.step(w.arrival(id, "hotels")) }
 
-func (w *world) said(i int, state engineapi.State) []Effect {
+func (w *harness) reportState(i int, state engineapi.State) []Effect {
 	return w.step(ServerReported{Server: fmt.Sprintf("engine-%d", i), Incarnation: "life-1", State: state})
 }
 
-// pick gives the effects of one type.
-func pick[T Effect](effects []Effect) []T {
+// effectsOf returns the effects of one type.
+func effectsOf[T Effect](effects []Effect) []T {
 	var list []T
 	for _, e := range effects {
 		if e, ok := e.(T); ok {
@@ -112,41 +112,41 @@
 	return list
 }
 
-// dispatched gives the one dispatch of the last step.
-func (w *world) dispatched() Dispatch {
+// singleDispatch returns the only dispatch of the last step.
+func (w *harness) singleDispatch() Dispatch {
 	w.t.Helper()
-	list := pick[Dispatch](w.effects)
+	list := effectsOf[Dispatch](w.effects)
 	if len(list) != 1 {
 		w.t.Fatalf("%d dispatches, want 1: %v", len(list), w.effects)
 	}
 	return list[0]
 }
 
-// refused gives the one refusal of the last step.
-func (w *world) refused() *outcome.Refusal {
+// singleRefusal returns the only refusal of the last step.
+func (w *harness) singleRefusal() *outcome.Refusal {
 	w.t.Helper()
-	list := pick[Refuse](w.effects)
+	list := effectsOf[Refuse](w.effects)
 	if len(list) != 1 {
 		w.t.Fatalf("%d refusals, want 1: %v", len(list), w.effects)
 	}
 	return list[0].Refusal
 }
 
-func (w *world) ended(d Dispatch, change func(*AttemptEnded)) []Effect {
+func (w *harness) endAttempt(d Dispatch, modify func(*AttemptEnded)) []Effect {
 	ev := AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Outcome: outcome.Unknown}
-	change(&ev)
+	modify(&ev)
 	return w.step(ev)
 }
 
-// began lets the server show that it has begun the attempt.
-func (w *world) began(d Dispatch) {
+// startAttempt lets the server show that it has begun the attempt.
+func (w *harness) startAttempt(d Dispatch) {
 	w.step(AttemptProgress{RequestID: d.RequestID, Attempt: d.Attempt})
 }
 
-func died(ev *AttemptEnded) { ev.ServerDied = true }
+func serverDied(ev *AttemptEnded) { ev.ServerDied = true }
 
-// fataler is a test or a rapid check.
-type fataler interface {
+// failer is a test or a rapid check.
+type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
--- a/internal/entry/late.go
+++ b/internal/entry/late.go
@@ -16,15 +16,15 @@
 	if !q.hardDeadline || q.attempts > 0 || q.work.Class != declaration.ClassBulk {
 		return nil
 	}
-	own := time.Duration(choice.Own * float64(time.Second))
-	first := time.Duration(choice.First * float64(time.Second))
-	after, late := admission.Late(&q.work, first-own, own)
+	ownTime := time.Duration(choice.Own * float64(time.Second))
+	firstToken := time.Duration(choice.First * float64(time.Second))
+	retryAfter, late := admission.Late(&q.work, firstToken-ownTime, ownTime)
 	if !late {
 		return nil
 	}
 	return &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: outcome.CodeOverloaded,
 		Message:    "engines have more to read than lets it be answered in time",
-		RetryAfter: after,
+		RetryAfter: retryAfter,
 	}
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -158,8 +158,8 @@
 		if s == nil || item.GetRate() < 0 {
 			continue
 		}
-		at, sent := r.now-ageOf(item.GetAgeMs()), r.now-ageOf(item.GetSentAgeMs())
-		if r.applyLimit(s, at, sent, item.GetRate()) {
+		receivedAt, sentAt := r.now-ageOf(item.GetAgeMs()), r.now-ageOf(item.GetSentAgeMs())
+		if r.applyLimit(s, receivedAt, sentAt, item.GetRate()) {
 			s.limitUnreported = forward
 		}
 	}
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -77,11 +77,11 @@
 
 // expireDeaths drops crashes that need not be reported any more.
 func (l *liveness) expireDeaths(now time.Duration) {
-	old := 0
-	for old < len(l.deaths) && now-l.deaths[old].at >= deathReportTime {
-		old++
+	expired := 0
+	for expired < len(l.deaths) && now-l.deaths[expired].at >= deathReportTime {
+		expired++
 	}
-	l.deaths = l.deaths[old:]
+	l.deaths = l.deaths[expired:]
 }
 
 // unreportedDeaths returns the crashes that no report has contained yet.
--- a/internal/entry/partition.go
+++ b/internal/entry/partition.go
@@ -48,7 +48,7 @@
 		return ""
 	}
 	key := partitionKey{p.DataCentre, roleOf(p)}
-	turn := a.assigned[key]
+	index := a.assigned[key]
 	a.assigned[key]++
-	return groups[turn%len(groups)]
+	return groups[index%len(groups)]
 }
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -9,113 +9,116 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// rests lets a server turn a request away and ask for rest.
-func (w *world) rests(server string, rest time.Duration) {
+// requestPause lets a server reject a request and ask for a pause.
+func (w *harness) requestPause(server string, pause time.Duration) {
 	w.step(ServerReported{
-		Server: server, Incarnation: "life-1", FromResponse: true, SentAt: w.now, Backpressure: backpressure.Word{Rest: rest},
+		Server: server, Incarnation: "life-1", FromResponse: true, SentAt: w.now, Backpressure: backpressure.Word{Rest: pause},
 		State: engineapi.StateServing, HasLoad: true,
 	})
 }
 
-// turnedAway ends an attempt that a server did not run.
-func (w *world) turnedAway(d Dispatch) []Effect {
-	return w.ended(d, func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
+// endNotRun ends an attempt that a server did not run.
+func (w *harness) endNotRun(d Dispatch) []Effect {
+	return w.endAttempt(d, func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
 }
 
-// Guards against a rest that a load, a heartbeat, another view or a shorter rest ends.
-func TestRestHoldsUntilItsTime(t *testing.T) {
-	w := relayedWorld(t)
+// Guards against a pause that ends early by a load report, a heartbeat, another view or a
+// shorter pause.
+func TestPauseLastsUntilItsEnd(t *testing.T) {
+	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.rests("engine-0", time.Hour)
-	w.rests("engine-0", second)
+	w.requestPause("engine-0", time.Hour)
+	w.requestPause("engine-0", second)
 	for range 10 {
-		w.after(5 * time.Minute)
-		w.said(0, engineapi.StateServing)
+		w.advance(5 * time.Minute)
+		w.reportState(0, engineapi.StateServing)
 		w.view()
 		w.view(serving(1)...)
-		w.relayed("r", nil)
-		if r := w.refused(); r.Outcome != outcome.NotRun || r.RetryAfter < second {
+		w.arriveWithDeadline("r", nil)
+		if r := w.singleRefusal(); r.Outcome != outcome.NotRun || r.RetryAfter < second {
 			t.Fatalf("refusal %+v", r)
 		}
 	}
-	w.after(10 * time.Minute)
+	w.advance(10 * time.Minute)
 	w.renew()
-	w.relayed("later", nil)
-	w.dispatched()
+	w.arriveWithDeadline("later", nil)
+	w.singleDispatch()
 }
 
-// Guards against a rest that passes to another life of the server.
-func TestRestEndsWithTheLife(t *testing.T) {
-	w := relayedWorld(t)
+// Guards against a pause that passes to another incarnation of the server.
+func TestPauseEndsWithTheIncarnation(t *testing.T) {
+	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.rests("engine-0", time.Hour)
+	w.requestPause("engine-0", time.Hour)
 	next := serving(1)
 	next[0].Incarnation = "life-2"
 	w.view(next...)
-	w.relayed("r", nil)
-	w.dispatched()
+	w.arriveWithDeadline("r", nil)
+	w.singleDispatch()
 }
 
-// Guards against a prompt that is read elsewhere and brought to an engine that has asked for rest.
-func TestPrefilledWorkDoesNotGoToAnEngineAtRest(t *testing.T) {
-	w := relayedWorld(t)
-	w.view(prefillers(2, 1)...)
-	d := w.pairOf("r1")
-	w.rests(d.Server, 3*second)
+// Guards against a separately prefilled request that is decoded on an engine that has asked for
+// a pause.
+func TestPrefilledWorkDoesNotGoToAPausedEngine(t *testing.T) {
+	w := newDeadlineHarness(t)
+	w.view(withPrefillEngines(2, 1)...)
+	d := w.arriveWithSeparatePrefill("r1")
+	w.requestPause(d.Server, 3*second)
 	w.step(PrefillDone{RequestID: d.RequestID, Attempt: d.Attempt})
-	at := pick[DecodeAt](w.effects)
+	at := effectsOf[DecodeAt](w.effects)
 	if len(at) != 1 || at[0].Server == d.Server {
-		t.Fatalf("decodes at %+v, %s rests", at, d.Server)
+		t.Fatalf("decodes at %+v, %s has a pause", at, d.Server)
 	}
 }
 
-// Guards against what waits, is sent once more or goes on elsewhere and reaches a server at rest.
-func TestNothingWaitsItsWayToAServerAtRest(t *testing.T) {
-	w := relayedWorld(t)
+// Guards against a requeued request that reaches a server that has asked for a pause.
+func TestRequeuedWorkDoesNotReachAPausedServer(t *testing.T) {
+	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
-	w.relayed("r1", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
-	d := w.dispatched()
-	w.rests(d.Server, 3*second)
-	w.turnedAway(d)
-	next := w.dispatched()
+	w.arriveWithDeadline("r1", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
+	d := w.singleDispatch()
+	w.requestPause(d.Server, 3*second)
+	w.endNotRun(d)
+	next := w.singleDispatch()
 	if next.Server == d.Server {
-		t.Fatal("sent again to the server that rests")
+		t.Fatal("sent again to the server with the pause")
 	}
-	w.rests(next.Server, 2*second)
-	w.turnedAway(next)
-	if r := w.refused(); r.Outcome != outcome.NotRun || r.RetryAfter < 2*second || r.RetryAfter > 3*second {
-		t.Fatalf("refusal %+v, the shorter rest is 2 s", r)
+	w.requestPause(next.Server, 2*second)
+	w.endNotRun(next)
+	if r := w.singleRefusal(); r.Outcome != outcome.NotRun || r.RetryAfter < 2*second || r.RetryAfter > 3*second {
+		t.Fatalf("refusal %+v, the shorter pause is 2 s", r)
 	}
 }
 
-// Guards against a call that may be late and waits, unheard, for servers that rest for longer.
-func TestWorkThatCanWaitIsServedAfterTheRest(t *testing.T) {
-	w := relayedWorld(t)
+// Guards against a request that waits without an answer for a server whose pause outlasts its
+// first-token deadline.
+func TestWorkThatCanWaitIsServedAfterThePause(t *testing.T) {
+	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.rests("engine-0", second)
-	w.relayed("clerk", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
-	if r := w.refused(); r.RetryAfter < second {
+	w.requestPause("engine-0", second)
+	w.arriveWithDeadline("clerk", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
+	if r := w.singleRefusal(); r.RetryAfter < second {
 		t.Fatalf("refusal %+v", r)
 	}
-	w.relayed("patient", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 3*second })
-	if len(pick[Refuse](w.effects)) > 0 {
+	w.arriveWithDeadline("patient", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 3*second })
+	if len(effectsOf[Refuse](w.effects)) > 0 {
 		t.Fatal("refused though it can wait")
 	}
-	w.after(second)
+	w.advance(second)
 	w.renew()
-	w.dispatched()
+	w.singleDispatch()
 }
 
-// Guards against health probes of a server that wants nothing.
-func TestServerAtRestIsNotProbed(t *testing.T) {
-	w := relayedWorld(t)
+// Guards against health probes of a server that has asked for a pause.
+func TestPausedServerIsNotProbed(t *testing.T) {
+	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
-	w.rests("engine-0", 30*second)
+	w.requestPause("engine-0", 30*second)
 	w.step(ProbeFailed{Server: "engine-0", Incarnation: "life-1"})
 	probed := make(map[string]int)
 	for range 50 {
-		w.after(probeInterval)
-		for _, p := range pick[Probe](w.step(Tick{})) {
+		w.advance(probeInterval)
+		for _, p := range effectsOf[Probe](w.step(Tick{})) {
 			probed[p.Server]++
 		}
 	}
@@ -124,17 +127,17 @@
 	}
 }
 
-// Guards against a request that was dispatched before a rest and finds its connection after it.
-func TestSnapshotTellsWhichServersRest(t *testing.T) {
-	w := relayedWorld(t)
+// Guards against a request that was dispatched before a pause and connects during it.
+func TestSnapshotContainsPausedServers(t *testing.T) {
+	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.rests("engine-0", 3*second)
-	published := pick[Publish](w.effects)
+	w.requestPause("engine-0", 3*second)
+	published := effectsOf[Publish](w.effects)
 	if len(published) != 1 {
 		t.Fatalf("%d snapshots", len(published))
 	}
 	snap := published[0].Snapshot
 	if snap.AcceptsRequests("life-1", w.now) || !snap.AcceptsRequests("life-1", w.now+3*second) || !snap.AcceptsRequests("life-2", w.now) {
-		t.Errorf("closed: %v at %v", snap.UnavailableUntil, w.now)
+		t.Errorf("unavailable: %v at %v", snap.UnavailableUntil, w.now)
 	}
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -80,11 +80,11 @@
 
 // recordPrefix keeps a prefilled prefix for the next report and, at an aggregator, for its group
 // members.
-func (p *peerBacklogs) recordPrefix(read *pb.PartsRead) {
+func (p *peerBacklogs) recordPrefix(prefix *pb.PartsRead) {
 	if len(p.prefixes) < maxReportedPrefixes {
-		p.prefixes = append(p.prefixes, read)
+		p.prefixes = append(p.prefixes, prefix)
 	}
-	p.group.prefixes.add(read)
+	p.group.prefixes.add(prefix)
 }
 
 func newPeerBacklogs() peerBacklogs { return peerBacklogs{reports: decision.NewPeers()} }
@@ -97,10 +97,10 @@
 // logPeersKnown logs when most of the other entries start or stop reporting.
 func (r *Reducer) logPeersKnown() {
 	known := r.peers.knownFraction(r)
-	if most := known >= minPeersKnown; most != r.peers.mostKnown {
-		r.peers.mostKnown = most
+	if mostKnown := known >= minPeersKnown; mostKnown != r.peers.mostKnown {
+		r.peers.mostKnown = mostKnown
 		reason := "few peers report; their backlogs are estimated from counts"
-		if most {
+		if mostKnown {
 			reason = "most peers report their backlogs"
 		}
 		r.emit(LogDecision{Kind: LogPeers, Reason: reason, Figures: []Figure{
@@ -136,14 +136,14 @@
 		// The sender has a different view. Its backlog arrives with the aggregator's sum.
 		return
 	}
-	for _, read := range req.GetReads() {
-		r.decide.picker.HoldsParts(r.now, read.GetServer(), read.GetChain())
+	for _, prefix := range req.GetReads() {
+		r.decisions.picker.HoldsParts(r.now, prefix.GetServer(), prefix.GetChain())
 		if req.GetSummed() > 0 {
-			p.group.prefixes.add(read)
+			p.group.prefixes.add(prefix)
 			continue
 		}
 		if p.group.isAggregator {
-			p.recordPrefix(read)
+			p.recordPrefix(prefix)
 		}
 	}
 	before := p.reports.Unread(req.GetEntry())
@@ -151,14 +151,14 @@
 		Incarnation: req.GetIncarnation(), Sequence: req.GetSequence(), Entries: 1 + int(req.GetSummed()),
 		Valid: p.group.reportValidity(req.GetServers()), Servers: backlogsOf(req.GetServers()),
 	})
-	fromMember := p.group.isAggregator && req.GetSummed() == 0
-	r.applyPeerDeaths(req.GetDied(), fromMember)
-	r.applyPeerAlive(req.GetAlive(), r.now, fromMember)
-	r.applyPeerLimits(req.GetWords(), fromMember)
-	r.applyPeerLeaving(req.GetLeaving(), fromMember)
+	fromGroupMember := p.group.isAggregator && req.GetSummed() == 0
+	r.applyPeerDeaths(req.GetDied(), fromGroupMember)
+	r.applyPeerAlive(req.GetAlive(), r.now, fromGroupMember)
+	r.applyPeerLimits(req.GetWords(), fromGroupMember)
+	r.applyPeerLeaving(req.GetLeaving(), fromGroupMember)
 	// Reports between aggregators are not forwarded.
-	p.changePending = p.changePending || fromMember
-	if more := p.reports.Unread(req.GetEntry()) - before; fromMember && more > 0 && r.speeds.assumed.PrefillRate > 0 {
+	p.changePending = p.changePending || fromGroupMember
+	if more := p.reports.Unread(req.GetEntry()) - before; fromGroupMember && more > 0 && r.speeds.assumed.PrefillRate > 0 {
 		p.prefillChange += time.Duration(float64(more) / r.speeds.assumed.PrefillRate * float64(time.Second))
 	}
 	r.sharedFleet = nil
@@ -188,8 +188,8 @@
 	if p.group.isAggregator {
 		servers, summed = r.groupBacklogs(servers)
 	}
-	nothing := len(servers) == 0 && !p.reportedAny && !p.group.formed
-	if len(addresses) == 0 || nothing {
+	empty := len(servers) == 0 && !p.reportedAny && !p.group.formed
+	if len(addresses) == 0 || empty {
 		p.reportSent(r.now, false)
 		return
 	}
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -7,8 +7,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// viewWithPeers shows n other entries beside the servers.
-func (w *world) viewWithPeers(n int, servers ...*pb.BackendServer) {
+// viewWithPeers applies a view with n other entries and these servers.
+func (w *harness) viewWithPeers(n int, servers ...*pb.BackendServer) {
 	w.version++
 	resp := &pb.WatchResponse{
 		Version: w.version, Full: true, Revision: w.version, LeaseMs: 1500,
@@ -24,12 +24,11 @@
 	w.step(ViewReceived{SentAt: w.now, Response: resp})
 }
 
-// Another entry has sent a long prompt to an engine. Its count is one, as that of a short
-// prompt elsewhere, and this entry has no answer of it yet: by counts alone the next
-// prompt went behind it in half of the cases.
-func TestPeersBacklogIsPassedBy(t *testing.T) {
+// Guards against a prompt that is queued behind a long prompt of another entry. By request
+// counts alone, without a response from that engine, that would happen in half of the cases.
+func TestPlacementAvoidsPeersBacklog(t *testing.T) {
 	for i := range 2 {
-		w := relayedWorld(t)
+		w := newDeadlineHarness(t)
 		w.viewWithPeers(1, serving(2)...)
 		w.step(PeerReported{Request: &pb.PeerReport{
 			ClusterId: "test", Entry: "entry-b0", Incarnation: "p1", Sequence: 1,
@@ -37,23 +36,24 @@
 				Server: fmt.Sprint("engine-", i), Requests: 1, UnreadTokens: []uint64{40000}, CacheTokens: 40000,
 			}},
 		}})
-		w.relayed("r1", nil)
-		if d := w.dispatched(); d.Server == fmt.Sprint("engine-", i) {
-			t.Errorf("went to %s behind 40,000 tokens", d.Server)
+		w.arriveWithDeadline("r1", nil)
+		if d := w.singleDispatch(); d.Server == fmt.Sprint("engine-", i) {
+			t.Errorf("dispatched to %s behind 40,000 tokens", d.Server)
 		}
 	}
 }
 
-// Entries report at once when much reading has begun, not more often than every 20 ms,
-// short prompts with the next report, and that they have nothing any more.
+// An entry must report at once when much prefill work has begun, but not more often than every
+// 20 ms. Short prompts are in the next report, and so is the information that it has no requests
+// left.
 func TestEntryReportsItsBacklog(t *testing.T) {
-	w := relayedWorld(t)
+	w := newDeadlineHarness(t)
 	w.viewWithPeers(2, serving(1)...)
-	w.after(minPeerReportInterval)
-	long := func(a *RequestArrived) { a.Work.PromptTokens = 10000 }
-	w.relayed("r1", long)
-	d := w.dispatched()
-	reports := pick[ReportToPeers](w.effects)
+	w.advance(minPeerReportInterval)
+	longPrompt := func(a *RequestArrived) { a.Work.PromptTokens = 10000 }
+	w.arriveWithDeadline("r1", longPrompt)
+	d := w.singleDispatch()
+	reports := effectsOf[ReportToPeers](w.effects)
 	if len(reports) != 1 || len(reports[0].Addresses) != 2 || len(reports[0].Request.Servers) != 1 {
 		t.Fatalf("reported %+v", reports)
 	}
@@ -61,42 +61,42 @@
 	if b.Server != "engine-0" || b.Requests != 1 || len(b.UnreadTokens) != 1 || b.UnreadTokens[0] != 10000 || b.CacheTokens != 10050 {
 		t.Errorf("reported %v", b)
 	}
-	if early := pick[ReportToPeers](w.relayed("r2", long)); len(early) != 0 {
+	if early := effectsOf[ReportToPeers](w.arriveWithDeadline("r2", longPrompt)); len(early) != 0 {
 		t.Errorf("reported again in the same instant: %+v", early)
 	}
-	second := w.dispatched()
-	w.after(minPeerReportInterval)
-	if next := pick[ReportToPeers](w.step(Tick{})); len(next) != 1 || next[0].Request.Servers[0].Requests != 2 {
+	secondDispatch := w.singleDispatch()
+	w.advance(minPeerReportInterval)
+	if next := effectsOf[ReportToPeers](w.step(Tick{})); len(next) != 1 || next[0].Request.Servers[0].Requests != 2 {
 		t.Fatalf("20 ms later: reported %+v", next)
 	}
-	w.after(minPeerReportInterval)
-	if short := pick[ReportToPeers](w.relayed("r3", nil)); len(short) != 0 {
+	w.advance(minPeerReportInterval)
+	if short := effectsOf[ReportToPeers](w.arriveWithDeadline("r3", nil)); len(short) != 0 {
 		t.Errorf("reported a prompt of 100 tokens: %+v", short)
 	}
-	third := w.dispatched()
-	for _, d := range []Dispatch{d, second, third} {
-		w.ended(d, func(ev *AttemptEnded) { ev.Complete = true })
+	thirdDispatch := w.singleDispatch()
+	for _, d := range []Dispatch{d, secondDispatch, thirdDispatch} {
+		w.endAttempt(d, func(ev *AttemptEnded) { ev.Complete = true })
 	}
-	w.after(peerReportRepeat)
-	last := pick[ReportToPeers](w.step(Tick{}))
+	w.advance(peerReportRepeat)
+	last := effectsOf[ReportToPeers](w.step(Tick{}))
 	if len(last) != 1 || len(last[0].Request.Servers) != 0 || last[0].Request.Sequence <= reports[0].Request.Sequence {
-		t.Fatalf("with nothing any more: reported %+v", last)
+		t.Fatalf("without requests: reported %+v", last)
 	}
-	w.after(2 * peerReportRepeat)
+	w.advance(2 * peerReportRepeat)
 	w.renew()
-	if more := pick[ReportToPeers](w.step(Tick{})); len(more) != 0 {
+	if more := effectsOf[ReportToPeers](w.step(Tick{})); len(more) != 0 {
 		t.Errorf("reported though nothing has changed: %+v", more)
 	}
 }
 
-// Seventy entries would spend more on reports to each other than on callers: each reports to
-// one aggregator alone.
+// Guards against 70 entries that spend more on reports to each other than on callers. Each
+// reports to one aggregator.
 func TestManyEntriesReportToOneAggregator(t *testing.T) {
-	w := relayedWorld(t)
+	w := newDeadlineHarness(t)
 	w.viewWithPeers(69, serving(1)...)
-	w.relayed("r1", nil)
-	w.after(sentReportInterval)
-	reports := pick[ReportToPeers](w.step(Tick{}))
+	w.arriveWithDeadline("r1", nil)
+	w.advance(sentReportInterval)
+	reports := effectsOf[ReportToPeers](w.step(Tick{}))
 	if len(reports) != 1 || len(reports[0].Addresses) != 1 || len(reports[0].Request.Servers) != 1 {
 		t.Errorf("reported %+v", reports)
 	}
--- a/internal/entry/permits.go
+++ b/internal/entry/permits.go
@@ -105,16 +105,16 @@
 
 // requestPermits requests permits for the servers that blocked requests in this step.
 func (r *Reducer) requestPermits() {
-	opened := false
+	permitsGranted := false
 	for _, s := range r.servers.restricted {
 		if s.blocked > 0 && s.backpressure.Limit.Wants(r.now) {
 			r.requestPermit(s, min(max(s.blocked, s.blockedArrivals), maxPermitBatch(s.backpressure.Limit.Rate())))
 			s.blockedArrivals = 0
-			opened = opened || s.backpressure.Open(r.now)
+			permitsGranted = permitsGranted || s.backpressure.Open(r.now)
 		}
 		s.blocked = 0
 	}
-	if opened {
+	if permitsGranted {
 		r.sharedFleet = nil
 		r.dispatchWaiting()
 	}
@@ -238,7 +238,7 @@
 
 // refuseBlocked refuses waiting requests whose servers accept no more work until it is too late.
 func (r *Reducer) refuseBlocked() {
-	if len(r.servers.restricted) == 0 || r.decide.queue.Len() == 0 {
+	if len(r.servers.restricted) == 0 || r.decisions.queue.Len() == 0 {
 		return
 	}
 	for _, id := range sortedKeys(r.requests) {
@@ -256,9 +256,9 @@
 	}
 	fleet, w := r.fleet(q), q.work
 	w.FirstTokenBy = q.originalFirstTokenBy
-	after, closed := admission.ClosedTooLong(r.now, &w, &fleet)
+	retryAfter, closed := admission.ClosedTooLong(r.now, &w, &fleet)
 	if closed {
-		r.refuse(q, refuseClosed(after))
+		r.refuse(q, refuseClosed(retryAfter))
 	}
 	return closed
 }
--- a/internal/entry/prefilled.go
+++ b/internal/entry/prefilled.go
@@ -38,7 +38,7 @@
 		return
 	}
 	q.server = s
-	r.decide.picker.Holds(r.now, s.pb.Id, &q.work)
+	r.decisions.picker.Holds(r.now, s.pb.Id, &q.work)
 	s.running = append(s.running, q.work.RequestID)
 	s.sends.add(r.now)
 	r.markSent(s)
@@ -60,7 +60,7 @@
 	w := q.work
 	w.KVTokens = max(1, w.PromptTokens)
 	fleet := r.fleet(q)
-	if choice, ok := r.decide.picker.Pick(r.now, &w, &fleet); ok {
+	if choice, ok := r.decisions.picker.Pick(r.now, &w, &fleet); ok {
 		return r.servers.byID[choice.Server.ID]
 	}
 	if slices.Contains(r.servers.sorted, planned) && r.canTake(q, planned) {
--- a/internal/entry/prefixlog.go
+++ b/internal/entry/prefixlog.go
@@ -17,9 +17,9 @@
 // link little more than others.
 const prefixLogSize = 64
 
-func (l *prefixLog) add(read *pb.PartsRead) {
+func (l *prefixLog) add(prefix *pb.PartsRead) {
 	l.last++
-	l.entries = append(l.entries, read)
+	l.entries = append(l.entries, prefix)
 	if len(l.entries) > 2*prefixLogSize {
 		l.entries = slices.Clone(l.entries[len(l.entries)-prefixLogSize:])
 	}
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -54,17 +54,17 @@
 
 // Reducer makes the decisions of one entry. It is not safe for concurrent use.
 type Reducer struct {
-	cfg      Config
-	now      time.Duration
-	effects  []Effect
-	view     view
-	servers  serverTable
-	requests map[string]*request
-	decide   decider
-	speeds   speeds
-	peers    peerBacklogs
-	suspects suspectTable
-	permits  permits
+	cfg       Config
+	now       time.Duration
+	effects   []Effect
+	view      view
+	servers   serverTable
+	requests  map[string]*request
+	decisions decider
+	speeds    speeds
+	peers     peerBacklogs
+	suspects  suspectTable
+	permits   permits
 	// held is accepted work that waits outside of the queue.
 	held []*request
 	// retryLimit is nil if Config.RetryLimit is.
@@ -101,7 +101,7 @@
 		view:       newView(),
 		servers:    newServerTable(),
 		requests:   make(map[string]*request),
-		decide:     newDecider(),
+		decisions:  newDecider(),
 		speeds:     newSpeeds(cfg.AssumedPace),
 		peers:      newPeerBacklogs(),
 		suspects:   newSuspectTable(),
@@ -137,7 +137,7 @@
 		r.report.sent.acknowledged(ev.Request, ev.ResendInFull)
 		r.usage.acknowledged(ev.Term)
 	case RequestArrived:
-		r.arrived(ev)
+		r.requestArrived(ev)
 	case AttemptProgress:
 		r.progress(ev)
 	case AttemptEnded:
--- a/internal/entry/reducer_test.go
+++ b/internal/entry/reducer_test.go
@@ -10,51 +10,50 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// An engine is stopped for maintenance. It tells one entry so itself before
-// control's view shows it, and an answer that was under way before says
-// "serving" after that. New work sent to it would be refused or cut off.
-func TestServersOwnWordStopsNewWork(t *testing.T) {
-	w := newWorld(t)
+// Guards against new work at an engine that is stopped for maintenance. It reports itself
+// leaving before control's view shows it, and a response that was under way arrives later and
+// says "serving".
+func TestServersOwnReportStopsNewWork(t *testing.T) {
+	w := newHarness(t)
 	w.view(serving(1)...)
-	w.said(0, engineapi.StateLeaving)
-	w.said(0, engineapi.StateServing)
+	w.reportState(0, engineapi.StateLeaving)
+	w.reportState(0, engineapi.StateServing)
 	w.arrive("r1")
-	if r := w.refused(); r.Outcome != outcome.NotRun || r.RetryAfter == 0 {
+	if r := w.singleRefusal(); r.Outcome != outcome.NotRun || r.RetryAfter == 0 {
 		t.Fatalf("refusal %+v", r)
 	}
 }
 
-// An entry is cut off from control while an engine leaves. Its view, in which
-// the engine serves, is 1.5 s old. It must not send it new work, but may send
-// work to an engine that has just said itself that it serves.
+// Guards against new work at a leaving engine from an entry that is cut off from control. Its
+// view of 1.5 s ago still shows the engine as serving. Only an engine that has just reported
+// itself serving may get work.
 func TestStaleViewTrustsOnlyConfirmedServers(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(2)...)
-	w.after(1500 * time.Millisecond)
+	w.advance(1500 * time.Millisecond)
 	w.arrive("r1")
-	if r := w.refused(); r.Code != outcome.CodeStaleView || r.Outcome != outcome.NotRun {
+	if r := w.singleRefusal(); r.Code != outcome.CodeStaleView || r.Outcome != outcome.NotRun {
 		t.Fatalf("refusal %+v", r)
 	}
-	if probes := pick[Probe](w.step(Tick{})); len(probes) != 2 {
+	if probes := effectsOf[Probe](w.step(Tick{})); len(probes) != 2 {
 		t.Fatalf("probes %v", probes)
 	}
-	w.said(1, engineapi.StateServing)
+	w.reportState(1, engineapi.StateServing)
 	w.arrive("r2")
-	if d := w.dispatched(); d.Server != "engine-1" {
-		t.Fatalf("went to %s", d.Server)
+	if d := w.singleDispatch(); d.Server != "engine-1" {
+		t.Fatalf("dispatched to %s", d.Server)
 	}
-	w.after(confirmationTime)
+	w.advance(confirmationTime)
 	w.arrive("r3")
-	if r := w.refused(); r.Code != outcome.CodeStaleView {
+	if r := w.singleRefusal(); r.Code != outcome.CodeStaleView {
 		t.Fatalf("refusal %+v", r)
 	}
 }
 
-// A configuration is accepted and in force at the entry. Then a late answer of
-// control arrives, or one of a replica that has fallen behind. The operator
-// would see the old configuration come back for a while.
+// Guards against an accepted configuration that reverts, when a late response arrives or one of
+// a control replica that lags behind.
 func TestViewNeverReverts(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(1)...)
 	old := w.effects
 	w.view(serving(2)...)
@@ -64,100 +63,99 @@
 		{Version: 3, Full: true, Revision: 1, LeaseMs: 1500},
 		{Version: 3, KnownVersion: 1, Revision: 3, LeaseMs: 1500},
 	} {
-		w.after(time.Millisecond)
+		w.advance(time.Millisecond)
 		w.step(ViewReceived{SentAt: w.now, Response: resp})
 		if got := w.r.view; got.version != 2 || got.revision != 2 || got.leaseUntil != lease || len(w.r.servers.sorted) != 2 {
 			t.Fatalf("after %v: version %d revision %d servers %d", resp, got.version, got.revision, len(w.r.servers.sorted))
 		}
 	}
-	if len(pick[Publish](old)) != 1 {
+	if len(effectsOf[Publish](old)) != 1 {
 		t.Fatal("the first view was not published")
 	}
 }
 
-// A request crashes each engine that runs it. Its caller waits for an answer
-// that never comes, and one engine after the other is lost. After the second
-// death it gets its final answer at once, also when it is sent again, and the
-// other member's request of the same engine is finished elsewhere.
+// Guards against a request that crashes one engine after the other while its caller waits. After
+// the second crash it gets its final answer at once, and so does a repetition. Another member's
+// request on the same engine is finished elsewhere.
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(3)...)
-	bad, good := w.arrival("bad", "hotels"), w.arrival("innocent", "importers")
+	crashing, harmless := w.arrival("bad", "hotels"), w.arrival("innocent", "importers")
 	w.r.servers.byID["engine-1"].pb.Drained, w.r.servers.byID["engine-2"].pb.Drained = true, true
-	w.step(bad)
-	first := w.dispatched()
-	w.step(good)
-	other := w.dispatched()
-	w.began(first)
-	w.began(other)
+	w.step(crashing)
+	first := w.singleDispatch()
+	w.step(harmless)
+	other := w.singleDispatch()
+	w.startAttempt(first)
+	w.startAttempt(other)
 	w.r.servers.byID["engine-1"].pb.Drained, w.r.servers.byID["engine-2"].pb.Drained = false, false
 
-	w.ended(first, died)
-	w.ended(other, died)
-	w.after(maxStagger)
+	w.endAttempt(first, serverDied)
+	w.endAttempt(other, serverDied)
+	w.advance(maxStagger)
 	w.renew()
-	runs := pick[Dispatch](w.effects)
+	runs := effectsOf[Dispatch](w.effects)
 	if len(runs) != 2 || runs[0].Server == runs[1].Server {
-		t.Fatalf("suspects went to %v", runs)
+		t.Fatalf("suspects were dispatched to %v", runs)
 	}
-	second, third := runs[0], runs[1]
-	w.began(second)
-	w.began(third)
-	w.ended(second, died)
-	if reports := pick[Report](w.effects); len(reports) != 1 || len(reports[0].Request.Deaths) != 1 {
+	secondRun, thirdRun := runs[0], runs[1]
+	w.startAttempt(secondRun)
+	w.startAttempt(thirdRun)
+	w.endAttempt(secondRun, serverDied)
+	if reports := effectsOf[Report](w.effects); len(reports) != 1 || len(reports[0].Request.Deaths) != 1 {
 		t.Fatalf("the second death was not reported at once: %v", w.effects)
 	}
-	if r := w.refused(); r.Code != outcome.CodeQuarantined || r.Outcome != outcome.Unknown || r.RetryAfter != 0 {
+	if r := w.singleRefusal(); r.Code != outcome.CodeQuarantined || r.Outcome != outcome.Unknown || r.RetryAfter != 0 {
 		t.Fatalf("refusal %+v", r)
 	}
-	w.ended(third, func(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran })
-	if len(pick[Finish](w.effects)) != 1 {
-		t.Fatalf("the innocent request did not finish: %v", w.effects)
+	w.endAttempt(thirdRun, func(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran })
+	if len(effectsOf[Finish](w.effects)) != 1 {
+		t.Fatalf("the harmless request did not finish: %v", w.effects)
 	}
-	again := bad
+	again := crashing
 	again.Work.RequestID = "sent-again"
 	w.step(again)
-	if r := w.refused(); r.Code != outcome.CodeQuarantined || r.Outcome != outcome.NotRun {
+	if r := w.singleRefusal(); r.Code != outcome.CodeQuarantined || r.Outcome != outcome.NotRun {
 		t.Fatalf("refusal %+v", r)
 	}
-	theirs := w.arrival("theirs", "importers")
-	theirs.Fingerprint = bad.Fingerprint
-	w.step(theirs)
-	w.dispatched()
+	otherMembers := w.arrival("theirs", "importers")
+	otherMembers.Fingerprint = crashing.Fingerprint
+	w.step(otherMembers)
+	w.singleDispatch()
 }
 
-// Two engines are withdrawn while the same dossier streams from them. Nothing
-// shows that the dossier did it: it must get its whole answer.
-func TestProgressSpeaksForARequest(t *testing.T) {
-	w := newWorld(t)
+// Guards against the quarantine of a dossier that streams from two engines that are withdrawn
+// one after the other. Nothing shows that the dossier caused it.
+func TestProgressPreventsQuarantine(t *testing.T) {
+	w := newHarness(t)
 	w.view(serving(3)...)
 	w.arrive("dossier")
 	for range 2 {
-		d := w.dispatched()
+		d := w.singleDispatch()
 		w.step(AttemptProgress{RequestID: "dossier", Attempt: d.Attempt, Tokens: probationTokens})
-		w.ended(d, func(ev *AttemptEnded) { ev.Tokens = probationTokens })
-		w.ended(w.dispatched(), died)
+		w.endAttempt(d, func(ev *AttemptEnded) { ev.Tokens = probationTokens })
+		w.endAttempt(w.singleDispatch(), serverDied)
 	}
-	w.dispatched()
+	w.singleDispatch()
 }
 
-// Two requests ran on an engine when it died, and one engine is left. Run there
-// together, its death would not tell which of them did it, and both would be
-// refused for good. The second one waits until the first has shown progress.
+// Guards against two suspects that run on the same engine. Its crash would not tell which of
+// them caused it, and both would be refused for good. The second one waits until the first has
+// made progress.
 func TestSuspectsNeverShareAServer(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(1)...)
 	w.arrive("r1")
-	first := w.dispatched()
+	first := w.singleDispatch()
 	w.arrive("other-2")
-	other := w.dispatched()
-	w.began(first)
-	w.began(other)
+	other := w.singleDispatch()
+	w.startAttempt(first)
+	w.startAttempt(other)
 	w.view(serving(2)...)
-	w.ended(first, died)
-	w.ended(other, died)
+	w.endAttempt(first, serverDied)
+	w.endAttempt(other, serverDied)
 	for range 3 {
-		w.after(maxStagger)
+		w.advance(maxStagger)
 		w.renew()
 		if runs := len(w.r.servers.byID["engine-1"].running); runs != 1 {
 			t.Fatalf("%d suspects run on the engine that is left", runs)
@@ -165,107 +163,104 @@
 	}
 	id := w.r.servers.byID["engine-1"].running[0]
 	w.step(AttemptProgress{RequestID: id, Attempt: w.r.requests[id].attempt, Tokens: probationTokens})
-	w.after(isolationTime)
+	w.advance(isolationTime)
 	w.renew()
 	if runs := len(w.r.servers.byID["engine-1"].running); runs != 2 {
 		t.Fatalf("%d requests run after the first has shown progress", runs)
 	}
 }
 
-// An engine has died, which this entry does not know yet: it sends requests to
-// it, and something in between opens the connections and closes them. These
-// requests never ran there and must not be taken for what killed it.
-func TestRequestsSentToADeadServerAreNotGuilty(t *testing.T) {
-	w := newWorld(t)
+// Guards against suspicion of requests that never ran. An entry that does not know of a crash
+// sends requests to the dead engine, and a proxy accepts and closes the connections.
+func TestRequestsSentToADeadServerAreNotSuspects(t *testing.T) {
+	w := newHarness(t)
 	w.view(serving(2)...)
-	w.said(0, engineapi.StateServing)
-	w.said(1, engineapi.StateServing)
-	w.after(second)
+	w.reportState(0, engineapi.StateServing)
+	w.reportState(1, engineapi.StateServing)
+	w.advance(second)
 	w.arrive("r1")
-	reports := pick[Report](w.ended(w.dispatched(), died))
+	reports := effectsOf[Report](w.endAttempt(w.singleDispatch(), serverDied))
 	if len(reports) == 1 && len(reports[0].Request.Deaths[0].Suspects) > 0 {
 		t.Fatalf("suspects %v", reports[0].Request.Deaths)
 	}
-	if d := w.dispatched(); d.RequestID != "r1" {
-		t.Fatalf("went on with %v", d)
+	if d := w.singleDispatch(); d.RequestID != "r1" {
+		t.Fatalf("dispatched %v", d)
 	}
 }
 
-// Control is told which requests ran on a server that died, once for each life
-// and also when the first report is lost.
+// Control must learn which requests ran on a server that crashed, once per incarnation, and
+// again if the first report is lost.
 func TestDeathIsReportedOnceAndAgainIfLost(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(2)...)
 	w.arrive("r1")
-	d := w.dispatched()
-	w.began(d)
-	reports := pick[Report](w.ended(d, died))
+	d := w.singleDispatch()
+	w.startAttempt(d)
+	reports := effectsOf[Report](w.endAttempt(d, serverDied))
 	if len(reports) != 1 || len(reports[0].Request.Deaths) != 1 || len(reports[0].Request.Deaths[0].Suspects) != 1 {
 		t.Fatalf("reports %v", reports)
 	}
 	w.step(ReportFailed{Request: reports[0].Request})
-	w.after(reportInterval)
-	again := pick[Report](w.step(Tick{}))
+	w.advance(reportInterval)
+	again := effectsOf[Report](w.step(Tick{}))
 	if len(again) != 1 || len(again[0].Request.Deaths) != 1 {
 		t.Fatalf("after a lost report: %v", again)
 	}
 }
 
-// An engine's connection goes silent while the engine works on. The caller
-// must get the rest from it over a fresh connection; when that is silent too
-// (the engine is frozen), from another engine.
+// Guards against a stream that ends when its connection goes silent. The caller must get the
+// rest from the same engine over a new connection, and from another engine if that connection is
+// silent too.
 func TestSilentStreamReconnectsThenMoves(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(2)...)
 	w.arrive("r1")
-	first := w.dispatched()
-	w.ended(first, func(ev *AttemptEnded) { ev.Tokens = 10 })
-	again := w.dispatched()
+	first := w.singleDispatch()
+	w.endAttempt(first, func(ev *AttemptEnded) { ev.Tokens = 10 })
+	again := w.singleDispatch()
 	if !again.Reconnect || again.Server != first.Server || again.EngineAttempt != first.EngineAttempt || again.Attempt == first.Attempt {
-		t.Fatalf("after silence: %+v", again)
+		t.Fatalf("after the first silent connection: %+v", again)
 	}
-	w.ended(again, func(*AttemptEnded) {})
-	moved := w.dispatched()
+	w.endAttempt(again, func(*AttemptEnded) {})
+	moved := w.singleDispatch()
 	if moved.Reconnect || moved.Server == first.Server || moved.EngineAttempt <= first.EngineAttempt {
-		t.Fatalf("after more silence: %+v", moved)
+		t.Fatalf("after the second silent connection: %+v", moved)
 	}
 }
 
-// A fee receipt is sent and its connection breaks. It may have run: a second
-// send would issue a second receipt. Only when nothing was sent it goes on.
+// Guards against a second execution of a call that may run only once. Only an attempt that was
+// not sent may be repeated.
 func TestOnceOnlyCallIsNotSentAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(2)...)
 	call := w.arrival("receipt", "hotels")
 	call.Retry = RetryNever
 	w.step(call)
-	d := w.dispatched()
-	w.ended(d, func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
-	d = w.dispatched()
-	w.ended(d, func(*AttemptEnded) {})
-	if r := w.refused(); r.Outcome != outcome.Unknown || r.Code != outcome.CodeOutcomeUnknown {
+	d := w.singleDispatch()
+	w.endAttempt(d, func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
+	d = w.singleDispatch()
+	w.endAttempt(d, func(*AttemptEnded) {})
+	if r := w.singleRefusal(); r.Outcome != outcome.Unknown || r.Code != outcome.CodeOutcomeUnknown {
 		t.Fatalf("refusal %+v", r)
 	}
 }
 
-// A plain service has become slow and every lookup fails. With a retry for each
-// its load would double just then. The profile's budget bounds the retries, and
-// a lookup beyond it is answered at once; model work is not cut off for it but
-// waits a little.
+// Guards against retries that double the load of a slow service. The profile's budget bounds
+// them, and a lookup beyond it is refused at once. Model work is not refused but waits a little.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(4)...)
-	firsts, retries, refused := 0, 0, 0
+	firstAttempts, retries, refused := 0, 0, 0
 	var fail func([]Effect)
 	fail = func(effects []Effect) {
-		refused += len(pick[Refuse](effects))
-		for _, d := range pick[Dispatch](effects) {
+		refused += len(effectsOf[Refuse](effects))
+		for _, d := range effectsOf[Dispatch](effects) {
 			if d.Attempt == 1 {
-				firsts++
+				firstAttempts++
 			} else {
 				retries++
 			}
-			fail(w.ended(d, func(*AttemptEnded) {}))
+			fail(w.endAttempt(d, func(*AttemptEnded) {}))
 		}
 	}
 	const lookups = 40
@@ -273,154 +268,152 @@
 		call := w.arrival(fmt.Sprintf("lookup-%d", i), "hotels")
 		call.Retry = RetryAllowed
 		fail(w.step(call))
-		w.after(second)
+		w.advance(second)
 		fail(w.renew())
 		for server := range 4 {
-			fail(w.said(server, engineapi.StateServing))
+			fail(w.reportState(server, engineapi.StateServing))
 		}
 	}
-	w.after(10 * second)
+	w.advance(10 * second)
 	fail(w.renew())
 	fail(w.step(Tick{}))
 	// The budget starts at 10 and nothing was served.
-	if refused != lookups || retries == 0 || retries > 10 || firsts > lookups {
-		t.Fatalf("%d firsts, %d retries, %d refused of %d", firsts, retries, refused, lookups)
+	if refused != lookups || retries == 0 || retries > 10 || firstAttempts > lookups {
+		t.Fatalf("%d first attempts, %d retries, %d refused of %d", firstAttempts, retries, refused, lookups)
 	}
 	w.arrive("question")
-	w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.StreamUnknown = true })
-	if len(pick[Dispatch](w.effects)) != 0 || len(pick[Refuse](w.effects)) != 0 {
+	w.endAttempt(w.singleDispatch(), func(ev *AttemptEnded) { ev.StreamUnknown = true })
+	if len(effectsOf[Dispatch](w.effects)) != 0 || len(effectsOf[Refuse](w.effects)) != 0 {
 		t.Fatalf("beyond the budget: %v", w.effects)
 	}
-	w.after(retryBackOff)
+	w.advance(retryBackOff)
 	w.renew()
-	w.dispatched()
+	w.singleDispatch()
 }
 
-// A caller goes on with a stream at another entry while the first entry, which
-// has not noticed, still sends attempts. The second entry's attempts must have
-// higher numbers, or a late cancel of the first would stop them.
+// Guards against a delayed cancel that stops a resumed stream. The first entry may still send
+// attempts, so those of the second entry must have higher numbers.
 func TestResumeTakesHigherAttempts(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(1)...)
 	resumed := w.arrival("r1", "hotels")
 	resumed.Attempt, resumed.Server, resumed.Incarnation = 3, "engine-0", "life-1"
 	resumed.Work.Resumed = true
 	w.step(resumed)
-	d := w.dispatched()
+	d := w.singleDispatch()
 	if !d.Reconnect || d.EngineAttempt != 3 {
 		t.Fatalf("resume: %+v", d)
 	}
-	w.ended(d, func(ev *AttemptEnded) { ev.StreamUnknown = true })
-	if d = w.dispatched(); d.Reconnect || d.EngineAttempt <= 3+maxAttempts {
-		t.Fatalf("anew: %+v", d)
+	w.endAttempt(d, func(ev *AttemptEnded) { ev.StreamUnknown = true })
+	if d = w.singleDispatch(); d.Reconnect || d.EngineAttempt <= 3+maxAttempts {
+		t.Fatalf("new attempt: %+v", d)
 	}
 }
 
-// An entry is stopped. Callers that were given its address before still come
-// for a while and must be served; after that they are told at once, truly not
-// run, to ask another.
+// Guards against refusals of callers that got a stopping entry's address earlier. They are
+// served for a while. Later callers are refused at once, as not run.
 func TestLeavingEntryServesUntilItCloses(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(1)...)
 	w.step(Stop{AcceptFor: second})
-	if s := pick[Publish](w.effects); len(s) != 1 || !s[0].Snapshot.Leaving {
+	if s := effectsOf[Publish](w.effects); len(s) != 1 || !s[0].Snapshot.Leaving {
 		t.Fatalf("published %v", s)
 	}
 	w.arrive("r1")
-	w.dispatched()
-	w.after(second)
+	w.singleDispatch()
+	w.advance(second)
 	w.renew()
 	w.arrive("r2")
-	if r := w.refused(); r.Code != outcome.CodeLeaving || r.Outcome != outcome.NotRun {
+	if r := w.singleRefusal(); r.Code != outcome.CodeLeaving || r.Outcome != outcome.NotRun {
 		t.Fatalf("refusal %+v", r)
 	}
 }
 
-// A stream comes to an entry that is closing, to go on there. It has run before:
-// "not run" would be false.
+// Guards against a false "not run" for a stream that is resumed at a stopping entry. It has run
+// before.
 func TestResumedRequestIsNeverCalledNotRun(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(1)...)
 	w.step(Stop{})
 	resumed := w.arrival("r1", "hotels")
 	resumed.Attempt, resumed.Work.Resumed = 3, true
 	w.step(resumed)
-	if r := w.refused(); r.Code != outcome.CodeLeaving || r.Outcome != outcome.Unknown {
+	if r := w.singleRefusal(); r.Code != outcome.CodeLeaving || r.Outcome != outcome.Unknown {
 		t.Fatalf("refusal %+v", r)
 	}
 }
 
-// A lost caller's work is stopped at the engine, but only after the time that
-// the caller needs to go on elsewhere.
-func TestGoneCallersWorkIsCancelled(t *testing.T) {
-	w := newWorld(t)
+// Guards against work that continues for a disconnected caller, and against a cancel before the
+// caller could resume at another entry.
+func TestDisconnectedCallersWorkIsCancelled(t *testing.T) {
+	w := newHarness(t)
 	w.view(serving(1)...)
 	w.arrive("r1")
-	w.dispatched()
+	w.singleDispatch()
 	w.step(CallerDisconnected{RequestID: "r1"})
-	c := pick[Cancel](w.effects)
-	if len(c) != 1 || c[0].Delay != cancelGrace || len(pick[Finish](w.effects)) != 1 {
+	c := effectsOf[Cancel](w.effects)
+	if len(c) != 1 || c[0].Delay != cancelGrace || len(effectsOf[Finish](w.effects)) != 1 {
 		t.Fatalf("effects %v", w.effects)
 	}
 }
 
-// An entry that ticks slowly while a request waits would place it late, and one
-// that does so with a stale view would not confirm servers in time.
-func TestQuietOnlyWhileNothingWaits(t *testing.T) {
-	w := newWorld(t)
+// Guards against long tick intervals while a request waits, which would delay its dispatch, or
+// while the view is stale, when servers must be confirmed in time.
+func TestIdleOnlyWhileNothingWaits(t *testing.T) {
+	w := newHarness(t)
 	if w.r.Idle() {
-		t.Error("quiet without a view")
+		t.Error("idle without a view")
 	}
 	w.view(serving(1)...)
 	if !w.r.Idle() {
-		t.Error("not quiet with nothing to do")
+		t.Error("not idle with nothing to do")
 	}
 	w.arrive("a")
 	if w.r.Idle() {
-		t.Error("quiet with a request")
+		t.Error("idle with a request")
 	}
-	w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Complete = true })
-	w.after(maxLease)
+	w.endAttempt(w.singleDispatch(), func(ev *AttemptEnded) { ev.Complete = true })
+	w.advance(maxLease)
 	w.step(Tick{})
 	if w.r.Idle() {
-		t.Error("quiet with a stale view")
+		t.Error("idle with a stale view")
 	}
 }
 
-// A caller gets its final answer for a request that crashed two engines and sends
-// it again in the same millisecond, to an entry that control has not told yet. It
-// must not crash a third engine: this entry knows of the first death, lets the
-// request wait a moment for its start, and refuses it when control tells.
+// Guards against a third crash. A caller gets the final answer for a request that crashed two
+// engines and repeats it within a millisecond at an entry that does not know of the quarantine
+// yet. That entry knows of the first crash, delays the request, and refuses it once control
+// reports the quarantine.
 func TestSuspectSentToAnotherEntryWaitsForControl(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.view(serving(2)...)
-	bad := w.arrival("bad", "hotels")
-	suspect := &pb.Quarantine{Member: "hotels", Fingerprint: bad.Fingerprint}
+	crashing := w.arrival("bad", "hotels")
+	suspect := &pb.Quarantine{Member: "hotels", Fingerprint: crashing.Fingerprint}
 	w.delta(&pb.WatchResponse{Suspects: []*pb.Quarantine{suspect}})
-	if started := pick[Dispatch](w.step(bad)); len(started) != 0 {
+	if started := effectsOf[Dispatch](w.step(crashing)); len(started) != 0 {
 		t.Fatalf("the suspect was started at once: %v", started)
 	}
 	w.delta(&pb.WatchResponse{Quarantine: []*pb.Quarantine{suspect}})
-	if r := w.refused(); r.Code != outcome.CodeQuarantined || r.Outcome != outcome.NotRun {
+	if r := w.singleRefusal(); r.Code != outcome.CodeQuarantined || r.Outcome != outcome.NotRun {
 		t.Fatalf("refusal %+v", r)
 	}
 }
 
-// Who ran beside a crashing request is a suspect too and may come again at another
-// entry. It waits a moment and is served.
-func TestInnocentSuspectIsServedAfterAMoment(t *testing.T) {
-	w := newWorld(t)
+// Guards against the loss of a request that ran next to a crashing one and is therefore a
+// suspect at another entry. It is served after the delay.
+func TestSuspectIsServedAfterItsDelay(t *testing.T) {
+	w := newHarness(t)
 	w.view(serving(2)...)
-	innocent := w.arrival("innocent", "hotels")
-	w.delta(&pb.WatchResponse{Suspects: []*pb.Quarantine{{Member: "hotels", Fingerprint: innocent.Fingerprint}}})
-	w.step(innocent)
-	w.after(suspectStartDelay)
+	harmless := w.arrival("innocent", "hotels")
+	w.delta(&pb.WatchResponse{Suspects: []*pb.Quarantine{{Member: "hotels", Fingerprint: harmless.Fingerprint}}})
+	w.step(harmless)
+	w.advance(suspectStartDelay)
 	w.renew()
-	w.dispatched()
+	w.singleDispatch()
 }
 
-// delta gives control's next view, as a change against the one in force.
-func (w *world) delta(change *pb.WatchResponse) {
+// delta applies control's next view, as a change to the current one.
+func (w *harness) delta(change *pb.WatchResponse) {
 	change.KnownVersion, change.Revision, change.LeaseMs = w.version, w.version, 1500
 	w.version++
 	change.Version = w.version
--- a/internal/entry/refusals.go
+++ b/internal/entry/refusals.go
@@ -24,9 +24,9 @@
 }
 
 // unavailable refuses a request that another entry, or this one after a delay, may accept.
-func unavailable(code outcome.Code, message string, after time.Duration) *outcome.Refusal {
+func unavailable(code outcome.Code, message string, retryAfter time.Duration) *outcome.Refusal {
 	return &outcome.Refusal{
-		Status: http.StatusServiceUnavailable, Code: code, Message: message, RetryAfter: after,
+		Status: http.StatusServiceUnavailable, Code: code, Message: message, RetryAfter: retryAfter,
 	}
 }
 
@@ -112,8 +112,8 @@
 
 // refuseClosed sets the retry delay by what the servers said about when, or at what rate, they
 // accept requests.
-func refuseClosed(after time.Duration) *outcome.Refusal {
-	return unavailable(outcome.CodeDeadline, "its servers take no more work until it is too late", after)
+func refuseClosed(retryAfter time.Duration) *outcome.Refusal {
+	return unavailable(outcome.CodeDeadline, "its servers take no more work until it is too late", retryAfter)
 }
 
 func refuseLate() *outcome.Refusal {
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -63,8 +63,8 @@
 
 func (b *reportBuffer) death(d *pb.ServerDeath) {
 	b.deaths = append(b.deaths, d)
-	if over := len(b.deaths) - maxPendingDeaths; over > 0 {
-		b.deaths = b.deaths[over:]
+	if excess := len(b.deaths) - maxPendingDeaths; excess > 0 {
+		b.deaths = b.deaths[excess:]
 	}
 	b.urgent = true
 }
@@ -144,7 +144,7 @@
 		})
 		return
 	}
-	r.report.sent.sent(full)
+	r.report.sent.recordSent(full)
 	req.Announcements = append(req.Announcements, full)
 }
 
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -21,7 +21,7 @@
 }
 
 // ended records which servers an ended attempt reached.
-func (a *deliveries) ended(ev *AttemptEnded) {
+func (a *deliveries) record(ev *AttemptEnded) {
 	if ev.Unsent {
 		return
 	}
--- a/internal/entry/schedule_test.go
+++ b/internal/entry/schedule_test.go
@@ -12,54 +12,54 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// schedule is one random history of an entry with lost, doubled and late
-// events, and what was seen of the reducer's effects.
-type schedule struct {
-	*world
+// randomSchedule is one random history of an entry with lost, duplicated and late events, and
+// what was seen of the reducer's effects.
+type randomSchedule struct {
+	*harness
 	rt       *rapid.T
 	arrivals int
 	finals   map[string]int
 	running  map[string]Dispatch
-	// sent keeps all dispatches, for late words about them.
+	// sent keeps all dispatches, for late events about them.
 	sent []Dispatch
-	// left names servers that said or were said to leave.
-	left map[string]bool
-	// confirmed is when each server last said that it serves.
+	// leaving names the servers that reported themselves leaving or that a view showed as
+	// leaving.
+	leaving map[string]bool
+	// confirmed is when each server last reported itself serving.
 	confirmed map[string]time.Duration
 	sentAt    time.Duration
 }
 
 const scheduleServers = 4
 
-// Every request gets exactly one final answer, refused ones in the step in
-// which they arrive; no new work goes to a server that leaves, or on a stale
-// view to one that has not just confirmed itself - whatever is lost, doubled
-// or late.
+// Each request must get exactly one final answer. No new work may go to a leaving server or, on
+// a stale view, to a server that has not just confirmed itself. This must hold whatever events
+// are lost, duplicated or late.
 func TestAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &schedule{
-			world: newWorld(rt), rt: rt, finals: make(map[string]int), running: make(map[string]Dispatch),
-			left: make(map[string]bool), confirmed: make(map[string]time.Duration),
+		s := &randomSchedule{
+			harness: newHarness(rt), rt: rt, finals: make(map[string]int), running: make(map[string]Dispatch),
+			leaving: make(map[string]bool), confirmed: make(map[string]time.Duration),
 		}
 		s.newView()
 		for range rapid.IntRange(10, 120).Draw(rt, "steps") {
 			s.randomEvent()
 		}
-		s.drain()
+		s.endAll()
 	})
 }
 
-func (s *schedule) randomEvent() {
-	s.after(time.Duration(rapid.IntRange(0, 400).Draw(s.rt, "ms")) * time.Millisecond)
+func (s *randomSchedule) randomEvent() {
+	s.advance(time.Duration(rapid.IntRange(0, 400).Draw(s.rt, "ms")) * time.Millisecond)
 	switch rapid.IntRange(0, 9).Draw(s.rt, "event") {
 	case 0, 1, 2:
 		s.newRequest()
 	case 3, 4:
-		s.endOne()
+		s.endRandomAttempt()
 	case 5:
-		s.lateWord()
+		s.lateEvent()
 	case 6:
-		s.serverWord()
+		s.serverStateEvent()
 	case 7:
 		s.newView()
 	case 8:
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *schedule) newRequest() {
+func (s *randomSchedule) newRequest() {
 	id := fmt.Sprintf("r%d", s.arrivals)
 	s.arrivals++
 	s.finals[id] = 0
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *schedule) endOne() {
+func (s *randomSchedule) endRandomAttempt() {
 	if len(s.running) == 0 {
 		return
 	}
@@ -91,7 +91,7 @@
 	s.finishAttempt(d, rapid.IntRange(0, 5).Draw(s.rt, "how"))
 }
 
-func (s *schedule) finishAttempt(d Dispatch, how int) {
+func (s *randomSchedule) finishAttempt(d Dispatch, how int) {
 	ev := AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Outcome: outcome.Unknown}
 	ev.AtPrefillServer = how > 0 && d.PrefillServer != "" && d.Attempt%2 == 0
 	switch how {
@@ -117,8 +117,8 @@
 	return m
 }
 
-// lateWord doubles a word about an attempt that may be over long since.
-func (s *schedule) lateWord() {
+// lateEvent repeats an event about an attempt that may have ended long ago.
+func (s *randomSchedule) lateEvent() {
 	if len(s.sent) == 0 {
 		return
 	}
@@ -130,34 +130,34 @@
 	s.check(s.step(AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Complete: true, Outcome: outcome.Ran}))
 }
 
-func (s *schedule) serverWord() {
+func (s *randomSchedule) serverStateEvent() {
 	i := rapid.IntRange(0, scheduleServers-1).Draw(s.rt, "server")
 	id := fmt.Sprintf("engine-%d", i)
 	state := engineapi.StateServing
 	if rapid.IntRange(0, 9).Draw(s.rt, "leaves") == 0 {
 		state = engineapi.StateLeaving
-		s.left[id] = true
+		s.leaving[id] = true
 	}
 	if state == engineapi.StateServing {
 		s.confirmed[id] = s.now
 	}
-	s.check(s.said(i, state))
+	s.check(s.reportState(i, state))
 }
 
-func (s *schedule) newView() {
+func (s *randomSchedule) newView() {
 	servers := serving(scheduleServers)
 	for _, p := range servers {
 		p.Role = pb.EngineRole(rapid.IntRange(1, 3).Draw(s.rt, "role"))
-		if s.left[p.Id] || rapid.IntRange(0, 19).Draw(s.rt, "view leaves") == 0 {
+		if s.leaving[p.Id] || rapid.IntRange(0, 19).Draw(s.rt, "view leaves") == 0 {
 			p.State = pb.ServerState_SERVER_STATE_LEAVING
-			s.left[p.Id] = true
+			s.leaving[p.Id] = true
 		}
 	}
 	s.sentAt = s.now
 	s.check(s.view(servers...))
 }
 
-func (s *schedule) check(effects []Effect) {
+func (s *randomSchedule) check(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Dispatch:
@@ -170,22 +170,22 @@
 	}
 }
 
-func (s *schedule) checkDispatch(d Dispatch) {
+func (s *randomSchedule) checkDispatch(d Dispatch) {
 	if s.finals[d.RequestID] > 0 {
 		s.rt.Fatalf("%s is dispatched after its final answer", d.RequestID)
 	}
 	if !d.Reconnect {
 		confirmed, ok := s.confirmed[d.Server]
 		stale := s.now >= s.sentAt+1500*time.Millisecond
-		if s.left[d.Server] || s.left[d.PrefillServer] || (stale && (!ok || s.now-confirmed >= confirmationTime)) {
-			s.rt.Fatalf("new work for %s: left %v, stale %v", d.Server, s.left[d.Server], stale)
+		if s.leaving[d.Server] || s.leaving[d.PrefillServer] || (stale && (!ok || s.now-confirmed >= confirmationTime)) {
+			s.rt.Fatalf("new work for %s: leaving %v, stale %v", d.Server, s.leaving[d.Server], stale)
 		}
 	}
 	s.running[d.RequestID] = d
 	s.sent = append(s.sent, d)
 }
 
-func (s *schedule) final(id string) {
+func (s *randomSchedule) final(id string) {
 	s.finals[id]++
 	delete(s.running, id)
 	if s.finals[id] > 1 {
@@ -193,13 +193,13 @@
 	}
 }
 
-// drain lets everything end: what runs finishes, what waits passes its deadline.
-func (s *schedule) drain() {
+// endAll ends everything: running attempts finish, and waiting requests pass their deadlines.
+func (s *randomSchedule) endAll() {
 	for range 200 {
 		for _, id := range sortedKeys(s.running) {
 			s.finishAttempt(s.running[id], 0)
 		}
-		s.after(second)
+		s.advance(second)
 		s.check(s.step(Tick{}))
 	}
 	for i := range s.arrivals {
--- a/internal/entry/sent.go
+++ b/internal/entry/sent.go
@@ -53,7 +53,7 @@
 	return known != nil && known.acknowledged && proto.Equal(known.announcement, withoutLoad(a))
 }
 
-func (t *sentTable) sent(a *pb.Announcement) {
+func (t *sentTable) recordSent(a *pb.Announcement) {
 	t.full[a.GetServer().GetId()] = &sentAnnouncement{announcement: withoutLoad(a)}
 }
 
--- a/internal/entry/slots_test.go
+++ b/internal/entry/slots_test.go
@@ -10,33 +10,33 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// playedRequest is a request on its way through engines in virtual time.
-type playedRequest struct {
-	at       time.Duration
+// simulatedRequest is a request that is processed by engines in virtual time.
+type simulatedRequest struct {
+	since    time.Duration
 	dispatch Dispatch
-	// decodes is set once it is read.
-	decodes bool
+	// decoding is set once its prefill is done.
+	decoding bool
 }
 
-// Guards against requests that wait for a place while engines have places: engines of few
-// places, each prompt read at one engine and decoded at another, seven tenths of the places
-// that decode in use. A caller's target is 250 ms; nine of ten requests must be sent on within
-// an eighth of it.
-func TestReadingTakesNoPlaceWhereItIsDecoded(t *testing.T) {
-	const places, decoders, readers, target = 12, 4, 8, 250 * time.Millisecond
-	const reading, decoding = 250 * time.Millisecond, 300 * time.Millisecond
+// Guards against requests that wait for a slot while engines have free slots. The engines have
+// few slots, each prompt is prefilled on one engine and decoded on another, and 70% of the
+// decode slots are in use. Nine of ten requests must be dispatched within an eighth of the
+// caller's target of 250 ms.
+func TestSeparatePrefillTakesNoDecodeSlot(t *testing.T) {
+	const slots, decodeEngines, prefillEngines, target = 12, 4, 8, 250 * time.Millisecond
+	const prefillDuration, decodeDuration = 250 * time.Millisecond, 300 * time.Millisecond
 	for _, rate := range []float64{25000, 112000, 250000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			w := relayedWorld(t)
+			w := newDeadlineHarness(t)
 			w.r.cfg.MaxStreams, w.r.cfg.AssumedPace = 1000, decision.Pace{PrefillRate: rate, TokenTime: 5 * time.Millisecond}
 			w.r.speeds = newSpeeds(w.r.cfg.AssumedPace)
-			servers := prefillers(decoders, readers)
+			servers := withPrefillEngines(decodeEngines, prefillEngines)
 			for _, s := range servers {
-				s.Slots = places
+				s.Slots = slots
 			}
 			w.view(servers...)
-			perSecond := 0.7 * places * decoders / decoding.Seconds()
-			waits := playPairs(w, servers, time.Duration(float64(time.Second)/perSecond), reading, decoding, int(rate*reading.Seconds()/4))
+			perSecond := 0.7 * slots * decodeEngines / decodeDuration.Seconds()
+			waits := simulateSeparatePrefill(w, servers, time.Duration(float64(time.Second)/perSecond), prefillDuration, decodeDuration, int(rate*prefillDuration.Seconds()/4))
 			late := 0
 			for _, d := range waits {
 				if d > target/8 {
@@ -44,23 +44,23 @@
 				}
 			}
 			if late*10 > len(waits) {
-				t.Errorf("%d of %d requests waited for a place", late, len(waits))
+				t.Errorf("%d of %d requests waited for a slot", late, len(waits))
 			}
 		})
 	}
 }
 
-// playPairs plays some seconds of requests that come that often and gives how long each
-// waited before it was sent on.
-func playPairs(w *world, servers []*pb.BackendServer, every, reading, decoding time.Duration, tokens int) []time.Duration {
+// simulateSeparatePrefill runs some seconds of requests at that interval and returns how long
+// each waited for its dispatch.
+func simulateSeparatePrefill(w *harness, servers []*pb.BackendServer, interval, prefillDuration, decodeDuration time.Duration, tokens int) []time.Duration {
 	var waits []time.Duration
 	var next time.Duration
 	arrived := make(map[string]time.Duration)
-	var running []*playedRequest
-	take := func(effects []Effect) {
-		for _, d := range pick[Dispatch](effects) {
+	var running []*simulatedRequest
+	record := func(effects []Effect) {
+		for _, d := range effectsOf[Dispatch](effects) {
 			waits = append(waits, w.now-arrived[d.RequestID])
-			running = append(running, &playedRequest{at: w.now, dispatch: d})
+			running = append(running, &simulatedRequest{since: w.now, dispatch: d})
 		}
 	}
 	start := w.now
@@ -68,30 +68,30 @@
 		if w.now >= start+next {
 			id := fmt.Sprint("r", len(arrived))
 			arrived[id] = w.now
-			take(w.relayed(id, func(a *RequestArrived) {
+			record(w.arriveWithDeadline(id, func(a *RequestArrived) {
 				a.Work.PromptTokens, a.Work.Pace.MoveRate, a.Work.FinishBy = tokens, 1e8, w.now+8*second
 			}))
-			next += every
+			next += interval
 		}
 		w.renew()
 		for _, p := range running {
-			take(p.step(w, reading, decoding))
+			record(p.step(w, prefillDuration, decodeDuration))
 		}
-		w.after(5 * time.Millisecond)
+		w.advance(5 * time.Millisecond)
 	}
 	return waits
 }
 
-// step lets an engine finish what it does for the request, once.
-func (p *playedRequest) step(w *world, reading, decoding time.Duration) []Effect {
-	apart := p.dispatch.PrefillServer != ""
+// step ends the current phase of the request once its time is over.
+func (p *simulatedRequest) step(w *harness, prefillDuration, decodeDuration time.Duration) []Effect {
+	separatePrefill := p.dispatch.PrefillServer != ""
 	switch {
-	case apart && !p.decodes && w.now >= p.at+reading:
-		p.decodes, p.at = true, w.now
+	case separatePrefill && !p.decoding && w.now >= p.since+prefillDuration:
+		p.decoding, p.since = true, w.now
 		return w.step(PrefillDone{RequestID: p.dispatch.RequestID, Attempt: p.dispatch.Attempt})
-	case (!apart || p.decodes) && w.now >= p.at+decoding:
-		p.at = 1 << 62
-		return w.ended(p.dispatch, func(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran })
+	case (!separatePrefill || p.decoding) && w.now >= p.since+decodeDuration:
+		p.since = 1 << 62
+		return w.endAttempt(p.dispatch, func(ev *AttemptEnded) { ev.Complete, ev.Outcome = true, outcome.Ran })
 	}
 	return nil
 }
--- a/internal/entry/snapshot.go
+++ b/internal/entry/snapshot.go
@@ -40,8 +40,8 @@
 }
 
 // AcceptsRequests tells whether a server incarnation accepts requests at that time.
-func (s *Snapshot) AcceptsRequests(life string, now time.Duration) bool {
-	return now >= s.UnavailableUntil[life]
+func (s *Snapshot) AcceptsRequests(incarnation string, now time.Duration) bool {
+	return now >= s.UnavailableUntil[incarnation]
 }
 
 // Ready tells whether the entry has a declaration to serve by.
--- a/internal/entry/speeds.go
+++ b/internal/entry/speeds.go
@@ -23,9 +23,9 @@
 }
 
 // prefillTimeFraction is a fraction of the median prefill time, within bounds.
-func (s *speeds) prefillTimeFraction(part float64, least, most time.Duration) time.Duration {
-	usual := time.Duration(part * s.prefillTime.Value(0) * float64(time.Second))
-	return min(most, max(least, usual))
+func (s *speeds) prefillTimeFraction(fraction float64, lower, upper time.Duration) time.Duration {
+	estimate := time.Duration(fraction * s.prefillTime.Value(0) * float64(time.Second))
+	return min(upper, max(lower, estimate))
 }
 
 func newSpeeds(assumed decision.Pace) speeds {
--- a/internal/entry/sums.go
+++ b/internal/entry/sums.go
@@ -13,8 +13,8 @@
 // groupBacklogs adds the backlogs reported by group members to this aggregator's own, and counts
 // the members.
 func (r *Reducer) groupBacklogs(own []*pb.ServerBacklog) ([]*pb.ServerBacklog, int) {
-	sums, members := r.peers.reports.Single(r.now)
-	return addBacklogs(sums, own), members
+	sums, groupMembers := r.peers.reports.Single(r.now)
+	return addBacklogs(sums, own), groupMembers
 }
 
 // addBacklogs adds own backlogs to the sums, in order of server.
@@ -44,10 +44,10 @@
 	if ev.Request.GetAggregator() != r.cfg.Identity.GetIncarnation() {
 		from = 0
 	}
-	reads, next := p.group.prefixes.since(from)
+	prefixes, next := p.group.prefixes.since(from)
 	sum := &pb.PeerSum{
 		Aggregator: r.cfg.Identity.GetName(), Incarnation: r.cfg.Identity.GetIncarnation(),
-		Entries: uint32(entries + 1), Servers: addBacklogs(sums, r.ownBacklogs()), Reads: reads, ReadsNext: next,
+		Entries: uint32(entries + 1), Servers: addBacklogs(sums, r.ownBacklogs()), Reads: prefixes, ReadsNext: next,
 		Died: r.recentDeaths(), Words: r.allLimits(), Leaving: r.allLeaving(),
 	}
 	if ev.Request.GetWantAlive() {
@@ -73,8 +73,8 @@
 		Sequence: g.sumCount, Entries: int(sum.GetEntries()), Valid: decision.PeerReportFor,
 		Servers: backlogsOf(sum.GetServers()),
 	})
-	for _, read := range sum.GetReads() {
-		r.decide.picker.HoldsParts(r.now, read.GetServer(), read.GetChain())
+	for _, prefix := range sum.GetReads() {
+		r.decisions.picker.HoldsParts(r.now, prefix.GetServer(), prefix.GetChain())
 	}
 	r.applyPeerDeaths(sum.GetDied(), false)
 	r.applyPeerAlive(sum.GetAlive(), ev.SentAt, false)
@@ -114,7 +114,7 @@
 // that has become free since.
 func (r *Reducer) refreshSum() {
 	g := &r.peers.group
-	if r.decide.queue.Len() == 0 || r.now-g.sumRequestedAt < sumRefreshInterval || g.aggregator(r.now) == nil {
+	if r.decisions.queue.Len() == 0 || r.now-g.sumRequestedAt < sumRefreshInterval || g.aggregator(r.now) == nil {
 		return
 	}
 	g.sumRequestedAt = r.now
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -124,7 +124,7 @@
 	return true
 }
 
-func (t *suspectTable) cleared(q *request) {
+func (t *suspectTable) remove(q *request) {
 	if s := t.byKey[q.key()]; s != nil {
 		delete(t.byKey, q.key())
 		t.order = slices.DeleteFunc(t.order, func(k quarantineKey) bool { return k == q.key() })
@@ -226,7 +226,7 @@
 		}
 	}
 	r.report.death(death)
-	r.logServer(s, "crashed")
+	r.logServer(s, "died")
 }
 
 // recentlySuspected tells whether a new request ran on a server that crashed recently, according
--- a/internal/entry/usage_test.go
+++ b/internal/entry/usage_test.go
@@ -9,57 +9,59 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// countingWorld counts the requests of a member with a credential.
-func countingWorld(t *testing.T) *world {
-	w := relayedWorld(t)
+// newUsageHarness counts the requests of a member with a credential.
+func newUsageHarness(t *testing.T) *harness {
+	w := newDeadlineHarness(t)
 	w.r.usage = newUsageCounter(UsageConfig{Window: 5 * second, BootUnixTime: 1000 * second}, "entry-a1")
-	w.declares([]declaration.Member{holder("hotels", "key-1")}, serving(2)...)
+	w.declare([]declaration.Member{memberWithCredentials("hotels", "key-1")}, serving(2)...)
 	return w
 }
 
-// reported sums up what reports tell of the window; later ones stand for earlier ones.
-func (w *world) reported(d time.Duration) map[int64]uint64 {
-	told := make(map[int64]uint64)
-	for until := w.now + d; w.now < until; w.after(20 * time.Millisecond) {
-		for _, r := range pick[Report](w.step(Tick{})) {
+// collectUsage returns the counts in the reports of that time, by window. Later ones replace
+// earlier ones.
+func (w *harness) collectUsage(d time.Duration) map[int64]uint64 {
+	counts := make(map[int64]uint64)
+	for until := w.now + d; w.now < until; w.advance(20 * time.Millisecond) {
+		for _, r := range effectsOf[Report](w.step(Tick{})) {
 			for _, u := range r.Request.GetUsage() {
-				told[u.GetWindow()] = u.GetCounts()[0].GetRequests()
+				counts[u.GetWindow()] = u.GetCounts()[0].GetRequests()
 			}
 			w.step(ReportAnswered{Request: r.Request, Term: 1})
 		}
 	}
-	return told
+	return counts
 }
 
-// Guards against requests that count twice, never, or though no server began them.
+// Guards against requests that are counted twice, never, or without any server having begun
+// them.
 func TestRequestCountsOnceWhenItHasBegun(t *testing.T) {
-	w := countingWorld(t)
-	w.asks("stream", "key-1")
-	d := w.dispatched()
+	w := newUsageHarness(t)
+	w.arriveWithCredential("stream", "key-1")
+	d := w.singleDispatch()
 	w.step(AttemptProgress{RequestID: d.RequestID, Attempt: d.Attempt, Tokens: 1})
 	w.step(AttemptProgress{RequestID: d.RequestID, Attempt: d.Attempt, Tokens: 2})
-	w.ended(d, whole)
-	w.asks("call", "key-1")
-	w.ended(w.dispatched(), whole)
-	w.asks("refused", "key-1")
-	w.ended(w.dispatched(), func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
-	w.asks("stranger", "key-2")
-	if told := w.reported(8 * second); told[200] != 2 {
-		t.Errorf("told %v, want 2 requests in window 200", told)
+	w.endAttempt(d, completed)
+	w.arriveWithCredential("call", "key-1")
+	w.endAttempt(w.singleDispatch(), completed)
+	w.arriveWithCredential("refused", "key-1")
+	w.endAttempt(w.singleDispatch(), func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
+	w.arriveWithCredential("stranger", "key-2")
+	if counts := w.collectUsage(8 * second); counts[200] != 2 {
+		t.Errorf("counts %v, want 2 requests in window 200", counts)
 	}
 }
 
-// Guards against counts that are lost with the leader that had them, or with a lost report.
-func TestUsageIsToldAgainToAnotherLeader(t *testing.T) {
-	w := countingWorld(t)
-	w.asks("call", "key-1")
-	w.ended(w.dispatched(), whole)
-	w.reported(8 * second)
+// Guards against counts that are lost with a leader that had them, or with a lost report.
+func TestUsageIsReportedAgainToANewLeader(t *testing.T) {
+	w := newUsageHarness(t)
+	w.arriveWithCredential("call", "key-1")
+	w.endAttempt(w.singleDispatch(), completed)
+	w.collectUsage(8 * second)
 	w.step(ReportAnswered{Request: &pb.ReportRequest{}, Term: 2})
-	if told := w.reported(3 * second); told[200] != 1 {
-		t.Errorf("told the new leader %v", told)
+	if counts := w.collectUsage(3 * second); counts[200] != 1 {
+		t.Errorf("reported to the new leader: %v", counts)
 	}
-	if told := w.reported(3 * second); told[200] != 0 {
-		t.Errorf("told it again %v", told)
+	if counts := w.collectUsage(3 * second); counts[200] != 0 {
+		t.Errorf("reported to it again: %v", counts)
 	}
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -104,7 +104,7 @@
 	r.applyEntries(resp)
 	v.applyQuarantine(resp, r.now)
 	for _, id := range r.servers.applyView(resp, r.now) {
-		r.decide.picker.Forget(id)
+		r.decisions.picker.Forget(id)
 	}
 	v.version, v.revision = resp.Version, resp.Revision
 	if len(resp.Control) > 0 {
