--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -8,7 +8,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// arrived either refuses a request at once or accepts it. A repeated event for the same request
+// requestArrived either refuses a request at once or accepts it. A repeated event for the same request
 // is ignored.
 func (r *Reducer) requestArrived(ev RequestArrived) {
 	id := ev.Work.RequestID
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -171,9 +171,9 @@
 // callers that got its address earlier.
 type Stop struct {
 	AcceptFor time.Duration
-	// After ShortOnlyAfter the entry accepts only work that ends in time, after EndsAfter it
-	// aborts what still runs. Both count from the event. If EndsAfter is zero, the entry waits
-	// for running requests or hands them over.
+	// Once ShortOnlyAfter has passed, the entry accepts only work that ends in time. Once
+	// EndsAfter has passed, it aborts what still runs. Both count from the event. If EndsAfter
+	// is zero, the entry waits for running requests or hands them over.
 	ShortOnlyAfter, EndsAfter time.Duration
 }
 
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -60,7 +60,7 @@
 		if r.retryAfter <= 0 {
 			t.Fatalf("refused without a retry delay: %+v", r)
 		}
-		if r.after > 400*time.Millisecond {
+		if r.waited > 400*time.Millisecond {
 			late++
 		}
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -71,8 +71,8 @@
 // entry handles in a second.
 const maxReportedPrefixes = 64
 
-// prefixRead records for the next report that a server has prefilled a prompt.
-func (p *peerBacklogs) prefixRead(server string, w *decision.Work) {
+// recordPrefill records for the next report that a server has prefilled a prompt.
+func (p *peerBacklogs) recordPrefill(server string, w *decision.Work) {
 	if decision.PartsTold(w) {
 		p.recordPrefix(&pb.PartsRead{Server: server, Chain: w.Prefix[:w.Shared]})
 	}
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -20,7 +20,7 @@
 	paid int
 }
 
-// ended records which servers an ended attempt reached.
+// record notes which servers an ended attempt reached.
 func (a *deliveries) record(ev *AttemptEnded) {
 	if ev.Unsent {
 		return
--- a/internal/entry/simulation_test.go
+++ b/internal/entry/simulation_test.go
@@ -57,8 +57,8 @@
 
 // refusal is a refusal that a caller got.
 type refusal struct {
-	at, after, retryAfter time.Duration
-	message               string
+	at, waited, retryAfter time.Duration
+	message                string
 }
 
 func newSimulation(t *testing.T, entries int, servers []*pb.BackendServer, response func(string) backpressure.Word) *simulation {
--- a/internal/entry/speeds.go
+++ b/internal/entry/speeds.go
@@ -72,7 +72,7 @@
 	if !q.prefilling {
 		return
 	}
-	r.peers.prefixRead(q.prefiller().pb.Id, &q.work)
+	r.peers.recordPrefill(q.prefiller().pb.Id, &q.work)
 	r.countPrefillChange(q)
 	r.speeds.prefillTime.Observe((r.now - q.sentAt).Seconds())
 	r.learnPrefill(q)
