--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -13,18 +13,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Announce is a backend server's own word, told to control with no entry
-// between. It is answered with a ReportResponse once what it changes is
-// committed, at once if it changes nothing.
+// Announce carries an announcement that a backend server sent to control directly instead
+// of through an entry. It is answered with a ReportResponse: after the commit if it changes
+// the replicated state, at once otherwise.
 type Announce struct {
 	ID           uint64
 	Announcement *pb.Announcement
-	// Sequence grows from word to word of one life of the server.
+	// Sequence increases with each announcement of one server incarnation.
 	Sequence uint64
 }
 
-// Leave is the last word of one life of a backend server: it takes no more new
-// work. It is answered as Announce is.
+// Leave is the final message of one server incarnation: the server accepts no new work. It
+// is answered in the same way as Announce.
 type Leave struct {
 	ID          uint64
 	Incarnation string
@@ -33,26 +33,27 @@
 func (Announce) isEvent() {}
 func (Leave) isEvent()    {}
 
-// lastSequence is that of a last word: nothing of that life comes after it.
-const lastSequence = math.MaxUint64
+// finalSequence is the sequence number of a Leave: no announcement of that incarnation
+// supersedes it.
+const finalSequence = math.MaxUint64
 
-// onAnnounce takes a server's own word.
+// onAnnounce handles an announcement that a server sent directly.
 //
-// Failure: a server says that it leaves and is answered, and the leader dies
-// before the next one knows. The server, sure of being known to leave, stops
-// while entries still send it work. So the answer waits for the commit.
+// Failure: a server reports that it is leaving and gets its answer, and the leader dies
+// before the next leader knows. The server relies on the answer and stops while entries
+// still send it requests. So the answer waits for the commit.
 func (r *Reducer) onAnnounce(e Announce) {
 	if r.lead == nil {
 		r.reply(e.ID, nil, r.notLeader())
 		return
 	}
-	told := e.Announcement.GetServer()
-	if told.GetId() == "" || told.GetIncarnation() == "" || told.GetAddress() == "" {
+	info := e.Announcement.GetServer()
+	if info.GetId() == "" || info.GetIncarnation() == "" || info.GetAddress() == "" {
 		r.reply(e.ID, nil, invalid("the announcement lacks id, incarnation or address"))
 		return
 	}
-	r.lead.heardAt = r.now
-	r.takeWord(e.ID, e.Announcement, e.Sequence)
+	r.lead.lastContactAt = r.now
+	r.onDirectAnnouncement(e.ID, e.Announcement, e.Sequence)
 }
 
 func (r *Reducer) onLeave(e Leave) {
@@ -62,96 +63,97 @@
 	}
 	sv := r.state.byIncarnation(e.Incarnation)
 	if sv == nil {
-		r.log(slog.LevelInfo, "unknown backend server leaves", Field{"incarnation", e.Incarnation})
-		r.lead.noteLeft(r.now, e.Incarnation)
+		r.log(slog.LevelInfo, "unknown backend server is leaving", Field{"incarnation", e.Incarnation})
+		r.lead.recordDeparted(r.now, e.Incarnation)
 		r.reply(e.ID, &pb.ReportResponse{}, nil)
 		return
 	}
-	told := proto.CloneOf(sv.told)
-	if told.State != pb.ServerState_SERVER_STATE_GONE {
-		told.State = pb.ServerState_SERVER_STATE_LEAVING
+	info := proto.CloneOf(sv.info)
+	if info.State != pb.ServerState_SERVER_STATE_GONE {
+		info.State = pb.ServerState_SERVER_STATE_LEAVING
 	}
-	r.takeWord(e.ID, &pb.Announcement{Server: told}, lastSequence)
+	r.onDirectAnnouncement(e.ID, &pb.Announcement{Server: info}, finalSequence)
 }
 
-// takeWord drops a word that a later one of the same life has overtaken: a late
-// "serving" would put work on a server that leaves.
-func (r *Reducer) takeWord(callID uint64, a *pb.Announcement, sequence uint64) {
-	if _, left := r.lead.left[a.GetServer().GetIncarnation()]; left {
-		r.log(slog.LevelInfo, "announcement of a server that has left dropped",
+// onDirectAnnouncement ignores an announcement that a later one of the same incarnation has
+// overtaken: a delayed "serving" would route requests to a server that is leaving.
+func (r *Reducer) onDirectAnnouncement(callID uint64, a *pb.Announcement, sequence uint64) {
+	if _, departed := r.lead.departed[a.GetServer().GetIncarnation()]; departed {
+		r.log(slog.LevelInfo, "announcement dropped: the server has already left",
 			Field{"server", a.GetServer().GetId()}, Field{"incarnation", a.GetServer().GetIncarnation()})
 		r.reply(callID, &pb.ReportResponse{}, nil)
 		return
 	}
-	w := r.lead.servers[a.GetServer().GetId()]
-	sameLife := w != nil && w.incarnation == a.GetServer().GetIncarnation()
-	if sameLife && sequence < w.sequence {
+	t := r.lead.servers[a.GetServer().GetId()]
+	sameIncarnation := t != nil && t.incarnation == a.GetServer().GetIncarnation()
+	if sameIncarnation && sequence < t.sequence {
 		r.reply(callID, &pb.ReportResponse{}, nil)
 		return
 	}
 	r.onAnnouncement("", a)
 	r.onReportedRole(a.GetServer())
-	w = r.lead.servers[a.GetServer().GetId()]
-	if w == nil || w.incarnation != a.GetServer().GetIncarnation() {
-		// Of a life that was replaced: there is nothing to wait for.
+	t = r.lead.servers[a.GetServer().GetId()]
+	if t == nil || t.incarnation != a.GetServer().GetIncarnation() {
+		// The incarnation has been replaced, so there is no commit to wait for.
 		r.reply(callID, &pb.ReportResponse{}, nil)
 		return
 	}
-	w.sequence = sequence
-	if w.proposed == nil {
+	t.sequence = sequence
+	if t.proposed == nil {
 		r.reply(callID, &pb.ReportResponse{}, nil)
 		return
 	}
-	w.waiting = append(w.waiting, callID)
+	t.waiting = append(t.waiting, callID)
 }
 
 const (
-	// leftKept is how long a life that left unheard is remembered: announcements that
-	// were held up arrive some seconds late.
-	leftKept = 30 * time.Second
-	// maxLeft bounds them: calls with made-up ids can't fill memory.
-	maxLeft = 1024
+	// departedRetention is how long the leader remembers an incarnation that left before
+	// its first announcement arrived: delayed announcements arrive some seconds late.
+	departedRetention = 30 * time.Second
+	// maxDeparted bounds these records, so that calls with made-up ids can't fill memory.
+	maxDeparted = 1024
 )
 
-// noteLeft remembers a life that left before it was heard of.
+// recordDeparted remembers an incarnation that left before this leader received an
+// announcement of it.
 //
-// Failure: a server starts and is told to go at once. Its last word overtakes its first
-// announcement, is confirmed, and the announcement then registers it as serving: requests
-// go to a server that counts on getting none.
-func (l *leadership) noteLeft(now time.Duration, life string) {
-	if len(l.left) < maxLeft {
-		l.left[life] = now
+// Failure: a server is told to shut down right after its start. Its Leave overtakes its
+// first announcement and is confirmed, and the announcement then registers the server as
+// serving: it gets requests although it relies on getting none.
+func (l *leadership) recordDeparted(now time.Duration, inc string) {
+	if len(l.departed) < maxDeparted {
+		l.departed[inc] = now
 	}
 }
 
-// sweepLeft forgets lives that left long ago.
-func (l *leadership) sweepLeft(now time.Duration) {
-	for life, at := range l.left {
-		if now-at >= leftKept {
-			delete(l.left, life)
+// expireDeparted drops the records that are older than departedRetention.
+func (l *leadership) expireDeparted(now time.Duration) {
+	for inc, at := range l.departed {
+		if now-at >= departedRetention {
+			delete(l.departed, inc)
 		}
 	}
 }
 
-// answerWaiting answers the server's calls that wait for its registration.
-func (r *Reducer) answerWaiting(w *serverWatch, ok bool) {
-	for _, id := range w.waiting {
+// answerWaitingCalls answers the server's calls that wait for its registration.
+func (r *Reducer) answerWaitingCalls(t *trackedServer, ok bool) {
+	for _, id := range t.waiting {
 		r.replyApplied(id, &pb.ReportResponse{}, ok)
 	}
-	w.waiting = nil
+	t.waiting = nil
 }
 
-// failWaiting answers all such calls at the end of a leadership.
-func (r *Reducer) failWaiting(l *leadership) {
+// failWaitingCalls answers all of these calls with an error when a leadership ends.
+func (r *Reducer) failWaitingCalls(l *leadership) {
 	for _, id := range slices.Sorted(maps.Keys(l.servers)) {
-		r.answerWaiting(l.servers[id], false)
+		r.answerWaitingCalls(l.servers[id], false)
 	}
 }
 
-// byIncarnation finds the server in that life, or nil.
-func (s *State) byIncarnation(life string) *server {
+// byIncarnation returns the server with that incarnation, or nil.
+func (s *State) byIncarnation(inc string) *server {
 	for _, sv := range s.sortedServers() {
-		if incarnation.Covers(life, sv.told.GetIncarnation()) {
+		if incarnation.Covers(inc, sv.info.GetIncarnation()) {
 			return sv
 		}
 	}
--- a/internal/control/announce_test.go
+++ b/internal/control/announce_test.go
@@ -10,75 +10,75 @@
 )
 
 // word is a server's own announcement, told to control directly.
-func word(id, life string, state pb.ServerState) *pb.Announcement {
+func announcementOf(id, incarnation string, state pb.ServerState) *pb.Announcement {
 	return &pb.Announcement{Server: &pb.BackendServer{
-		Id: id, Incarnation: life, Address: id, Kind: pb.ServerKind_SERVER_KIND_PLAIN,
+		Id: id, Incarnation: incarnation, Address: id, Kind: pb.ServerKind_SERVER_KIND_PLAIN,
 		Services: []string{"portal"}, State: state,
 	}}
 }
 
-func (w *world) announce(a *pb.Announcement, sequence uint64) uint64 {
-	w.nextID++
-	w.step(Announce{ID: w.nextID, Announcement: proto.CloneOf(a), Sequence: sequence})
-	return w.nextID
+func (h *harness) announce(a *pb.Announcement, sequence uint64) uint64 {
+	h.nextID++
+	h.step(Announce{ID: h.nextID, Announcement: proto.CloneOf(a), Sequence: sequence})
+	return h.nextID
 }
 
-func (w *world) leave(life string) uint64 {
-	w.nextID++
-	w.step(Leave{ID: w.nextID, Incarnation: life})
-	return w.nextID
+func (h *harness) leave(incarnation string) uint64 {
+	h.nextID++
+	h.step(Leave{ID: h.nextID, Incarnation: incarnation})
+	return h.nextID
 }
 
 // A server says that it leaves and stops once that is confirmed. If the leader
 // confirmed before the commit and died then, the next one would go on sending
 // work to a server that is gone.
 func TestLeavingIsConfirmedOnlyOnceCommitted(t *testing.T) {
-	w := newWorld(t)
-	w.announce(word("a", "life-1", serving), 1)
-	w.node.stuck = true
-	id := w.announce(word("a", "life-1", leaving), 2)
-	if r, ok := w.replies[id]; ok {
+	h := newHarness(t)
+	h.announce(announcementOf("a", "life-1", serving), 1)
+	h.node.commitsBlocked = true
+	id := h.announce(announcementOf("a", "life-1", leaving), 2)
+	if r, ok := h.replies[id]; ok {
 		t.Fatalf("confirmed before the commit: %v, %v", r.Response, r.Err)
 	}
-	w.follow(2)
-	if r, ok := w.replies[id]; !ok || r.Err == nil {
+	h.stepDown(2)
+	if r, ok := h.replies[id]; !ok || r.Err == nil {
 		t.Fatalf("the leader stepped down: answered %v, error %v; want an error", ok, r.Err)
 	}
 }
 
 // A heartbeat is delayed on its way and comes after the word that the server
 // leaves, and after its last word. Neither makes the server serve again.
-func TestOvertakenWordsChangeNothing(t *testing.T) {
-	w := newWorld(t)
-	w.announce(word("a", "life-1", serving), 1)
-	w.announce(word("a", "life-1", leaving), 5)
-	w.clock += 2 * leavingSticks
-	id := w.announce(word("a", "life-1", serving), 4)
-	if got := w.state("a"); got != leaving || w.replies[id].Err != nil {
-		t.Fatalf("late heartbeat: %v, error %v", got, w.replies[id].Err)
+func TestOutOfOrderAnnouncementsAreIgnored(t *testing.T) {
+	h := newHarness(t)
+	h.announce(announcementOf("a", "life-1", serving), 1)
+	h.announce(announcementOf("a", "life-1", leaving), 5)
+	h.clock += 2 * staleServingPeriod
+	id := h.announce(announcementOf("a", "life-1", serving), 4)
+	if got := h.state("a"); got != leaving || h.replies[id].Err != nil {
+		t.Fatalf("late heartbeat: %v, error %v", got, h.replies[id].Err)
 	}
-	w.announce(word("b", "life-2", serving), 1)
-	w.leave("life-2")
-	if got := w.state("b"); got != leaving {
+	h.announce(announcementOf("b", "life-2", serving), 1)
+	h.leave("life-2")
+	if got := h.state("b"); got != leaving {
 		t.Fatalf("after its last word: %v", got)
 	}
-	w.clock += 2 * leavingSticks
-	w.announce(word("b", "life-2", serving), 99)
-	if got := w.state("b"); got != leaving {
+	h.clock += 2 * staleServingPeriod
+	h.announce(announcementOf("b", "life-2", serving), 99)
+	if got := h.state("b"); got != leaving {
 		t.Fatalf("a heartbeat after the last word: %v", got)
 	}
 }
 
 // A server crashes and starts again at its address; a heartbeat of its earlier
 // life arrives late. The new life stays in force.
-func TestEarlierLifeDoesNotComeBack(t *testing.T) {
-	w := newWorld(t)
-	w.announce(word("a", "life-1", serving), 7)
-	w.announce(word("a", "life-2", serving), 1)
-	if id := w.announce(word("a", "life-1", leaving), 8); w.replies[id].Err != nil {
-		t.Fatalf("the late word is not answered: %v", w.replies[id].Err)
+func TestEarlierIncarnationIsNotRestored(t *testing.T) {
+	h := newHarness(t)
+	h.announce(announcementOf("a", "life-1", serving), 7)
+	h.announce(announcementOf("a", "life-2", serving), 1)
+	if id := h.announce(announcementOf("a", "life-1", leaving), 8); h.replies[id].Err != nil {
+		t.Fatalf("the late word is not answered: %v", h.replies[id].Err)
 	}
-	if got := w.server("a"); got.GetIncarnation() != "life-2" || got.GetState() != serving {
+	if got := h.server("a"); got.GetIncarnation() != "life-2" || got.GetState() != serving {
 		t.Fatalf("in force: %v", got)
 	}
 }
@@ -86,9 +86,9 @@
 // A server whose word this leader never heard tells that it leaves: there is
 // nothing to take back, and it must not wait for an answer.
 func TestUnknownServerMayLeave(t *testing.T) {
-	w := newWorld(t)
-	id := w.leave("nobody")
-	if r, ok := w.replies[id]; !ok || r.Err != nil {
+	h := newHarness(t)
+	id := h.leave("nobody")
+	if r, ok := h.replies[id]; !ok || r.Err != nil {
 		t.Fatalf("answered %v, error %v", ok, r.Err)
 	}
 }
@@ -97,28 +97,28 @@
 // announcement; control confirms it though it knows no such server, and the announcement
 // comes 0.1 s later. It registered the server as serving, and requests went on to it 2.2 s
 // after it had been told that nothing would come. Its next life is another matter.
-func TestServerThatLeftUnheardIsNotRegistered(t *testing.T) {
-	w := newWorld(t)
-	w.leave("life-1")
-	w.clock += 100 * time.Millisecond
-	if id := w.announce(word("a", "life-1", serving), 1); w.replies[id].Err != nil {
-		t.Fatalf("the late announcement is not answered: %v", w.replies[id].Err)
+func TestServerThatLeftBeforeAnnouncingIsNotRegistered(t *testing.T) {
+	h := newHarness(t)
+	h.leave("life-1")
+	h.clock += 100 * time.Millisecond
+	if id := h.announce(announcementOf("a", "life-1", serving), 1); h.replies[id].Err != nil {
+		t.Fatalf("the late announcement is not answered: %v", h.replies[id].Err)
 	}
-	if got := w.state("a"); got == serving {
+	if got := h.state("a"); got == serving {
 		t.Fatal("a server that has left is registered as serving")
 	}
-	w.announce(word("a", "life-2", serving), 1)
-	if got := w.server("a"); got.GetIncarnation() != "life-2" || got.GetState() != serving {
+	h.announce(announcementOf("a", "life-2", serving), 1)
+	if got := h.server("a"); got.GetIncarnation() != "life-2" || got.GetState() != serving {
 		t.Fatalf("its next life: %v", got)
 	}
 }
 
 // A follower sends the call to the leader in place of answering it.
-func TestFollowerTakesNoWord(t *testing.T) {
-	w := newWorld(t)
-	w.follow(2)
-	id := w.announce(word("a", "life-1", serving), 1)
-	if r := w.replies[id]; r.Err == nil {
+func TestFollowerRejectsAnnouncements(t *testing.T) {
+	h := newHarness(t)
+	h.stepDown(2)
+	id := h.announce(announcementOf("a", "life-1", serving), 1)
+	if r := h.replies[id]; r.Err == nil {
 		t.Fatal("a follower confirmed a word")
 	}
 }
@@ -127,13 +127,13 @@
 // The highest counts, whatever it was written against; one that comes late or
 // again is confirmed, changes nothing, and is not read back.
 func TestNewestDeclarationWins(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	apply := func(revision uint64, mark string) *pb.ApplyResponse {
-		d := declare(revision, 0, "operator", mark)
+		d := testDeclaration(revision, 0, "operator", mark)
 		d.Document = []byte(mark)
-		return ask[*pb.ApplyResponse](w, &pb.ApplyRequest{ClusterId: cluster, Declaration: d, NewestWins: true})
+		return call[*pb.ApplyResponse](h, &pb.ApplyRequest{ClusterId: cluster, Declaration: d, NewestWins: true})
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		revision uint64
 		mark     string
 		force    string
@@ -141,13 +141,13 @@
 	}{
 		{5, "five", "five", false}, {3, "three", "five", true}, {5, "other", "five", true}, {9, "nine", "nine", false},
 	} {
-		r := apply(c.revision, c.mark)
-		if !r.GetAccepted() || r.GetRepeated() != c.repeated {
-			t.Fatalf("revision %d: %v", c.revision, r)
+		r := apply(tc.revision, tc.mark)
+		if !r.GetAccepted() || r.GetRepeated() != tc.repeated {
+			t.Fatalf("revision %d: %v", tc.revision, r)
 		}
-		got := ask[*pb.GetDeclarationResponse](w, &pb.GetDeclarationRequest{ClusterId: cluster})
-		if string(got.GetDeclaration().GetDocument()) != c.force {
-			t.Fatalf("after revision %d %q is read back, want %q", c.revision, got.GetDeclaration().GetDocument(), c.force)
+		got := call[*pb.GetDeclarationResponse](h, &pb.GetDeclarationRequest{ClusterId: cluster})
+		if string(got.GetDeclaration().GetDocument()) != tc.force {
+			t.Fatalf("after revision %d %q is read back, want %q", tc.revision, got.GetDeclaration().GetDocument(), tc.force)
 		}
 	}
 }
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -8,18 +8,19 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// clusterRequest is what all requests of Control and Operator share.
+// clusterRequest is the interface that all requests of the Control and Operator services
+// share.
 type clusterRequest interface {
 	proto.Message
 	GetClusterId() string
 }
 
-// onCall takes an RPC. A call with another cluster's id is refused before
-// anything else is looked at, and only a ready leader serves the rest.
+// onCall handles an RPC. It first rejects calls with another cluster's id; the rest is
+// served only by a leader that is ready.
 func (r *Reducer) onCall(c Call) {
 	req, ok := c.Request.(clusterRequest)
 	if !ok || req.GetClusterId() != r.cfg.Cluster {
-		r.log(slog.LevelWarn, "call of another cluster refused",
+		r.log(slog.LevelWarn, "call rejected: cluster id does not match",
 			Field{"call", string(c.Request.ProtoReflect().Descriptor().Name())})
 		r.reply(c.ID, nil, invalid("the cluster id is not "+r.cfg.Cluster))
 		return
--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -11,55 +11,54 @@
 )
 
 const (
-	// maxFutureKey is how far ahead of the leader's clock a key's time may lie:
-	// callers' clocks differ by seconds, not minutes. A key from further ahead
-	// would be remembered for longer than the window.
-	maxFutureKey = time.Minute
-	// claimBucket is the grain in which claims are forgotten.
-	claimBucket = time.Minute
-	// maxAnswerTotal bounds the stored answers of all claims together, so that
-	// a replica stays within 64 MB; the oldest answers are dropped first and
-	// then read as truncated.
-	maxAnswerTotal = 16 << 20
-	// MaxClaimBatch bounds the claims or settlements of one call.
+	// maxKeyClockSkew is how far the time in a key may be ahead of the leader's clock:
+	// callers' clocks differ by seconds, not minutes. A key with a later time would be
+	// remembered for longer than the window.
+	maxKeyClockSkew = time.Minute
+	// claimBucketWidth is the granularity in which claims expire.
+	claimBucketWidth = time.Minute
+	// maxAnswerBytes bounds the stored answers of all claims together, so that a replica
+	// stays within 64 MB. The oldest answers are dropped first and are marked as truncated.
+	maxAnswerBytes = 16 << 20
+	// MaxClaimBatch is the maximum number of claims or settlements in one call.
 	MaxClaimBatch = 1024
-	// maxClaims bounds how many claims are remembered at once, at about 250
-	// bytes each. When it is reached, new keys are refused as not run.
+	// maxClaims bounds the number of claims, at about 250 bytes each. At the limit, new
+	// keys get NOT_RUN.
 	maxClaims = 100_000
 )
 
-// claimKey names a once-only call. The member is part of it: one member's key
-// never meets another's.
+// claimKey identifies a call that must run at most once. It includes the member, so that
+// equal keys of two members don't collide.
 type claimKey struct{ member, service, key string }
 
-// owner is one life of one entry.
+// owner is one incarnation of an entry.
 type owner struct{ name, incarnation string }
 
-// claim is what is known of one once-only call.
+// claim is the record of one call that must run at most once.
 type claim struct {
 	requestID   string
 	owner       owner
 	fingerprint uint64
 	status      pb.ClaimStatus
 	answer      *pb.StoredAnswer
-	// answered orders the stored answers: log index, then place in the command.
-	answered uint64
+	// answerSequence orders the stored answers: by log index, then by position in the
+	// command.
+	answerSequence uint64
 }
 
-// claims holds the once-only claims of the window.
+// claims holds the claims whose keys are within the window.
 type claims struct {
 	byKey map[claimKey]*claim
-	// buckets holds the keys by their own time, in steps of claimBucket.
+	// buckets holds the keys by the time in the key, in steps of claimBucketWidth.
 	buckets map[int64][]claimKey
 	// running holds the RUNNING claims of each owner.
 	running map[owner]map[claimKey]struct{}
-	// forgottenMS: keys of an earlier time are refused for good.
+	// expiredBeforeMS is the cutoff: keys with an earlier time are refused permanently.
 	//
-	// Failure: the window is made longer by a declaration, and a key that was
-	// forgotten under the shorter one is inside of it again; its call would run
-	// a second time. What was forgotten once stays refused.
-	forgottenMS int64
-	// answers lists the claims with a stored answer, the oldest first.
+	// Failure: a declaration extends the window, and a key that had expired under the
+	// shorter window is inside it again; its call would run a second time.
+	expiredBeforeMS int64
+	// answers lists the claims with a stored answer, oldest first.
 	answers     []claimKey
 	answerBytes int
 }
@@ -80,8 +79,8 @@
 	return owner{name: id.GetName(), incarnation: id.GetIncarnation()}
 }
 
-// keyTime gives the Unix milliseconds in a UUIDv7 in its canonical form. Other
-// spellings of the same UUID are refused, since they would be other keys.
+// keyTime returns the Unix milliseconds of a UUIDv7 in canonical form. Other spellings of
+// the same UUID are rejected, since they would count as different keys.
 func keyTime(key string) (int64, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 || id.String() != key {
@@ -102,11 +101,11 @@
 	return resp
 }
 
-// applyClaim grants a call to one entry or tells what became of it.
+// applyClaim grants a call to one entry, or returns the status of the existing claim.
 //
-// Failure: two entries get the same once-only call, from a caller that sent it
-// again. The claim is committed before a byte is sent, and one of two claims
-// comes first in the log: the other one is told RUNNING.
+// Failure: a caller repeats a call that must run at most once, and two entries receive it.
+// The claim is committed before any byte is sent, and the log orders the two claims: the
+// second one gets RUNNING.
 func (s *State) applyClaim(c *pb.Claim) *pb.ClaimResult {
 	keyMS, ok := keyTime(c.GetKey())
 	if !ok || !s.inWindow(keyMS) {
@@ -120,29 +119,29 @@
 	case known.fingerprint != c.GetFingerprint():
 		return &pb.ClaimResult{Status: pb.ClaimStatus_CLAIM_STATUS_MISMATCH}
 	case known.status == pb.ClaimStatus_CLAIM_STATUS_NOT_RUN && known.ownedBy(c):
-		// A copy of the Claim that came late: its request was settled and nobody
-		// waits for it, so a grant would keep the key taken for nothing.
+		// This is a delayed copy of the Claim. Its request was settled and no caller waits
+		// for it, so a grant would block the key for nothing.
 		return &pb.ClaimResult{Status: known.status}
 	case known.status == pb.ClaimStatus_CLAIM_STATUS_NOT_RUN:
 		return s.grant(key, c, keyMS)
 	case known.grantedTo(c):
-		// The answer to the first Claim was lost. The owner sends once per
-		// request id, so telling the same life of the same entry again is safe.
+		// The answer to the first Claim was lost. The owner sends only once per request id,
+		// so granting the same incarnation of the same entry again is safe.
 		return &pb.ClaimResult{Status: pb.ClaimStatus_CLAIM_STATUS_GRANTED}
 	}
 	return &pb.ClaimResult{Status: known.status, Answer: known.answer}
 }
 
-func (c *claim) grantedTo(again *pb.Claim) bool {
+func (c *claim) grantedTo(retry *pb.Claim) bool {
 	return c.status == pb.ClaimStatus_CLAIM_STATUS_RUNNING &&
-		c.requestID == again.GetRequestId() && c.owner == ownerOf(again.GetOwner())
+		c.requestID == retry.GetRequestId() && c.owner == ownerOf(retry.GetOwner())
 }
 
-// inWindow tells whether a key of that time may run. The upper bound keeps a
-// key from being remembered for longer than the window.
+// inWindow reports whether a key with that time may run. The upper bound keeps a key from
+// being remembered for longer than the window.
 func (s *State) inWindow(keyMS int64) bool {
-	oldest := max(s.nowMS-s.limits().OnceWindow.Milliseconds(), s.claims.forgottenMS)
-	return keyMS >= oldest && keyMS <= s.nowMS+maxFutureKey.Milliseconds()
+	oldest := max(s.nowMS-s.limits().OnceWindow.Milliseconds(), s.claims.expiredBeforeMS)
+	return keyMS >= oldest && keyMS <= s.nowMS+maxKeyClockSkew.Milliseconds()
 }
 
 func (s *State) grant(key claimKey, c *pb.Claim, keyMS int64) *pb.ClaimResult {
@@ -150,7 +149,7 @@
 		if len(s.claims.byKey) >= maxClaims {
 			return &pb.ClaimResult{Status: pb.ClaimStatus_CLAIM_STATUS_NOT_RUN}
 		}
-		bucket := keyMS / claimBucket.Milliseconds()
+		bucket := keyMS / claimBucketWidth.Milliseconds()
 		s.claims.buckets[bucket] = append(s.claims.buckets[bucket], key)
 	}
 	granted := &claim{
@@ -162,22 +161,22 @@
 	return &pb.ClaimResult{Status: pb.ClaimStatus_CLAIM_STATUS_GRANTED}
 }
 
-// applySettlements records how calls ended. Only the owner that was granted the
-// call may settle it; RUNNING and UNKNOWN (its entry was thought dead) may
-// change, a known end never does.
+// applySettlements records the outcomes of calls. Only the owner that was granted the call
+// may settle it. RUNNING and UNKNOWN (the entry was presumed dead) may change; a final
+// status never does.
 func (s *State) applySettlements(r *pb.SettleRequest) {
 	list := r.GetSettlements()
 	for i, st := range list[:min(len(list), MaxClaimBatch)] {
 		key := keyOf(st.GetClaim())
 		known := s.claims.byKey[key]
-		if known == nil || !known.open() || !known.ownedBy(st.GetClaim()) {
+		if known == nil || !known.isUnsettled() || !known.ownedBy(st.GetClaim()) {
 			continue
 		}
 		s.settle(key, known, st, s.index*MaxClaimBatch+uint64(i))
 	}
 }
 
-func (c *claim) open() bool {
+func (c *claim) isUnsettled() bool {
 	return c.status == pb.ClaimStatus_CLAIM_STATUS_RUNNING || c.status == pb.ClaimStatus_CLAIM_STATUS_UNKNOWN
 }
 
@@ -188,41 +187,41 @@
 func (s *State) settle(key claimKey, known *claim, st *pb.Settlement, sequence uint64) {
 	switch st.GetStatus() {
 	case pb.ClaimStatus_CLAIM_STATUS_DONE:
-		s.claims.store(key, known, st.GetAnswer(), s.limits().OnceAnswerBytes)
-		known.answered = sequence
+		s.claims.storeAnswer(key, known, st.GetAnswer(), s.limits().OnceAnswerBytes)
+		known.answerSequence = sequence
 	case pb.ClaimStatus_CLAIM_STATUS_UNKNOWN, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN:
 	default:
 		return
 	}
 	known.status = st.GetStatus()
-	s.claims.dropRunning(known.owner, key)
+	s.claims.removeRunning(known.owner, key)
 }
 
-// store keeps an answer within its bounds; what is too large is kept without
-// its body.
-func (c *claims) store(key claimKey, known *claim, a *pb.StoredAnswer, limit int) {
+// storeAnswer stores an answer within the size limits. An answer that is too large is
+// stored without its body.
+func (c *claims) storeAnswer(key claimKey, known *claim, a *pb.StoredAnswer, limit int) {
 	if a == nil {
 		a = &pb.StoredAnswer{Truncated: true}
 	}
-	kept := &pb.StoredAnswer{
+	stored := &pb.StoredAnswer{
 		Status: a.GetStatus(), ContentType: a.GetContentType(),
 		Body: a.GetBody(), Truncated: a.GetTruncated(),
 	}
-	if len(kept.Body) > limit {
-		kept.Body, kept.Truncated = nil, true
+	if len(stored.Body) > limit {
+		stored.Body, stored.Truncated = nil, true
 	}
-	known.answer = kept
-	if len(kept.Body) == 0 {
+	known.answer = stored
+	if len(stored.Body) == 0 {
 		return
 	}
 	c.answers = append(c.answers, key)
-	c.answerBytes += len(kept.Body)
-	c.boundAnswers()
+	c.answerBytes += len(stored.Body)
+	c.evictAnswers()
 }
 
-func (c *claims) boundAnswers() {
+func (c *claims) evictAnswers() {
 	drop := 0
-	for c.answerBytes > maxAnswerTotal && drop < len(c.answers) {
+	for c.answerBytes > maxAnswerBytes && drop < len(c.answers) {
 		c.dropAnswer(c.answers[drop])
 		drop++
 	}
@@ -240,9 +239,9 @@
 	}
 }
 
-// loseOwner makes the running claims of a dead entry UNKNOWN: its calls may or
-// may not have been sent, so they never run again.
-func (s *State) loseOwner(id *pb.EntryIdentity) {
+// markOwnerLost sets the running claims of a dead entry to UNKNOWN: its calls may or may
+// not have been sent, so they never run again.
+func (s *State) markOwnerLost(id *pb.EntryIdentity) {
 	o := ownerOf(id)
 	for key := range s.claims.running[o] {
 		s.claims.byKey[key].status = pb.ClaimStatus_CLAIM_STATUS_UNKNOWN
@@ -257,15 +256,15 @@
 	c.running[o][key] = struct{}{}
 }
 
-func (c *claims) dropRunning(o owner, key claimKey) {
+func (c *claims) removeRunning(o owner, key claimKey) {
 	delete(c.running[o], key)
 	if len(c.running[o]) == 0 {
 		delete(c.running, o)
 	}
 }
 
-// open counts the claims that run.
-func (c *claims) open() uint64 {
+// countRunning returns the number of running claims.
+func (c *claims) countRunning() uint64 {
 	var n uint64
 	for _, keys := range c.running {
 		n += uint64(len(keys))
@@ -273,11 +272,11 @@
 	return n
 }
 
-// expireClaims forgets whole buckets that have left the window. inWindow
-// refuses their keys from then on.
+// expireClaims removes whole buckets that are older than the window. From then on inWindow
+// refuses their keys.
 func (s *State) expireClaims() {
-	cut := s.nowMS - s.limits().OnceWindow.Milliseconds()
-	last := cut / claimBucket.Milliseconds()
+	cutMS := s.nowMS - s.limits().OnceWindow.Milliseconds()
+	last := cutMS / claimBucketWidth.Milliseconds()
 	dropped := false
 	for bucket, keys := range s.claims.buckets {
 		if bucket >= last {
@@ -286,11 +285,11 @@
 		dropped = true
 		delete(s.claims.buckets, bucket)
 		for _, key := range keys {
-			s.claims.forget(key)
+			s.claims.remove(key)
 		}
 	}
-	if cut > s.claims.forgottenMS {
-		s.claims.forgottenMS = cut
+	if cutMS > s.claims.expiredBeforeMS {
+		s.claims.expiredBeforeMS = cutMS
 	}
 	if dropped {
 		s.claims.answers = slices.DeleteFunc(s.claims.answers, func(key claimKey) bool {
@@ -299,17 +298,17 @@
 	}
 }
 
-func (c *claims) forget(key claimKey) {
+func (c *claims) remove(key claimKey) {
 	known := c.byKey[key]
-	c.dropRunning(known.owner, key)
+	c.removeRunning(known.owner, key)
 	c.answerBytes -= len(known.answer.GetBody())
 	delete(c.byKey, key)
 }
 
-// sortAnswers puts the stored answers into the order in which they are dropped:
-// that in which they were stored, the same before and after a snapshot.
+// sortAnswers sorts the stored answers into the order of eviction, oldest first. The order
+// is the same before and after a snapshot.
 func (c *claims) sortAnswers() {
 	slices.SortFunc(c.answers, func(a, b claimKey) int {
-		return cmp.Compare(c.byKey[a].answered, c.byKey[b].answered)
+		return cmp.Compare(c.byKey[a].answerSequence, c.byKey[b].answerSequence)
 	})
 }
--- a/internal/control/claims_test.go
+++ b/internal/control/claims_test.go
@@ -9,20 +9,20 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-func (w *world) wallNow() int64 { return startMS + w.clock.Milliseconds() }
+func (h *harness) wallNow() int64 { return startMS + h.clock.Milliseconds() }
 
 func claimOf(key, request string, owner *pb.EntryIdentity) *pb.Claim {
 	return &pb.Claim{Member: "m1", Service: "s", Key: key, RequestId: request, Owner: owner, Fingerprint: 7}
 }
 
-func (w *world) claim(c *pb.Claim) *pb.ClaimResult {
-	w.t.Helper()
-	return ask[*pb.ClaimResponse](w, &pb.ClaimRequest{ClusterId: cluster, Claims: []*pb.Claim{c}}).GetResults()[0]
+func (h *harness) claim(c *pb.Claim) *pb.ClaimResult {
+	h.t.Helper()
+	return call[*pb.ClaimResponse](h, &pb.ClaimRequest{ClusterId: cluster, Claims: []*pb.Claim{c}}).GetResults()[0]
 }
 
-func (w *world) settle(c *pb.Claim, status pb.ClaimStatus, body string) {
-	w.t.Helper()
-	ask[*pb.SettleResponse](w, &pb.SettleRequest{ClusterId: cluster, Settlements: []*pb.Settlement{{
+func (h *harness) settle(c *pb.Claim, status pb.ClaimStatus, body string) {
+	h.t.Helper()
+	call[*pb.SettleResponse](h, &pb.SettleRequest{ClusterId: cluster, Settlements: []*pb.Settlement{{
 		Claim: c, Status: status, Answer: &pb.StoredAnswer{Status: 200, Body: []byte(body)},
 	}}})
 }
@@ -30,8 +30,8 @@
 // A caller's balance lookup is sent to two entries at once, and again after its
 // end. One of them may send it; all others learn what became of it.
 func TestOneClaimOfManyIsGranted(t *testing.T) {
-	w := newWorld(t)
-	key := keyAt(w.wallNow(), 1)
+	h := newHarness(t)
+	key := keyAt(h.wallNow(), 1)
 	first := claimOf(key, "r1", entryIdentity("e1", "1"))
 	second := claimOf(key, "r2", entryIdentity("e2", "1"))
 	other := claimOf(key, "r3", entryIdentity("e2", "1"))
@@ -47,14 +47,14 @@
 		{restarted, pb.ClaimStatus_CLAIM_STATUS_RUNNING},
 		{other, pb.ClaimStatus_CLAIM_STATUS_MISMATCH},
 	} {
-		if got := w.claim(step.claim).GetStatus(); got != step.want {
+		if got := h.claim(step.claim).GetStatus(); got != step.want {
 			t.Errorf("step %d: %v, want %v", i, got, step.want)
 		}
 	}
-	w.settle(second, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
-	w.settle(first, pb.ClaimStatus_CLAIM_STATUS_DONE, "42")
-	w.settle(first, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
-	got := w.claim(second)
+	h.settle(second, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
+	h.settle(first, pb.ClaimStatus_CLAIM_STATUS_DONE, "42")
+	h.settle(first, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
+	got := h.claim(second)
 	if got.GetStatus() != pb.ClaimStatus_CLAIM_STATUS_DONE || string(got.GetAnswer().GetBody()) != "42" {
 		t.Errorf("after its end: %v", got)
 	}
@@ -64,15 +64,15 @@
 // sends again elsewhere: whether the filing ran is unknown, so it never runs
 // again.
 func TestDeadOwnerLeavesItsClaimUnknown(t *testing.T) {
-	w := newWorld(t)
-	dead := w.addEntry("e1")
-	w.addEntry("e2")
-	w.advance(time.Second)
-	key := keyAt(w.wallNow(), 1)
-	w.claim(claimOf(key, "r1", dead.identity))
+	h := newHarness(t)
+	dead := h.addEntry("e1")
+	h.addEntry("e2")
+	h.advance(time.Second)
+	key := keyAt(h.wallNow(), 1)
+	h.claim(claimOf(key, "r1", dead.identity))
 	dead.silent = true
-	w.advance(entryLease + 2*time.Second)
-	if got := w.claim(claimOf(key, "r2", entryIdentity("e2", "1"))).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_UNKNOWN {
+	h.advance(entryLease + 2*time.Second)
+	if got := h.claim(claimOf(key, "r2", entryIdentity("e2", "1"))).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_UNKNOWN {
 		t.Fatalf("after its owner's death: %v", got)
 	}
 }
@@ -80,29 +80,29 @@
 // A key is forgotten with its window, then a declaration makes the window
 // longer, or a leader with a slow clock takes over. The caller sends the old key
 // again: its receipt must not be issued twice.
-func TestForgottenKeyStaysRefused(t *testing.T) {
-	w := newWorld(t)
-	w.apply(declare(1, 0, "ann", "a"))
-	key := keyAt(w.wallNow(), 1)
+func TestExpiredKeyStaysRefused(t *testing.T) {
+	h := newHarness(t)
+	h.apply(testDeclaration(1, 0, "ann", "a"))
+	key := keyAt(h.wallNow(), 1)
 	c := claimOf(key, "r1", entryIdentity("e1", "1"))
-	w.claim(c)
-	w.settle(c, pb.ClaimStatus_CLAIM_STATUS_DONE, "")
-	w.clock += time.Hour + 2*time.Minute
-	w.lead(2)
-	w.advance(expireInterval + time.Second)
-	if n := len(w.State().claims.byKey); n != 0 {
+	h.claim(c)
+	h.settle(c, pb.ClaimStatus_CLAIM_STATUS_DONE, "")
+	h.clock += time.Hour + 2*time.Minute
+	h.becomeLeader(2)
+	h.advance(expireInterval + time.Second)
+	if n := len(h.State().claims.byKey); n != 0 {
 		t.Fatalf("%d claims are kept beyond the window", n)
 	}
-	w.apply(with(declare(2, 1, "ann", "b"), "limits", `{"once_window":86400000000000}`))
-	if got := w.claim(c).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
+	h.apply(withObjects(testDeclaration(2, 1, "ann", "b"), "limits", `{"once_window":86400000000000}`))
+	if got := h.claim(c).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
 		t.Fatalf("under a longer window: %v", got)
 	}
-	w.Step(w.clock, Tick{WallMS: startMS})
-	if got := w.claim(c).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
+	h.Step(h.clock, Tick{WallMS: startMS})
+	if got := h.claim(c).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
 		t.Fatalf("under a slow clock: %v", got)
 	}
 	for _, key := range []string{keyAt(startMS+int64(48*time.Hour/time.Millisecond), 1), "x", ""} {
-		if got := w.claim(claimOf(key, "r1", entryIdentity("e1", "1"))).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
+		if got := h.claim(claimOf(key, "r1", entryIdentity("e1", "1"))).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
 			t.Errorf("key %q: %v", key, got)
 		}
 	}
@@ -120,19 +120,19 @@
 // request holds the right to send, and after a known or unknown end nobody.
 func TestClaimsUnderDoubledAndResentCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(t)
+		h := newHarness(t)
 		models := map[string]*claimModel{}
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			owner := entryIdentity(rapid.SampledFrom([]string{"e1", "e2"}).Draw(rt, "entry"),
 				rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "incarnation"))
 			request := rapid.SampledFrom([]string{"r1", "r2", "r3"}).Draw(rt, "request")
-			c := claimOf(keyAt(startMS+w.clock.Milliseconds(), rapid.IntRange(1, 2).Draw(rt, "key")), request, owner)
-			stepClaim(rt, w, c, models)
+			c := claimOf(keyAt(startMS+h.clock.Milliseconds(), rapid.IntRange(1, 2).Draw(rt, "key")), request, owner)
+			stepClaim(rt, h, c, models)
 		}
 	})
 }
 
-func stepClaim(rt *rapid.T, w *world, c *pb.Claim, models map[string]*claimModel) {
+func stepClaim(rt *rapid.T, h *harness, c *pb.Claim, models map[string]*claimModel) {
 	m := models[c.GetKey()]
 	if m == nil {
 		m = &claimModel{}
@@ -141,7 +141,7 @@
 	me := c.GetOwner().GetName() + c.GetOwner().GetIncarnation() + c.GetRequestId()
 	switch rapid.IntRange(0, 4).Draw(rt, "op") {
 	case 0, 1:
-		got := w.claim(c).GetStatus() == pb.ClaimStatus_CLAIM_STATUS_GRANTED
+		got := h.claim(c).GetStatus() == pb.ClaimStatus_CLAIM_STATUS_GRANTED
 		if got && (m.ended || m.granted != "" && m.granted != me) {
 			rt.Fatalf("granted to %s after %+v", me, *m)
 		}
@@ -149,14 +149,14 @@
 			m.granted = me
 		}
 	case 2:
-		w.settle(c, pb.ClaimStatus_CLAIM_STATUS_DONE, "x")
+		h.settle(c, pb.ClaimStatus_CLAIM_STATUS_DONE, "x")
 		m.ended = m.ended || m.granted == me
 	case 3:
-		w.settle(c, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
+		h.settle(c, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
 		if m.granted == me && !m.ended {
 			m.granted = ""
 		}
 	case 4:
-		w.send(&pb.WatchRequest{ClusterId: cluster, Entry: c.GetOwner(), KnownVersion: 0})
+		h.send(&pb.WatchRequest{ClusterId: cluster, Entry: c.GetOwner(), KnownVersion: 0})
 	}
 }
--- a/internal/control/declared.go
+++ b/internal/control/declared.go
@@ -8,39 +8,39 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// maxAccepted is how many accepted revisions are remembered for resent calls:
-// at 3,700 changes a day, 1,000 are six hours of operators' retries.
+// maxAccepted is how many accepted revisions are remembered to answer repeated calls: at
+// 3,700 changes a day, 1,000 revisions cover six hours of operators' retries.
 const maxAccepted = 1000
 
-// declared is the declaration in force.
-type declared struct {
+// declarationState holds the declaration in force.
+type declarationState struct {
 	proto  *pb.Declaration
 	parsed *declaration.Declaration
 	reader *declaration.Reader
-	// versions holds each object's view version, in the order of the objects, and places
-	// finds an object in that order.
-	versions []uint64
-	places   map[objectKey]int
-	accepted []*pb.AcceptedRevision
+	// versions holds each object's view version in the order of the objects; positions maps
+	// an object to its index in that order.
+	versions  []uint64
+	positions map[objectKey]int
+	accepted  []*pb.AcceptedRevision
 }
 
-func newDeclared() declared {
-	return declared{proto: &pb.Declaration{}, reader: declaration.NewReader()}
+func newDeclarationState() declarationState {
+	return declarationState{proto: &pb.Declaration{}, reader: declaration.NewReader()}
 }
 
-// applyDeclaration decides which of racing operators wins.
+// applyDeclaration decides between concurrent operators.
 //
-// Failure: two operators apply different content under the same number or the
-// same base, or resend after a lost answer. Without the compare with base the
-// later one would silently revert the earlier one's change; without the memory
-// of accepted revisions a resent call would look refused although it won.
+// Failure: two operators apply different content under the same revision or on the same
+// base, or repeat a call after a lost answer. Without the check of the base, the later call
+// would silently revert the change of the earlier one. Without the record of accepted
+// revisions, a repeated call would be refused although it was applied.
 func (s *State) applyDeclaration(d *pb.Declaration, newestWins bool) *pb.ApplyResponse {
 	current := s.declared.proto
 	if newestWins {
 		return s.applyNewest(d)
 	}
-	if past := s.declared.find(d.GetRevision()); past != nil {
-		return s.answerAgain(d, past)
+	if accepted := s.declared.findAccepted(d.GetRevision()); accepted != nil {
+		return s.answerRepeated(d, accepted)
 	}
 	switch {
 	case d.GetRevision() <= current.GetRevision():
@@ -58,10 +58,10 @@
 	return &pb.ApplyResponse{Accepted: true, CurrentRevision: d.GetRevision(), CurrentAuthor: d.GetAuthor()}
 }
 
-// applyNewest is the rule where operators don't know of each other and number
-// their changes from one sequence: the highest revision counts. One that comes
-// again, or late, is accepted and changes nothing, so that an operator who has
-// lost an answer may send the same to any replica.
+// applyNewest applies the rule for operators that don't know of each other and number their
+// changes from one sequence: the highest revision wins. A revision that arrives again, or
+// late, is accepted and changes nothing, so that an operator that lost an answer may repeat
+// the call at any replica.
 func (s *State) applyNewest(d *pb.Declaration) *pb.ApplyResponse {
 	current := s.declared.proto
 	if d.GetRevision() <= current.GetRevision() {
@@ -78,71 +78,72 @@
 	return &pb.ApplyResponse{Accepted: true, CurrentRevision: d.GetRevision(), CurrentAuthor: d.GetAuthor()}
 }
 
-func (s *State) answerAgain(d *pb.Declaration, past *pb.AcceptedRevision) *pb.ApplyResponse {
-	if past.GetDigest() == d.GetDigest() && past.GetAuthor() == d.GetAuthor() {
+func (s *State) answerRepeated(d *pb.Declaration, accepted *pb.AcceptedRevision) *pb.ApplyResponse {
+	if accepted.GetDigest() == d.GetDigest() && accepted.GetAuthor() == d.GetAuthor() {
 		return &pb.ApplyResponse{
 			Accepted: true, Repeated: true,
 			CurrentRevision: s.Revision(), CurrentAuthor: s.declared.proto.GetAuthor(),
 		}
 	}
 	return s.refuse(fmt.Sprintf("revision %d was taken by %s with other content",
-		past.GetRevision(), past.GetAuthor()))
+		accepted.GetRevision(), accepted.GetAuthor()))
 }
 
-func (s *State) refuse(why string) *pb.ApplyResponse {
+func (s *State) refuse(reason string) *pb.ApplyResponse {
 	return &pb.ApplyResponse{
-		CurrentRevision: s.Revision(), CurrentAuthor: s.declared.proto.GetAuthor(), Refusal: why,
+		CurrentRevision: s.Revision(), CurrentAuthor: s.declared.proto.GetAuthor(), Refusal: reason,
 	}
 }
 
-// setDeclaration puts d in force. Objects that did not change keep their
-// revision and version, so that a delta carries only what changed.
+// setDeclaration puts d into force. Unchanged objects keep their revision and version, so
+// that a delta carries only what changed.
 func (s *State) setDeclaration(d *pb.Declaration, parsed *declaration.Declaration) {
 	declaration.SortObjects(d.GetObjects())
 	old := s.declared
-	s.touchView()
+	s.bumpViewVersion()
 	versions := make([]uint64, len(d.GetObjects()))
 	for i, o := range d.GetObjects() {
 		versions[i] = s.index
 		o.Revision = d.GetRevision()
-		j, ok := old.places[objectKeyOf(o)]
+		j, ok := old.positions[objectKeyOf(o)]
 		if !ok {
 			continue
 		}
-		if was := old.proto.GetObjects()[j]; string(was.GetContent()) == string(o.GetContent()) {
-			o.Revision, versions[i] = was.GetRevision(), old.versions[j]
+		if previous := old.proto.GetObjects()[j]; string(previous.GetContent()) == string(o.GetContent()) {
+			o.Revision, versions[i] = previous.GetRevision(), old.versions[j]
 		}
 	}
 	s.declared.proto, s.declared.parsed, s.declared.versions = d, parsed, versions
-	s.declared.places = placesOf(d.GetObjects())
-	s.buryObjects(old.proto.GetObjects())
-	s.declared.remember(d)
-	s.touchFencing()
+	s.declared.positions = positionsOf(d.GetObjects())
+	s.addObjectTombstones(old.proto.GetObjects())
+	s.declared.rememberAccepted(d)
+	s.bumpAllServerVersions()
 }
 
-// buryObjects leaves a tombstone for each of the old objects that is declared no more.
-func (s *State) buryObjects(old []*pb.Object) {
+// addObjectTombstones adds a tombstone for each of the old objects that is no longer
+// declared.
+func (s *State) addObjectTombstones(old []*pb.Object) {
 	for _, o := range old {
-		if _, stays := s.declared.places[objectKeyOf(o)]; !stays {
-			s.changes.bury(&pb.Tombstone{Object: &pb.ObjectRef{Kind: o.GetKind(), Name: o.GetName()}})
+		if _, stillDeclared := s.declared.positions[objectKeyOf(o)]; !stillDeclared {
+			s.changes.addTombstone(&pb.Tombstone{Object: &pb.ObjectRef{Kind: o.GetKind(), Name: o.GetName()}})
 		}
 	}
 }
 
-// objectKey names an object of a declaration.
+// objectKey identifies an object of a declaration.
 type objectKey struct{ kind, name string }
 
 func objectKeyOf(o *pb.Object) objectKey { return objectKey{o.GetKind(), o.GetName()} }
 
-func placesOf(objects []*pb.Object) map[objectKey]int {
-	places := make(map[objectKey]int, len(objects))
+func positionsOf(objects []*pb.Object) map[objectKey]int {
+	positions := make(map[objectKey]int, len(objects))
 	for i, o := range objects {
-		places[objectKeyOf(o)] = i
+		positions[objectKeyOf(o)] = i
 	}
-	return places
+	return positions
 }
 
-func (d *declared) find(revision uint64) *pb.AcceptedRevision {
+func (d *declarationState) findAccepted(revision uint64) *pb.AcceptedRevision {
 	i, ok := slices.BinarySearchFunc(d.accepted, revision, func(a *pb.AcceptedRevision, r uint64) int {
 		switch {
 		case a.GetRevision() < r:
@@ -158,7 +159,7 @@
 	return d.accepted[i]
 }
 
-func (d *declared) remember(p *pb.Declaration) {
+func (d *declarationState) rememberAccepted(p *pb.Declaration) {
 	d.accepted = append(d.accepted, &pb.AcceptedRevision{
 		Revision: p.GetRevision(), Digest: p.GetDigest(), Author: p.GetAuthor(),
 	})
@@ -167,8 +168,8 @@
 	}
 }
 
-// modelRevision is the revision that last changed the model's object.
-func (d *declared) modelRevision(name string) uint64 {
+// modelRevision returns the revision that last changed the model's object.
+func (d *declarationState) modelRevision(name string) uint64 {
 	for _, o := range d.proto.GetObjects() {
 		if o.GetKind() == "model" && o.GetName() == name {
 			return o.GetRevision()
--- a/internal/control/declared_test.go
+++ b/internal/control/declared_test.go
@@ -13,16 +13,16 @@
 // other is told who won and must rebase, or the first one's change would be
 // reverted without anybody having asked for it.
 func TestSecondOfTwoRacingOperatorsIsRefused(t *testing.T) {
-	w := newWorld(t)
-	w.apply(declare(1, 0, "ann", "a"))
-	if r := w.apply(declare(2, 1, "ben", "b")); !r.GetAccepted() {
+	h := newHarness(t)
+	h.apply(testDeclaration(1, 0, "ann", "a"))
+	if r := h.apply(testDeclaration(2, 1, "ben", "b")); !r.GetAccepted() {
 		t.Fatalf("first on base 1: %v", r)
 	}
-	r := w.apply(declare(3, 1, "cyd", "c"))
+	r := h.apply(testDeclaration(3, 1, "cyd", "c"))
 	if r.GetAccepted() || r.GetCurrentAuthor() != "ben" || !strings.Contains(r.GetRefusal(), "ben") {
 		t.Fatalf("second on base 1: %v", r)
 	}
-	if got := w.State().Revision(); got != 2 {
+	if got := h.State().Revision(); got != 2 {
 		t.Fatalf("revision %d in force", got)
 	}
 }
@@ -31,20 +31,20 @@
 // get the first answer. Another operator who took the same number for other
 // content must be told so, also when the number is long past.
 func TestResentRevisionGetsItsFirstAnswer(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	for i := uint64(1); i <= 5; i++ {
-		w.apply(declare(i, i-1, "ann", "a"))
+		h.apply(testDeclaration(i, i-1, "ann", "a"))
 	}
-	if r := w.apply(declare(3, 2, "ann", "a")); !r.GetAccepted() || !r.GetRepeated() || r.GetCurrentRevision() != 5 {
+	if r := h.apply(testDeclaration(3, 2, "ann", "a")); !r.GetAccepted() || !r.GetRepeated() || r.GetCurrentRevision() != 5 {
 		t.Fatalf("resent: %v", r)
 	}
-	for _, other := range []*pb.Declaration{declare(3, 2, "ann", "other"), declare(3, 2, "ben", "a")} {
-		r := w.apply(other)
+	for _, other := range []*pb.Declaration{testDeclaration(3, 2, "ann", "other"), testDeclaration(3, 2, "ben", "a")} {
+		r := h.apply(other)
 		if r.GetAccepted() || !strings.Contains(r.GetRefusal(), "taken by ann") {
 			t.Fatalf("other content under a taken number: %v", r)
 		}
 	}
-	if got := w.State().Revision(); got != 5 {
+	if got := h.State().Revision(); got != 5 {
 		t.Fatalf("revision %d in force", got)
 	}
 }
@@ -52,45 +52,45 @@
 // Garbage under a valid digest, a wrong digest or another cluster's id changes
 // nothing.
 func TestBadApplyChangesNothing(t *testing.T) {
-	w := newWorld(t)
-	before := string(w.State().Snapshot())
-	wrongDigest := declare(1, 0, "ann", "a")
+	h := newHarness(t)
+	before := string(h.State().Snapshot())
+	wrongDigest := testDeclaration(1, 0, "ann", "a")
 	wrongDigest.Digest = "0"
 	for _, req := range []*pb.ApplyRequest{
-		{ClusterId: "other", Declaration: declare(1, 0, "ann", "a")},
+		{ClusterId: "other", Declaration: testDeclaration(1, 0, "ann", "a")},
 		{ClusterId: cluster, Declaration: wrongDigest},
 		{ClusterId: cluster},
-		{ClusterId: cluster, Declaration: declare(1, 0, "", "a")},
+		{ClusterId: cluster, Declaration: testDeclaration(1, 0, "", "a")},
 	} {
-		if r := w.replies[w.send(req)]; r.Err == nil {
+		if r := h.replies[h.send(req)]; r.Err == nil {
 			t.Errorf("%v was answered %v", req, r.Response)
 		}
 	}
-	if string(w.State().Snapshot()) != before {
+	if string(h.State().Snapshot()) != before {
 		t.Error("the state changed")
 	}
 }
 
 // Guards against objects that were taken out, by the thousand and some put back, and stay in force at entries.
-func TestEntriesHearOfAllThatWasTakenOut(t *testing.T) {
+func TestDeltaListsAllRemovedObjects(t *testing.T) {
 	const profiles = 4000
-	w := newWorld(t)
-	w.apply(withProfiles(1, 0, profiles))
-	known := w.State().ViewVersion()
-	w.apply(declare(2, 1, "ann", "a"))
-	w.apply(withProfiles(3, 2, 10))
-	view := w.State().View(known)
+	h := newHarness(t)
+	h.apply(withProfiles(1, 0, profiles))
+	known := h.State().ViewVersion()
+	h.apply(testDeclaration(2, 1, "ann", "a"))
+	h.apply(withProfiles(3, 2, 10))
+	view := h.State().View(known)
 	removed := view.GetRemovedObjects()
 	if len(removed) != profiles-10 || removed[0].GetName() != "q00010" || removed[len(removed)-1].GetName() != "q03999" {
 		t.Errorf("%d objects are told to be taken out", len(removed))
 	}
-	if told := len(view.GetObjects()); told < 10 {
-		t.Errorf("%d objects are told that were put back", told)
+	if restored := len(view.GetObjects()); restored < 10 {
+		t.Errorf("%d objects are told that were put back", restored)
 	}
 }
 
 func withProfiles(revision, base uint64, profiles int) *pb.Declaration {
-	d := declare(revision, base, "ann", "a")
+	d := testDeclaration(revision, base, "ann", "a")
 	for i := range profiles {
 		d.Objects = append(d.Objects, &pb.Object{Kind: "profile", Name: fmt.Sprintf("q%05d", i), Content: []byte(`{}`)})
 	}
--- a/internal/control/delivery.go
+++ b/internal/control/delivery.go
@@ -12,47 +12,49 @@
 )
 
 const (
-	// orderTimeout bounds one sending of an order: engines answer at once,
-	// carried out or not, so a longer wait only keeps a copy on its way.
+	// orderTimeout bounds one attempt to send an order. Engines answer at once, whether or
+	// not they have carried the order out, so a longer timeout would only keep a copy in
+	// flight.
 	orderTimeout = time.Second
-	// orderRetry is when an order without a result is sent again. An engine
-	// answers the same id again without running it twice.
+	// orderRetry is the interval after which an order without a result is sent again. An
+	// engine answers a repeated id without running the order twice.
 	orderRetry = 2 * time.Second
-	// orderRunningRetry takes its place once the engine has said that it carries the
-	// order out: its own announcement ends the order, and each sending has a price.
+	// orderRunningRetry replaces orderRetry once the engine has answered that it is
+	// carrying the order out: its next announcement completes the order, so frequent
+	// retries would only cost messages.
 	orderRunningRetry = 8 * time.Second
-	// idleMargin is how much later than the view came into force a load report
-	// must be true to show that nothing runs: an entry may have sent work just
-	// before, and it needs to arrive.
-	idleMargin = time.Second
-	// defaultDrainLimit bounds the wait for streams before any declaration.
+	// idleReportMargin is how long after all entries applied the CHANGING view a load
+	// measurement must be taken to prove that the engine is idle: an entry may have sent a
+	// request just before, and the request needs time to arrive.
+	idleReportMargin = time.Second
+	// defaultDrainLimit bounds the wait for streams to end while no declaration exists.
 	defaultDrainLimit = 15 * time.Minute
 )
 
-// delivery is what a leader keeps of the order to one engine.
+// delivery is the leader's state of sending an order to one engine.
 type delivery struct {
-	// orderID is the order that the rest is about.
+	// orderID is the order that the other fields refer to.
 	orderID string
-	// proposing is true while an update of the order is on its way through the log.
+	// proposing is true while an update of the order is being replicated.
 	proposing bool
-	// inForceAt is when all entries had the CHANGING view, zero before.
-	inForceAt time.Duration
-	// inFlight is true while a copy's answer is awaited.
+	// viewAppliedAt is when all entries had applied the CHANGING view; zero before that.
+	viewAppliedAt time.Duration
+	// inFlight is true while a sent copy has not been answered.
 	inFlight bool
 	nextSend time.Duration
-	// unsureAt is when a copy of any order to this engine was last given up
-	// without knowing whether it arrived, zero if never.
-	unsureAt time.Duration
+	// unknownOutcomeAt is when a copy of any order to this engine was last given up without
+	// knowing whether it had arrived; zero if never.
+	unknownOutcomeAt time.Duration
 }
 
-// proposeOrder puts an intent into the log.
+// proposeOrder proposes an intent, an order in state PREPARING.
 func (r *Reducer) proposeOrder(o *pb.Order, done func(*pb.ChangeRoleResponse, bool)) {
 	o.State = pb.OrderState_ORDER_STATE_PREPARING
 	cmd := &pb.Command{Op: &pb.Command_Order{Order: &pb.OrderUpdate{Order: o}}}
 	r.propose(cmd, func(answer proto.Message, ok bool) {
 		resp, _ := answer.(*pb.ChangeRoleResponse)
 		if ok && resp != nil {
-			r.logOrder(resp.GetOrder(), "order intended")
+			r.logOrder(resp.GetOrder(), "order intent committed")
 		}
 		done(resp, ok && resp != nil)
 	})
@@ -67,8 +69,8 @@
 		Field{"reason", o.GetReason()})
 }
 
-// driveOrders takes each unresolved order a step on.
-func (r *Reducer) driveOrders() {
+// advanceOrders performs the next step of each unresolved order.
+func (r *Reducer) advanceOrders() {
 	for _, o := range r.state.sortedOrders() {
 		if !o.unresolved() || r.lead == nil {
 			continue
@@ -81,12 +83,12 @@
 			r.prepare(o, d)
 			continue
 		}
-		r.send(o, d)
+		r.sendOrder(o, d)
 	}
 }
 
-// delivery gives what is kept for the engine. A new order starts afresh, but
-// for the memory of copies whose fate is unknown.
+// delivery returns the delivery state for the engine. A new order resets it, except for the
+// time of the last copy with an unknown outcome.
 func (r *Reducer) delivery(o *pb.Order) *delivery {
 	d := r.lead.deliveries[o.GetServer()]
 	if d == nil {
@@ -95,79 +97,79 @@
 	}
 	if d.orderID != o.GetId() {
 		if d.inFlight {
-			// A copy of the order before is still awaited.
-			d.unsureAt = r.now
+			// A copy of the previous order has not been answered yet.
+			d.unknownOutcomeAt = r.now
 		}
-		*d = delivery{orderID: o.GetId(), unsureAt: d.unsureAt}
+		*d = delivery{orderID: o.GetId(), unknownOutcomeAt: d.unknownOutcomeAt}
 	}
 	return d
 }
 
-// prepare waits until the engine is idle and no earlier order can arrive any
-// more, then lets the order go out. It never cuts a stream: when streams do not
-// end within the longest deadline that is declared, the order is withdrawn.
+// prepare waits until the engine is idle and no copy of an earlier order can still arrive,
+// then moves the order to SENT. It never interrupts a stream: if streams do not end within
+// the longest declared deadline, the order is withdrawn.
 func (r *Reducer) prepare(o *order, d *delivery) {
 	sv := r.state.servers[o.proto.GetServer()]
 	switch {
-	case sv == nil || sv.told.GetState() == pb.ServerState_SERVER_STATE_GONE:
-		r.moveTo(o, d, pb.OrderState_ORDER_STATE_ABANDONED, "the engine is gone")
+	case sv == nil || sv.info.GetState() == pb.ServerState_SERVER_STATE_GONE:
+		r.proposeOrderState(o, d, pb.OrderState_ORDER_STATE_ABANDONED, "the engine is gone")
 		return
 	case r.wall()-o.createdMS > r.drainLimit().Milliseconds():
-		r.moveTo(o, d, pb.OrderState_ORDER_STATE_REFUSED, "withdrawn: its streams did not end in time")
+		r.proposeOrderState(o, d, pb.OrderState_ORDER_STATE_REFUSED, "withdrawn: its streams did not end in time")
 		return
-	case !r.inForce(o.proto.GetToken().GetSequence()):
+	case !r.appliedByAllEntries(o.proto.GetToken().GetSequence()):
 		return
 	}
-	if d.inForceAt == 0 {
-		d.inForceAt = r.now
+	if d.viewAppliedAt == 0 {
+		d.viewAppliedAt = r.now
 	}
-	if !r.drained(o.proto.GetServer(), d) || r.heldBack(o, d) {
+	if !r.readyForOrder(o.proto.GetServer(), d) || r.staleCopyPossible(o, d) {
 		return
 	}
-	r.moveTo(o, d, pb.OrderState_ORDER_STATE_SENT, "")
+	r.proposeOrderState(o, d, pb.OrderState_ORDER_STATE_SENT, "")
 }
 
-// drained tells whether the engine can be sent its order: it is idle, or lets its
-// requests finish by itself.
-func (r *Reducer) drained(id string, d *delivery) bool {
+// readyForOrder reports whether the engine can be sent its order: it is idle, or the
+// declaration says that engines finish their requests before they carry out an order.
+func (r *Reducer) readyForOrder(id string, d *delivery) bool {
 	if r.state.declared.parsed != nil && r.state.declared.parsed.Roles.EnginesDrain {
 		return true
 	}
-	return r.idleSince(id, d.inForceAt+idleMargin)
+	return r.idleSince(id, d.viewAppliedAt+idleReportMargin)
 }
 
-// idleSince tells whether the engine has reported, of a time after since, that
-// it runs nothing.
+// idleSince reports whether the engine reported no requests in a load measurement that was
+// taken after since.
 func (r *Reducer) idleSince(id string, since time.Duration) bool {
-	w := r.lead.servers[id]
-	if w == nil || w.load == nil || w.loadAt <= since {
+	t := r.lead.servers[id]
+	if t == nil || t.load == nil || t.loadMeasuredAt <= since {
 		return false
 	}
-	return w.load.GetRunning() == 0 && w.load.GetQueued() == 0
+	return t.load.GetRunning() == 0 && t.load.GetQueued() == 0
 }
 
-// heldBack tells whether a copy of an earlier order may still reach an engine
+// staleCopyPossible reports whether a copy of an earlier order may still reach an engine
 // that ignores fencing tokens.
 //
-// Failure: a leader is stopped between its lease check and its write, or its
-// write hangs in the network. Its successor finishes that order, gives the next,
-// opposite one, and then the old copy arrives and is carried out. An engine that
-// checks tokens refuses it. For one that does not, the next order waits for the
-// longest pause that is stated (settings order_pause) after the old leader's
-// authority ended, and after an own copy that was not answered. The old leader's
-// lease is over when this one is ready, so its last write began before since.
-func (r *Reducer) heldBack(o *order, d *delivery) bool {
+// Failure: a leader is paused between its lease check and its write, or its write is
+// delayed in the network. Its successor completes that order and sends the next one, which
+// reverses it; then the old copy arrives and is carried out. An engine that checks tokens
+// rejects the copy. For other engines the next order waits for the longest process pause
+// that the settings allow for (order_pause), counted from the end of the old leader's
+// authority and from this leader's last copy without an answer. The old leader's lease has
+// ended when this leader is ready, so its last write began before startedAt.
+func (r *Reducer) staleCopyPossible(o *order, d *delivery) bool {
 	if r.state.checksFencing(o.proto.GetServer()) {
 		return false
 	}
-	if d.unsureAt != 0 && r.now < d.unsureAt+r.cfg.OrderPause {
+	if d.unknownOutcomeAt != 0 && r.now < d.unknownOutcomeAt+r.cfg.OrderPause {
 		return true
 	}
 	byOther := o.previousTerm != 0 && o.previousTerm != r.term
-	return byOther && r.now < r.lead.since+r.cfg.OrderPause
+	return byOther && r.now < r.lead.startedAt+r.cfg.OrderPause
 }
 
-// drainLimit is the longest that a stream may last, by the declared deadlines.
+// drainLimit returns the longest time that a stream may last under the declared deadlines.
 func (r *Reducer) drainLimit() time.Duration {
 	limit := defaultDrainLimit
 	if r.state.declared.parsed == nil {
@@ -179,8 +181,8 @@
 	return limit + time.Minute
 }
 
-// moveTo proposes the order's next state.
-func (r *Reducer) moveTo(o *order, d *delivery, state pb.OrderState, reason string) {
+// proposeOrderState proposes the order's next state.
+func (r *Reducer) proposeOrderState(o *order, d *delivery, state pb.OrderState, reason string) {
 	next := proto.CloneOf(o.proto)
 	next.State, next.Reason = state, reason
 	d.proposing = true
@@ -191,42 +193,43 @@
 		if !is || !ok {
 			return
 		}
-		r.logOrder(resp.GetOrder(), "order moved")
+		r.logOrder(resp.GetOrder(), "order state changed")
 		if r.lead != nil && o.proto.GetState() == pb.OrderState_ORDER_STATE_SENT {
-			// At once: each moment until the next sweep keeps the engine away.
-			r.send(o, d)
+			// Send without waiting for the next sweep: the engine gets no requests
+			// meanwhile.
+			r.sendOrder(o, d)
 		}
 	})
 }
 
-// send sends a committed order, or sends it again, while this leader's
-// authority lasts.
-func (r *Reducer) send(o *order, d *delivery) {
+// sendOrder sends a committed order for the first time or again, while this leader holds
+// its lease.
+func (r *Reducer) sendOrder(o *order, d *delivery) {
 	sv := r.state.servers[o.proto.GetServer()]
-	if sv == nil || d.inFlight || r.now < d.nextSend || !r.leased() {
+	if sv == nil || d.inFlight || r.now < d.nextSend || !r.hasQuorumLease() {
 		return
 	}
-	if sv.told.GetIncarnation() != o.proto.GetIncarnation() {
+	if sv.info.GetIncarnation() != o.proto.GetIncarnation() {
 		return
 	}
 	d.inFlight = true
 	r.emit(SendOrder{
-		Server: o.proto.GetServer(), Address: sv.told.GetAddress(),
-		Order: r.wireOrder(o.proto), Term: r.term, LeaseUntil: r.node.LeaseUntil(), Timeout: orderTimeout,
+		Server: o.proto.GetServer(), Address: sv.info.GetAddress(),
+		Order: r.apiOrder(o.proto), Term: r.term, LeaseUntil: r.node.LeaseUntil(), Timeout: orderTimeout,
 	})
 	r.logOrder(o.proto, "order sent")
 }
 
-func (r *Reducer) wireOrder(o *pb.Order) engineapi.Order {
+func (r *Reducer) apiOrder(o *pb.Order) engineapi.Order {
 	return engineapi.Order{
 		ID: o.GetId(), Incarnation: o.GetIncarnation(), Sender: r.cfg.Sender,
 		Token: wire.Token(o.GetToken()),
-		Kind:  wireKind(o.GetKind()), Role: wire.Role(o.GetRole()),
+		Kind:  apiOrderKind(o.GetKind()), Role: wire.Role(o.GetRole()),
 		Model: o.GetModel(), Version: o.GetModelVersion(), Adapter: o.GetAdapter(),
 	}
 }
 
-func wireKind(k pb.OrderKind) string {
+func apiOrderKind(k pb.OrderKind) string {
 	switch k {
 	case pb.OrderKind_ORDER_KIND_SET_ROLE:
 		return engineapi.OrderSetRole
@@ -238,9 +241,9 @@
 	return ""
 }
 
-// current gives the server's unresolved order if it has that id, with what is
-// kept of it.
-func (r *Reducer) current(server, orderID string) (*order, *delivery) {
+// currentOrder returns the server's unresolved order and its delivery state if the order
+// has that id.
+func (r *Reducer) currentOrder(server, orderID string) (*order, *delivery) {
 	o := r.state.orders[server]
 	if r.lead == nil || o == nil || !o.unresolved() || o.proto.GetId() != orderID {
 		return nil, nil
@@ -249,9 +252,9 @@
 }
 
 func (r *Reducer) onOrderAnswered(e OrderAnswered) {
-	o, d := r.current(e.Server, e.Answer.ID)
+	o, d := r.currentOrder(e.Server, e.Answer.ID)
 	if o == nil {
-		r.landed(e.Server, e.Answer.ID)
+		r.onCopyAnswered(e.Server, e.Answer.ID)
 		return
 	}
 	d.inFlight = false
@@ -261,14 +264,14 @@
 		d.nextSend = r.now + orderRunningRetry
 	case d.proposing:
 	case e.Answer.Result == engineapi.OrderDone:
-		r.moveTo(o, d, pb.OrderState_ORDER_STATE_DONE, "")
+		r.proposeOrderState(o, d, pb.OrderState_ORDER_STATE_DONE, "")
 	default:
-		r.moveTo(o, d, pb.OrderState_ORDER_STATE_REFUSED, "engine: "+e.Answer.Result+" "+e.Answer.Reason)
+		r.proposeOrderState(o, d, pb.OrderState_ORDER_STATE_REFUSED, "engine: "+e.Answer.Result+" "+e.Answer.Reason)
 	}
 }
 
-// landed notes that a copy of an order that is resolved by now was answered.
-func (r *Reducer) landed(server, orderID string) {
+// onCopyAnswered records that a copy of an order that is already resolved was answered.
+func (r *Reducer) onCopyAnswered(server, orderID string) {
 	if r.lead == nil {
 		return
 	}
@@ -285,12 +288,12 @@
 	}
 	d := r.lead.deliveries[e.Server]
 	if d == nil {
-		// A copy of an earlier term in which this replica led.
+		// The copy was sent in an earlier term in which this replica led.
 		d = &delivery{}
 		r.lead.deliveries[e.Server] = d
 	}
 	if !e.NotSent {
-		d.unsureAt = r.now
+		d.unknownOutcomeAt = r.now
 	}
 	if d.orderID == e.OrderID {
 		d.inFlight = false
@@ -298,25 +301,25 @@
 	}
 }
 
-// onReportedRole takes an engine's word that it has the role that it was ordered
-// to take, for engines that report no order ids.
-func (r *Reducer) onReportedRole(told *pb.BackendServer) {
-	o := r.state.orders[told.GetId()]
-	if o == nil || o.proto.GetKind() != pb.OrderKind_ORDER_KIND_SET_ROLE || o.proto.GetRole() != told.GetRole() {
+// onReportedRole resolves a role order when the engine announces the ordered role, for
+// engines that do not report order ids.
+func (r *Reducer) onReportedRole(info *pb.BackendServer) {
+	o := r.state.orders[info.GetId()]
+	if o == nil || o.proto.GetKind() != pb.OrderKind_ORDER_KIND_SET_ROLE || o.proto.GetRole() != info.GetRole() {
 		return
 	}
-	if told.GetState() == pb.ServerState_SERVER_STATE_SERVING {
-		r.onReportedOrder(told, o.proto.GetId())
+	if info.GetState() == pb.ServerState_SERVER_STATE_SERVING {
+		r.onReportedOrder(info, o.proto.GetId())
 	}
 }
 
-// onReportedOrder takes the engine's own report that it carried out an order.
-func (r *Reducer) onReportedOrder(told *pb.BackendServer, orderID string) {
-	o, d := r.current(told.GetId(), orderID)
+// onReportedOrder resolves an order when the engine reports that it was carried out.
+func (r *Reducer) onReportedOrder(info *pb.BackendServer, orderID string) {
+	o, d := r.currentOrder(info.GetId(), orderID)
 	if o == nil || d.proposing || o.proto.GetState() != pb.OrderState_ORDER_STATE_SENT {
 		return
 	}
-	if o.proto.GetIncarnation() == told.GetIncarnation() {
-		r.moveTo(o, d, pb.OrderState_ORDER_STATE_DONE, "")
+	if o.proto.GetIncarnation() == info.GetIncarnation() {
+		r.proposeOrderState(o, d, pb.OrderState_ORDER_STATE_DONE, "")
 	}
 }
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,9 +1,13 @@
-// Package control is the control replica's reducer: Reducer.Step takes the time
-// and one Event and returns Effects. It holds the consensus node (package
-// consensus), the replicated state that committed commands build, and what only
-// the leader keeps in memory: leases of backend servers and entries, calls that
-// wait, orders on their way.
+// Package control is the reducer of a control replica: Reducer.Step takes the time and one
+// Event and returns Effects. It holds the consensus node (package consensus), the
+// replicated state that committed commands build, and the leader's in-memory state: leases
+// of backend servers and entries, calls that wait for an answer, and orders in flight.
 //
-// It does no I/O and reads no clock. One control goroutine owns it; a runner
+// An entry is a routing front end that callers connect to. The view is the routing state
+// that entries get from the leader: the declaration's objects, the backend servers, the
+// other entries and the quarantined requests. An order tells a backend server to change its
+// role, model version or adapters; it is committed as an intent before it is sent.
+//
+// The package does no I/O and reads no clock. One goroutine owns the Reducer, and a runner
 // carries out the effects.
 package control
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -9,76 +9,78 @@
 )
 
 const (
-	// dutyTimeout bounds one call.
+	// dutyTimeout is the timeout of one call.
 	dutyTimeout = time.Second
-	// firstDutyPause is how long after a call that was not taken it is made again; it doubles
-	// with each one, up to maxDutyPause.
-	firstDutyPause = 400 * time.Millisecond
-	maxDutyPause   = 3 * time.Second
-	// maxDutyCalls bounds the calls under way at once.
+	// initialDutyBackoff is the back-off after the first failed call; it doubles with each
+	// failure, up to maxDutyBackoff.
+	initialDutyBackoff = 400 * time.Millisecond
+	maxDutyBackoff     = 3 * time.Second
+	// maxDutyCalls bounds the calls in flight.
 	maxDutyCalls = 4
 )
 
-// Duty is a kind of call that one replica at a time may make.
+// Duty is a kind of call to an external service that only one replica at a time may make.
 type Duty string
 
-// The duties.
+// The kinds of duty.
 const (
-	// DutyUsage reports a window of usage.
+	// DutyUsage reports the usage of one accounting window.
 	DutyUsage Duty = "usage"
-	// DutyScale orders servers.
+	// DutyScale orders a number of servers for a service.
 	DutyScale Duty = "scale"
 )
 
-// DutiesConfig says what is done outside of the deployment in its name.
+// DutiesConfig configures the calls to external services that the leader makes for the
+// deployment.
 type DutiesConfig struct {
-	// Usage is members' usage.
+	// Usage configures the accounting of members' usage.
 	Usage UsageConfig
-	// OrderServers lets the leader order servers for the services that declare autoscaling.
+	// OrderServers enables ordering servers for the services that declare autoscaling.
 	OrderServers bool
-	// Lease is how long another holder may still be thought to act after its last call: a
-	// new one waits so long before its first.
+	// Lease is how long a call of the previous holder may still take effect after it was
+	// made; a new holder waits this long before its first call.
 	Lease time.Duration
-	// Holder names this replica in the calls.
+	// Holder identifies this replica in the calls.
 	Holder string
 }
 
-// DutyCall makes one call in the name of the deployment. The runner checks LeaseUntil right
-// before it writes, and gives the call Timeout. It is answered with a DutyAnswered.
+// DutyCall makes one external call for the deployment. The runner checks LeaseUntil right
+// before it writes, and applies Timeout. The result is a DutyAnswered.
 type DutyCall struct {
 	Duty Duty
-	// Subject tells calls of one duty apart that are about different things.
+	// Subject distinguishes calls of the same duty.
 	Subject string
 	// Usage is the window of a DutyUsage, Scale the order of a DutyScale.
 	Usage *pb.UsageWindow
 	Scale ScaleOrder
-	// Holder and Token name the caller and order the callers; no two holders have the same
-	// token.
+	// Holder identifies the caller. Token is its fencing token; no two holders have the
+	// same token.
 	Holder string
 	Token  uint64
-	// LeaseUntil is when this replica's authority ends, since boot.
+	// LeaseUntil is when this replica's leader lease ends, as time since boot.
 	LeaseUntil time.Duration
 	Timeout    time.Duration
 }
 
-// DutyResult is how a call was answered.
+// DutyResult is the result of a DutyCall.
 type DutyResult string
 
 // Results of a DutyCall.
 const (
-	// DutyAccepted: the call was carried out.
+	// DutyAccepted means that the call was carried out.
 	DutyAccepted DutyResult = "taken"
-	// DutyFenced: another holder has a higher token.
+	// DutyFenced means that another holder has a higher token.
 	DutyFenced DutyResult = "fenced"
-	// DutyUnavailable: what was ordered is not to be had now.
+	// DutyUnavailable means that the ordered servers are not available at present.
 	DutyUnavailable DutyResult = "unavailable"
-	// DutyBusy: it was not taken and may be called again later.
+	// DutyBusy means that the call was rejected and may be repeated later.
 	DutyBusy DutyResult = "busy"
-	// DutyUnanswered: it is not known whether it was, or will be, carried out.
+	// DutyUnanswered means that the call may or may not have been carried out, or may still
+	// be.
 	DutyUnanswered DutyResult = "unanswered"
 )
 
-// DutyAnswered is how a DutyCall ended.
+// DutyAnswered reports the result of a DutyCall.
 type DutyAnswered struct {
 	Duty    Duty
 	Subject string
@@ -90,56 +92,59 @@
 func (DutyCall) isEffect()    {}
 func (DutyAnswered) isEvent() {}
 
-// dutyLead is what a leader keeps of its calls.
+// leaderDuties is the leader's in-memory state of its external calls.
 //
-// The holder of all duties is the leader, and its term is the token: a term has one leader
-// for ever, also after losses that the log survives, and a leader acts only inside its lease.
-type dutyLead struct {
-	calls  map[string]*dutyCall
-	flying int
-	// fenced is set once another holder was seen to have a higher token.
+// The leader holds all duties, and its term is the fencing token: a term has only one
+// leader, even after failures, as long as the log survives, and a leader acts only while it
+// holds its lease.
+type leaderDuties struct {
+	calls    map[string]*dutyCall
+	inFlight int
+	// fenced is set once a call was rejected because another holder has a higher token.
 	fenced bool
 }
 
-// dutyCall is one that is under way or is to be made again.
+// dutyCall is a call that is in flight or waits for its retry.
 type dutyCall struct {
-	flying bool
-	tries  int
-	nextAt time.Duration
-	made   DutyCall
+	inFlight bool
+	attempts int
+	retryAt  time.Duration
+	request  DutyCall
 }
 
-func newDutyLead() dutyLead { return dutyLead{calls: make(map[string]*dutyCall)} }
+func newLeaderDuties() leaderDuties { return leaderDuties{calls: make(map[string]*dutyCall)} }
 
 func usageSubject(window int64) string { return strconv.FormatInt(window, 10) }
 
 func dutyKey(duty Duty, subject string) string { return string(duty) + "/" + subject }
 
-// callDuty makes a call unless it is under way or has to wait.
+// callDuty makes a call unless the same one is in flight or in back-off, or a limit is
+// reached.
 //
-// Failure: leadership moves to another replica and back within moments, and each of them
-// makes calls: the other side sees holders that take turns, and a late call of one undoes
-// what the next one did. A new leader waits until a call of the one before is over.
+// Failure: leadership moves to another replica and back within moments, and both replicas
+// make calls. The external service sees alternating holders, and a late call of one undoes
+// what a newer call of the other did. A new leader waits until no call of the previous
+// leader can still take effect.
 func (r *Reducer) callDuty(c DutyCall) {
 	d := &r.lead.duties
 	key := dutyKey(c.Duty, c.Subject)
 	call := d.calls[key]
 	switch {
-	case d.fenced || d.flying >= maxDutyCalls || r.now < r.lead.since+r.cfg.Duties.Lease:
+	case d.fenced || d.inFlight >= maxDutyCalls || r.now < r.lead.startedAt+r.cfg.Duties.Lease:
 		return
-	case call != nil && (call.flying || r.now < call.nextAt):
+	case call != nil && (call.inFlight || r.now < call.retryAt):
 		return
 	case call == nil:
 		call = &dutyCall{}
 		d.calls[key] = call
 	}
-	call.flying, call.made = true, c
-	d.flying++
+	call.inFlight, call.request = true, c
+	d.inFlight++
 	c.Holder, c.Token, c.LeaseUntil, c.Timeout = r.cfg.Duties.Holder, r.term, r.node.LeaseUntil(), dutyTimeout
 	r.emit(c)
 }
 
-// onDutyAnswered settles a call, or makes it wait for its next try.
+// onDutyAnswered completes a call or schedules its retry.
 func (r *Reducer) onDutyAnswered(e DutyAnswered) {
 	if r.lead == nil {
 		return
@@ -147,34 +152,34 @@
 	d := &r.lead.duties
 	key := dutyKey(e.Duty, e.Subject)
 	call := d.calls[key]
-	if call == nil || !call.flying {
+	if call == nil || !call.inFlight {
 		return
 	}
-	call.flying = false
-	call.tries++
-	d.flying--
+	call.inFlight = false
+	call.attempts++
+	d.inFlight--
 	r.logDuty(e, call)
 	switch e.Result {
 	case DutyAccepted:
 		delete(d.calls, key)
-		r.dutyTaken(&call.made)
+		r.onDutyAccepted(&call.request)
 	case DutyUnavailable:
 		delete(d.calls, key)
-		r.scaleUnavailable(&call.made)
+		r.onScaleUnavailable(&call.request)
 	case DutyFenced:
 		d.fenced = true
 	default:
-		pause := min(maxDutyPause, firstDutyPause<<min(call.tries-1, 8))
-		call.nextAt = r.now + pause
+		backoff := min(maxDutyBackoff, initialDutyBackoff<<min(call.attempts-1, 8))
+		call.retryAt = r.now + backoff
 	}
 }
 
-func (r *Reducer) dutyTaken(c *DutyCall) {
+func (r *Reducer) onDutyAccepted(c *DutyCall) {
 	switch c.Duty {
 	case DutyUsage:
-		r.usageTaken(c.Usage.GetWindow())
+		r.onUsageAccepted(c.Usage.GetWindow())
 	case DutyScale:
-		r.scaleTaken(c)
+		r.onScaleAccepted(c)
 	}
 }
 
@@ -185,10 +190,10 @@
 	}
 	fields := []Field{
 		{"duty", string(e.Duty)}, {"subject", e.Subject}, {"result", string(e.Result)},
-		{"token", r.term}, {"tries", call.tries}, {"reason", e.Reason},
+		{"token", r.term}, {"tries", call.attempts}, {"reason", e.Reason},
 	}
 	if e.Duty == DutyScale {
-		fields = append(fields, Field{"servers", call.made.Scale.Servers}, Field{"ordered_because", call.made.Scale.Reason})
+		fields = append(fields, Field{"servers", call.request.Scale.Servers}, Field{"ordered_because", call.request.Scale.Reason})
 	}
-	r.log(level, "duty called", fields...)
+	r.log(level, "duty call completed", fields...)
 }
--- a/internal/control/effect.go
+++ b/internal/control/effect.go
@@ -11,42 +11,43 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Effect is what the runner must do after a step, in the order given.
+// Effect is an action that the runner must perform after a step, in the order returned.
 type Effect interface{ isEffect() }
 
-// ConsensusEffect wraps an effect of the consensus node that the runner must
-// carry out: Send, Persist, RestoreSnapshot or Removed.
+// ConsensusEffect wraps an effect of the consensus node that the runner must perform: Send,
+// Persist, RestoreSnapshot or Removed.
 type ConsensusEffect struct{ Effect consensus.Effect }
 
-// SaveSnapshot asks the runner to sync a snapshot of the state, then to step
+// SaveSnapshot asks the runner to write a snapshot of the state and sync it, then to step
 // with consensus.SnapshotTaken.
 type SaveSnapshot struct{ Snapshot consensus.SnapshotTaken }
 
-// Reply answers a Call.
+// Reply answers the event with that ID: a Call, Announce, Leave or QueryRemoved.
 type Reply struct {
 	ID       uint64
 	Response proto.Message
-	// Err is a twirp error, nil when Response counts.
+	// Err is a twirp error; nil when Response is valid.
 	Err error
 }
 
-// SendOrder sends an order to an engine. The runner checks LeaseUntil right
-// before it writes, and gives the call Timeout.
+// SendOrder sends an order to an engine. The runner checks LeaseUntil right before it
+// writes, and applies Timeout.
 type SendOrder struct {
 	Server  string
 	Address string
 	Order   engineapi.Order
-	// Term is the sending leader's; the order's token bears that of its intent.
+	// Term is the term of the sending leader; the order's token has the term of its intent.
 	Term uint64
-	// LeaseUntil is when this leader's authority ends, since boot.
+	// LeaseUntil is when this leader's lease ends, as time since boot.
 	LeaseUntil time.Duration
 	Timeout    time.Duration
 }
 
-// Members tells the member list now in force and who leads (zero if unknown).
+// Members reports the member list in force and the leader (zero if unknown).
 type Members struct {
 	Membership *pb.Membership
-	// Committed is the latest list known to be committed; peers are admitted by it.
+	// Committed is the latest member list known to be committed; connections of peers are
+	// checked against it.
 	Committed *pb.Membership
 	Leader    uint64
 	// IsLeader is true while this replica leads and is ready.
@@ -63,7 +64,7 @@
 	Fields  []Field
 }
 
-// Field is one value of a log line.
+// Field is one attribute of a log line.
 type Field struct {
 	Name  string
 	Value any
--- a/internal/control/entries.go
+++ b/internal/control/entries.go
@@ -6,15 +6,15 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// entry is one entry as the log knows it.
+// entry is the replicated record of one entry.
 type entry struct {
 	info    *pb.EntryInfo
 	version uint64
 }
 
-// applyEntries records entries that came, changed or went silent. Claims that
-// an entry's earlier life left running become UNKNOWN: whether their calls were
-// sent can't be known any more.
+// applyEntries records entries that appeared, changed or expired. Claims that an entry's
+// earlier incarnation left running become UNKNOWN, since it can't be known any more whether
+// their calls were sent.
 func (s *State) applyEntries(u *pb.EntryUpdate) {
 	for _, info := range u.GetEntries() {
 		name := info.GetIdentity().GetName()
@@ -22,9 +22,9 @@
 			continue
 		}
 		if old := s.entries[name]; old != nil && incarnationOf(old.info) != incarnationOf(info) {
-			s.loseOwner(old.info.GetIdentity())
+			s.markOwnerLost(old.info.GetIdentity())
 		}
-		s.touchView()
+		s.bumpViewVersion()
 		s.entries[name] = &entry{info: proto.CloneOf(info), version: s.index}
 	}
 	for _, name := range u.GetRemoved() {
@@ -32,10 +32,10 @@
 		if old == nil {
 			continue
 		}
-		s.loseOwner(old.info.GetIdentity())
+		s.markOwnerLost(old.info.GetIdentity())
 		delete(s.entries, name)
-		s.touchView()
-		s.changes.bury(&pb.Tombstone{Entry: name})
+		s.bumpViewVersion()
+		s.changes.addTombstone(&pb.Tombstone{Entry: name})
 	}
 }
 
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -8,19 +8,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Event is what the Reducer steps on.
+// Event is an input of Reducer.Step.
 type Event interface{ isEvent() }
 
-// Tick lets time pass. It carries the wall clock, which only stamps commands;
-// leases use the time since boot.
+// Tick advances the time. It carries the wall clock, which is only used to timestamp
+// commands; leases use the time since boot.
 type Tick struct{ WallMS int64 }
 
-// Consensus wraps an event of the consensus node, other than its Tick.
+// Consensus wraps an event of the consensus node other than its Tick.
 type Consensus struct{ Event consensus.Event }
 
-// Call is an RPC of an entry or operator. Request is one of the request
-// messages of the Control and Operator services; the answer is a Reply with
-// the same ID.
+// Call is an RPC of an entry or operator. Request is one of the request messages of the
+// Control and Operator services; the answer is a Reply with the same ID.
 type Call struct {
 	ID      uint64
 	Request proto.Message
@@ -29,30 +28,30 @@
 // CallCanceled reports that the caller of a Call has stopped waiting for its Reply.
 type CallCanceled struct{ ID uint64 }
 
-// OrderAnswered is an engine's answer to a SendOrder.
+// OrderAnswered carries an engine's answer to a SendOrder.
 type OrderAnswered struct {
 	Server string
 	Answer engineapi.OrderAnswer
 }
 
-// OrderUnanswered tells that an order got no answer: it may have arrived.
+// OrderUnanswered reports that an order got no answer; the order may have arrived.
 type OrderUnanswered struct {
 	Server  string
 	OrderID string
-	// NotSent is true when no byte of it left this process.
+	// NotSent is true when no byte of the order left this process.
 	NotSent bool
 	// Reason is for the log.
 	Reason string
 }
 
-// QueryRemoved asks whether the group has removed an identity; the answer is a
-// Reply with the same ID and a StepResponse.
+// QueryRemoved asks whether the group has removed an identity; the answer is a Reply with
+// the same ID and a StepResponse.
 type QueryRemoved struct {
 	ID       uint64
 	Identity *pb.ReplicaIdentity
 }
 
-// Stop begins the planned stop: leadership is handed on.
+// Stop begins a planned shutdown by transferring leadership.
 type Stop struct{}
 
 func (Tick) isEvent()            {}
--- a/internal/control/world_test.go
+++ b/internal/control/harness_test.go
@@ -30,19 +30,19 @@
 // takes its leadership or lease away.
 type fakeNode struct {
 	term, index uint64
-	leads       bool
+	isLeader    bool
 	leaseUntil  time.Duration
 	// confirms is false when no quorum answers: reads stay open.
-	confirms bool
-	reads    []uint64
+	quorumAnswers bool
+	reads         []uint64
 	// tells is given out with the next Tick.
-	tells []consensus.Effect
+	nextEffects []consensus.Effect
 	// replicas is what Status tells of the others.
 	replicas []consensus.ReplicaStatus
 	// changes are the changes of the member list that were proposed.
 	changes []consensus.MembershipChange
 	// stuck keeps what is proposed from committing.
-	stuck bool
+	commitsBlocked bool
 }
 
 func (n *fakeNode) LeaseUntil() time.Duration { return n.leaseUntil }
@@ -54,11 +54,11 @@
 func (n *fakeNode) Step(_ time.Duration, ev consensus.Event) []consensus.Effect {
 	switch e := ev.(type) {
 	case consensus.Propose:
-		if !n.leads {
+		if !n.isLeader {
 			return []consensus.Effect{consensus.ProposalRefused{ID: e.ID, Reason: consensus.NotLeader}}
 		}
 		n.index++
-		if n.stuck {
+		if n.commitsBlocked {
 			return []consensus.Effect{consensus.ProposalAppended{ID: e.ID, Index: n.index, Term: n.term}}
 		}
 		entry := &pb.LogEntry{Term: n.term, Index: n.index, Data: e.Data}
@@ -69,20 +69,20 @@
 	case consensus.ProposeMembership:
 		n.changes = append(n.changes, e.Change)
 	case consensus.ReadIndex:
-		if n.confirms {
+		if n.quorumAnswers {
 			return []consensus.Effect{consensus.ReadReady{ID: e.ID, Index: n.index}}
 		}
 		n.reads = append(n.reads, e.ID)
 	case consensus.Tick:
-		list := n.tells
-		n.tells = nil
+		list := n.nextEffects
+		n.nextEffects = nil
 		return list
 	}
 	return nil
 }
 
 // world is one replica under test with its own clock.
-type world struct {
+type harness struct {
 	*Reducer
 	t       testing.TB
 	node    *fakeNode
@@ -90,11 +90,11 @@
 	nextID  uint64
 	replies map[uint64]Reply
 	// watched counts the answers to Watch.
-	watched int
-	orders  []SendOrder
+	watchReplies int
+	orders       []SendOrder
 	// announced are servers that go on announcing themselves each second.
-	announced []*pb.Announcement
-	lastTold  time.Duration
+	repeated     []*pb.Announcement
+	lastReportAt time.Duration
 	// entries are entries that poll; silent ones do not.
 	entries map[string]*fakeEntry
 }
@@ -108,92 +108,92 @@
 	silent   bool
 }
 
-func newWorld(t testing.TB) *world {
-	node := &fakeNode{confirms: true}
-	w := &world{
+func newHarness(t testing.TB) *harness {
+	node := &fakeNode{quorumAnswers: true}
+	h := &harness{
 		t: t, node: node, clock: time.Hour,
 		replies: make(map[uint64]Reply), entries: make(map[string]*fakeEntry),
 	}
-	w.Reducer = NewReducer(Config{Cluster: cluster, ID: 1, Sender: "control-1", OrderPause: 10 * time.Second}, node, NewState())
-	w.tick()
-	w.lead(1)
-	return w
+	h.Reducer = NewReducer(Config{Cluster: cluster, ID: 1, Sender: "control-1", OrderPause: 10 * time.Second}, node, NewState())
+	h.tick()
+	h.becomeLeader(1)
+	return h
 }
 
 // lead makes the replica the ready leader of a term.
-func (w *world) lead(term uint64) {
-	w.node.term, w.node.leads = term, true
-	w.node.leaseUntil = w.clock + time.Hour
-	w.tell(consensus.LeaderChanged{Term: term, Leader: 1, Leads: true})
+func (h *harness) becomeLeader(term uint64) {
+	h.node.term, h.node.isLeader = term, true
+	h.node.leaseUntil = h.clock + time.Hour
+	h.emitOnTick(consensus.LeaderChanged{Term: term, Leader: 1, Leads: true})
 }
 
 // follow takes leadership away.
-func (w *world) follow(term uint64) {
-	w.node.leads, w.node.leaseUntil = false, 0
-	w.tell(consensus.LeaderChanged{Term: term, Leader: 2})
+func (h *harness) stepDown(term uint64) {
+	h.node.isLeader, h.node.leaseUntil = false, 0
+	h.emitOnTick(consensus.LeaderChanged{Term: term, Leader: 2})
 }
 
-func (w *world) tell(list ...consensus.Effect) {
-	w.node.tells = list
-	w.tick()
+func (h *harness) emitOnTick(list ...consensus.Effect) {
+	h.node.nextEffects = list
+	h.tick()
 }
 
-func (w *world) step(ev Event) {
-	for _, eff := range w.Step(w.clock, ev) {
+func (h *harness) step(ev Event) {
+	for _, eff := range h.Step(h.clock, ev) {
 		switch e := eff.(type) {
 		case Reply:
-			w.replies[e.ID] = e
+			h.replies[e.ID] = e
 			if _, ok := e.Response.(*pb.WatchResponse); ok {
-				w.watched++
+				h.watchReplies++
 			}
 		case SendOrder:
-			w.orders = append(w.orders, e)
+			h.orders = append(h.orders, e)
 		}
 	}
 }
 
-func (w *world) tick() {
-	w.step(Tick{WallMS: startMS + w.clock.Milliseconds()})
+func (h *harness) tick() {
+	h.step(Tick{WallMS: startMS + h.clock.Milliseconds()})
 }
 
 // advance lets time pass, with entries that poll and servers that announce.
-func (w *world) advance(d time.Duration) {
-	for end := w.clock + d; w.clock < end; {
-		w.clock += 50 * time.Millisecond
-		w.tick()
-		w.poll()
-		if w.clock >= w.lastTold+time.Second {
-			w.lastTold = w.clock
-			w.report(w.announced...)
+func (h *harness) advance(d time.Duration) {
+	for end := h.clock + d; h.clock < end; {
+		h.clock += 50 * time.Millisecond
+		h.tick()
+		h.poll()
+		if h.clock >= h.lastReportAt+time.Second {
+			h.lastReportAt = h.clock
+			h.report(h.repeated...)
 		}
 	}
 }
 
-func (w *world) poll() {
-	for _, e := range w.entries {
-		w.pollOne(e)
+func (h *harness) poll() {
+	for _, e := range h.entries {
+		h.pollOne(e)
 	}
 }
 
 // pollOne lets an entry take the answer that it has and ask again.
-func (w *world) pollOne(e *fakeEntry) {
-	if r, ok := w.replies[e.call]; ok && e.call != 0 {
-		delete(w.replies, e.call)
+func (h *harness) pollOne(e *fakeEntry) {
+	if r, ok := h.replies[e.call]; ok && e.call != 0 {
+		delete(h.replies, e.call)
 		e.call = 0
 		if resp, is := r.Response.(*pb.WatchResponse); is && r.Err == nil {
 			e.known, e.revision = resp.GetVersion(), resp.GetRevision()
 		}
 	}
 	if e.call == 0 && !e.silent {
-		e.call = w.send(&pb.WatchRequest{
+		e.call = h.send(&pb.WatchRequest{
 			ClusterId: cluster, Entry: e.identity, KnownVersion: e.known, Revision: e.revision, HoldMs: 600,
 		})
 	}
 }
 
-func (w *world) addEntry(name string) *fakeEntry {
+func (h *harness) addEntry(name string) *fakeEntry {
 	e := &fakeEntry{identity: entryIdentity(name, "1")}
-	w.entries[name] = e
+	h.entries[name] = e
 	return e
 }
 
@@ -201,29 +201,29 @@
 	return &pb.EntryIdentity{Name: name, Incarnation: incarnation, CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:2"}
 }
 
-func (w *world) send(req proto.Message) uint64 {
-	w.nextID++
-	w.step(Call{ID: w.nextID, Request: req})
-	return w.nextID
+func (h *harness) send(req proto.Message) uint64 {
+	h.nextID++
+	h.step(Call{ID: h.nextID, Request: req})
+	return h.nextID
 }
 
 // ask sends a call that must be answered in the same step.
-func ask[T proto.Message](w *world, req proto.Message) T {
-	w.t.Helper()
-	id := w.send(req)
-	r, ok := w.replies[id]
+func call[T proto.Message](h *harness, req proto.Message) T {
+	h.t.Helper()
+	id := h.send(req)
+	r, ok := h.replies[id]
 	if !ok || r.Err != nil {
-		w.t.Fatalf("%T: answered %v, error %v", req, ok, r.Err)
+		h.t.Fatalf("%T: answered %v, error %v", req, ok, r.Err)
 	}
 	return r.Response.(T)
 }
 
-func (w *world) report(list ...*pb.Announcement) {
-	w.send(&pb.ReportRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), Announcements: list})
+func (h *harness) report(list ...*pb.Announcement) {
+	h.send(&pb.ReportRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), Announcements: list})
 }
 
 // engine gives an announcement of an idle engine, which the world repeats.
-func (w *world) engine(id string) *pb.Announcement {
+func (h *harness) engine(id string) *pb.Announcement {
 	a := &pb.Announcement{
 		Server: &pb.BackendServer{
 			Id: id, Incarnation: "i1", Address: "127.0.0.1:9", Kind: pb.ServerKind_SERVER_KIND_MODEL,
@@ -232,13 +232,13 @@
 		},
 		Load: &pb.Load{},
 	}
-	w.announced = append(w.announced, a)
-	w.report(a)
+	h.repeated = append(h.repeated, a)
+	h.report(a)
 	return a
 }
 
-func (w *world) server(id string) *pb.BackendServer {
-	for _, b := range w.State().View(0).GetServers() {
+func (h *harness) server(id string) *pb.BackendServer {
+	for _, b := range h.State().View(0).GetServers() {
 		if b.GetId() == id {
 			return b
 		}
@@ -247,7 +247,7 @@
 }
 
 // declare gives a small declaration; mark makes its content differ.
-func declare(revision, base uint64, author, mark string) *pb.Declaration {
+func testDeclaration(revision, base uint64, author, mark string) *pb.Declaration {
 	d := &declaration.Declaration{Revision: revision, Base: base, Author: author}
 	d.Limits = declaration.Limits{
 		OnceWindow: time.Hour, OnceAnswerBytes: 100, QuarantineTime: time.Hour, QuarantineDeaths: 2,
@@ -260,7 +260,7 @@
 }
 
 // with gives the declaration with the objects of a kind changed.
-func with(d *pb.Declaration, kind, content string) *pb.Declaration {
+func withObjects(d *pb.Declaration, kind, content string) *pb.Declaration {
 	for _, o := range d.GetObjects() {
 		if o.GetKind() == kind {
 			o.Content = []byte(content)
@@ -270,9 +270,9 @@
 	return d
 }
 
-func (w *world) apply(d *pb.Declaration) *pb.ApplyResponse {
-	w.t.Helper()
-	return ask[*pb.ApplyResponse](w, &pb.ApplyRequest{ClusterId: cluster, Declaration: proto.CloneOf(d)})
+func (h *harness) apply(d *pb.Declaration) *pb.ApplyResponse {
+	h.t.Helper()
+	return call[*pb.ApplyResponse](h, &pb.ApplyRequest{ClusterId: cluster, Declaration: proto.CloneOf(d)})
 }
 
 // keyAt gives a UUIDv7 of that time.
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -10,197 +10,202 @@
 )
 
 const (
-	// serverLease is how long a backend server counts as alive after its last
-	// announcement: four announcements may be lost.
+	// serverLease is how long a backend server counts as alive after its last announcement.
+	// Servers announce once a second, so four announcements may be lost.
 	serverLease = 5 * time.Second
-	// entryLease is the same for entries, whose Watch comes at least every
-	// watchHold.
+	// entryLease is the same for entries, which send a Watch at least every watchHold.
 	entryLease = 5 * time.Second
-	// viewLease is how long an entry may act on a view from when it asked for
-	// it. Two Watch answers may be lost; a server that leaves gets no new work
-	// from a cut-off entry after it.
+	// viewLease is how long an entry may route by a view, counted from its request for the
+	// view. Two Watch answers may be lost. A server that is leaving gets no new requests
+	// from a partitioned entry after this time.
 	viewLease = 1500 * time.Millisecond
-	// watchHold is the longest that a Watch is held. It must leave more than
-	// half of viewLease for the way of the answer.
+	// watchHold is the longest time that a Watch is held open. It must leave more than half
+	// of viewLease for delivering the answer.
 	watchHold = 600 * time.Millisecond
-	// deafAfter: a leader that has heard no entry, or has not run, for this
-	// long does not believe that the servers are gone.
-	deafAfter = 2 * time.Second
-	// sweepInterval is how often a leader looks for leases that ran out.
+	// isolatedAfter is the silence after which a leader considers itself isolated: if it
+	// got no report from any entry, or did not run, for this long, it does not declare
+	// servers GONE.
+	isolatedAfter = 2 * time.Second
+	// sweepInterval is how often a leader looks for expired leases.
 	sweepInterval = 200 * time.Millisecond
-	// expireInterval is how often a leader looks for what is past its window.
+	// expireInterval is how often a leader looks for records that are past their retention.
 	expireInterval = 10 * time.Second
 )
 
-// leadership is what only a leader keeps. It is lost with it: the next leader
-// begins with full leases.
+// leadership is the in-memory state of a leader. It is lost with the leadership: the next
+// leader begins with full leases.
 type leadership struct {
-	since time.Duration
+	startedAt time.Duration
 	// servers and entries hold leases, by id and by name.
-	servers map[string]*serverWatch
-	entries map[string]*entryWatch
-	// watches are the held Watch calls, the oldest first.
+	servers map[string]*trackedServer
+	entries map[string]*trackedEntry
+	// watches are the held Watch calls, oldest first.
 	watches []*heldWatch
-	// newsAt is when the last round of news answered them.
-	newsAt time.Duration
-	views  viewCache
-	// registrations wait for the end of the step, to go in one command.
+	// lastRoundAt is when a new view was last sent to the held watches.
+	lastRoundAt time.Duration
+	views       viewCache
+	// registrations are proposed as one command at the end of the step.
 	registrations []*pb.BackendServer
 	deliveries    map[string]*delivery
 	demand        demandWindow
-	// offeredAt is when work was last heard to be offered, or when this leader began.
-	offeredAt time.Duration
-	plans     map[string]*modelPlan
+	// lastDemandAt is when an entry last reported demand, or when this leadership began.
+	lastDemandAt time.Duration
+	plans        map[string]*modelPlan
 
-	usage  usageLead
-	duties dutyLead
-	scale  scaleLead
+	usage  leaderUsage
+	duties leaderDuties
+	scale  leaderScale
 
-	// joiners wait to be added, by address; mending is true while a change of the
-	// member list is on its way.
-	joiners map[string]*joiner
-	mending bool
+	// joiners are the replicas that wait to be added, by address. membershipChangePending
+	// is true while a change of the member list is in progress.
+	joiners                 map[string]*joiner
+	membershipChangePending bool
 
-	// left are lives that left before this leader had heard of them, and when.
-	left map[string]time.Duration
+	// departed holds the incarnations that left before this leader got an announcement of
+	// them, and the time.
+	departed map[string]time.Duration
 
-	// heardAt is when any entry was last heard, sweptAt when leases were last
-	// looked at.
-	heardAt time.Duration
-	sweptAt time.Duration
-	// expired is when an Expire was last thought of.
-	expired time.Duration
+	// lastContactAt is when any entry last reported. lastSweepAt is when leases were last
+	// checked.
+	lastContactAt time.Duration
+	lastSweepAt   time.Duration
+	// lastExpiryCheckAt is when the leader last checked whether to propose an Expire.
+	lastExpiryCheckAt time.Duration
 }
 
-// serverWatch is what a leader keeps of a backend server.
-type serverWatch struct {
-	until       time.Duration
+// trackedServer is the leader's in-memory state of a backend server.
+type trackedServer struct {
+	leaseUntil  time.Duration
 	incarnation string
-	// since is when this leader first knew of the life.
-	since time.Duration
-	// heard is set once this leader has a whole announcement of it.
-	heard bool
-	load  *pb.Load
-	// loadAt is when the load was true: heard, less its age.
-	loadAt time.Duration
-	// leftAt is when it last said that it leaves.
-	leftAt time.Duration
+	// firstSeenAt is when this leader first learned of the incarnation.
+	firstSeenAt time.Duration
+	// fullyAnnounced is set once this leader has received a full announcement of the
+	// incarnation.
+	fullyAnnounced bool
+	load           *pb.Load
+	// loadMeasuredAt is when the load was measured: the time of receipt less the load's
+	// age.
+	loadMeasuredAt time.Duration
+	// leavingAt is when the server last reported that it is leaving.
+	leavingAt time.Duration
 	// token is the newest order token that this incarnation has reported.
 	token *pb.FencingToken
-	// proposed is the registration that is on its way through the log, waiting
-	// the server's own calls that are answered with it.
+	// proposed is the registration that is being replicated. waiting holds the ids of the
+	// server's calls that are answered once it is committed.
 	proposed *pb.BackendServer
 	waiting  []uint64
-	// sequence is that of the newest word that the server itself has told here.
+	// sequence is that of the newest announcement that the server sent to this leader
+	// directly.
 	sequence uint64
 }
 
-// entryWatch is what a leader keeps of an entry.
-type entryWatch struct {
-	until       time.Duration
+// trackedEntry is the leader's in-memory state of an entry.
+type trackedEntry struct {
+	leaseUntil  time.Duration
 	incarnation string
-	// known is the view version that it has in force, revision the
-	// declaration's.
-	known    uint64
-	revision uint64
-	// viewUntil bounds the lease of any view that it may still act on.
+	// knownVersion is the view version that the entry uses, revision its declaration
+	// revision.
+	knownVersion uint64
+	revision     uint64
+	// viewUntil is when the last lease of any view that the entry may still use ends.
 	viewUntil time.Duration
-	// past are incarnations that were replaced.
-	past     []string
-	proposed *pb.EntryInfo
+	// pastIncarnations are incarnations that were replaced.
+	pastIncarnations []string
+	proposed         *pb.EntryInfo
 }
 
-// newLeadership begins with a full lease for all: the new leader has heard
-// nobody yet, which tells nothing of them.
+// newLeadership gives every known server and entry a full lease: the new leader has
+// received no reports yet, which says nothing about them.
 func newLeadership(now time.Duration, s *State) *leadership {
 	l := &leadership{
-		since: now, heardAt: now, offeredAt: now, sweptAt: now, expired: now,
-		servers:    make(map[string]*serverWatch),
-		entries:    make(map[string]*entryWatch),
+		startedAt: now, lastContactAt: now, lastDemandAt: now, lastSweepAt: now, lastExpiryCheckAt: now,
+		servers:    make(map[string]*trackedServer),
+		entries:    make(map[string]*trackedEntry),
 		deliveries: make(map[string]*delivery),
 		demand:     newDemandWindow(now),
 		plans:      make(map[string]*modelPlan),
 		joiners:    make(map[string]*joiner),
-		left:       make(map[string]time.Duration),
-		usage:      newUsageLead(),
-		duties:     newDutyLead(),
-		scale:      newScaleLead(),
+		departed:   make(map[string]time.Duration),
+		usage:      newLeaderUsage(),
+		duties:     newLeaderDuties(),
+		scale:      newLeaderScale(),
 	}
 	for _, sv := range s.sortedServers() {
-		l.servers[sv.told.GetId()] = &serverWatch{
-			until: now + serverLease, incarnation: sv.told.GetIncarnation(), since: now,
+		l.servers[sv.info.GetId()] = &trackedServer{
+			leaseUntil: now + serverLease, incarnation: sv.info.GetIncarnation(), firstSeenAt: now,
 		}
 	}
 	for _, e := range s.sortedEntries() {
-		l.entries[e.info.GetIdentity().GetName()] = &entryWatch{
-			until: now + entryLease, viewUntil: now + viewLease, incarnation: incarnationOf(e.info),
+		l.entries[e.info.GetIdentity().GetName()] = &trackedEntry{
+			leaseUntil: now + entryLease, viewUntil: now + viewLease, incarnation: incarnationOf(e.info),
 		}
 	}
 	return l
 }
 
-// leaderTick does what time alone brings about.
+// leaderTick performs the leader's periodic work.
 func (r *Reducer) leaderTick() {
-	r.releaseWatches()
-	if r.now < r.lead.sweptAt+sweepInterval {
+	r.answerExpiredWatches()
+	if r.now < r.lead.lastSweepAt+sweepInterval {
 		return
 	}
-	r.regrace()
-	r.lead.sweptAt = r.now
-	if !r.leased() {
+	r.extendLeasesAfterIsolation()
+	r.lead.lastSweepAt = r.now
+	if !r.hasQuorumLease() {
 		return
 	}
 	r.sweepServers()
 	r.sweepEntries()
-	r.lead.sweepLeft(r.now)
-	r.driveOrders()
-	r.driveRoles()
-	r.driveUsage()
-	r.driveScale()
-	r.driveExpiry()
-	r.mend()
+	r.lead.expireDeparted(r.now)
+	r.advanceOrders()
+	r.reconcileEngines()
+	r.processUsage()
+	r.reconcileScale()
+	r.proposeExpiry()
+	r.reconcileMembership()
 }
 
-// regrace gives every server a full lease again after the leader was deaf.
+// extendLeasesAfterIsolation renews the lease of every server after the leader was
+// isolated.
 //
-// Failure: the leader's process is stopped for some seconds, or it is cut off
-// from the entries but not from the other replicas. All server leases run out at
-// once, and every server would be GONE though all serve. Silence from everybody
-// tells of the leader, not of the servers.
-func (r *Reducer) regrace() {
-	deaf := r.now-r.lead.heardAt > deafAfter || r.now-r.lead.sweptAt > deafAfter
-	if !deaf {
+// Failure: the leader's process is paused for some seconds, or the leader is partitioned
+// from the entries but not from the other replicas. All server leases expire at once, and
+// every server would become GONE although all of them serve. Silence from all entries
+// indicates a fault of the leader, not of the servers.
+func (r *Reducer) extendLeasesAfterIsolation() {
+	isolated := r.now-r.lead.lastContactAt > isolatedAfter || r.now-r.lead.lastSweepAt > isolatedAfter
+	if !isolated {
 		return
 	}
-	for _, w := range r.lead.servers {
-		w.until = max(w.until, r.now+serverLease)
+	for _, t := range r.lead.servers {
+		t.leaseUntil = max(t.leaseUntil, r.now+serverLease)
 	}
 }
 
-// sweepServers finds the servers whose lease ran out.
+// sweepServers marks the servers whose lease has expired as GONE.
 func (r *Reducer) sweepServers() {
 	for _, sv := range r.state.sortedServers() {
-		id := sv.told.GetId()
-		w := r.lead.servers[id]
-		if sv.goneMS != 0 || w == nil || r.now < w.until || w.proposed != nil {
+		id := sv.info.GetId()
+		t := r.lead.servers[id]
+		if sv.goneMS != 0 || t == nil || r.now < t.leaseUntil || t.proposed != nil {
 			continue
 		}
-		gone := proto.CloneOf(sv.told)
+		gone := proto.CloneOf(sv.info)
 		gone.State = pb.ServerState_SERVER_STATE_GONE
-		r.register(w, gone)
-		r.log(slog.LevelWarn, "backend server is gone",
+		r.register(t, gone)
+		r.log(slog.LevelWarn, "backend server lease expired",
 			Field{"server", id}, Field{"incarnation", gone.GetIncarnation()})
 	}
 	r.flushRegistrations()
 }
 
 // register queues a registration for the command at the end of the step.
-func (r *Reducer) register(w *serverWatch, told *pb.BackendServer) {
-	w.proposed = told
-	r.lead.registrations = append(r.lead.registrations, told)
+func (r *Reducer) register(t *trackedServer, info *pb.BackendServer) {
+	t.proposed = info
+	r.lead.registrations = append(r.lead.registrations, info)
 }
 
-// flushRegistrations proposes what the step has queued as one command.
+// flushRegistrations proposes the queued registrations as one command.
 func (r *Reducer) flushRegistrations() {
 	if r.lead == nil || len(r.lead.registrations) == 0 {
 		return
@@ -208,86 +213,86 @@
 	list := r.lead.registrations
 	r.lead.registrations = nil
 	cmd := &pb.Command{Op: &pb.Command_Register{Register: &pb.RegisterServers{Servers: list}}}
-	r.propose(cmd, func(_ proto.Message, ok bool) { r.registered(list, ok) })
+	r.propose(cmd, func(_ proto.Message, ok bool) { r.onRegistered(list, ok) })
 }
 
-func (r *Reducer) registered(list []*pb.BackendServer, ok bool) {
+func (r *Reducer) onRegistered(list []*pb.BackendServer, ok bool) {
 	if r.lead == nil {
 		return
 	}
-	for _, told := range list {
-		if w := r.lead.servers[told.GetId()]; w != nil && w.proposed == told {
-			w.proposed = nil
-			r.answerWaiting(w, ok)
+	for _, info := range list {
+		if t := r.lead.servers[info.GetId()]; t != nil && t.proposed == info {
+			t.proposed = nil
+			r.answerWaitingCalls(t, ok)
 		}
 	}
 }
 
-// sweepEntries finds the entries whose lease ran out.
+// sweepEntries removes the entries whose lease has expired.
 func (r *Reducer) sweepEntries() {
 	var removed []string
 	for _, e := range r.state.sortedEntries() {
 		name := e.info.GetIdentity().GetName()
-		w := r.lead.entries[name]
-		if w == nil || r.now < w.until || w.proposed != nil {
+		t := r.lead.entries[name]
+		if t == nil || r.now < t.leaseUntil || t.proposed != nil {
 			continue
 		}
-		w.proposed = e.info
+		t.proposed = e.info
 		removed = append(removed, name)
-		r.log(slog.LevelWarn, "entry is gone", Field{"entry", name})
+		r.log(slog.LevelWarn, "entry lease expired", Field{"entry", name})
 	}
 	if len(removed) == 0 {
 		return
 	}
 	cmd := &pb.Command{Op: &pb.Command_Entry{Entry: &pb.EntryUpdate{Removed: removed}}}
-	r.propose(cmd, func(_ proto.Message, ok bool) { r.entriesRemoved(removed, ok) })
+	r.propose(cmd, func(_ proto.Message, ok bool) { r.onEntriesRemoved(removed, ok) })
 }
 
-func (r *Reducer) entriesRemoved(removed []string, ok bool) {
+func (r *Reducer) onEntriesRemoved(removed []string, ok bool) {
 	if r.lead == nil {
 		return
 	}
 	for _, name := range removed {
-		w := r.lead.entries[name]
-		if w == nil {
+		t := r.lead.entries[name]
+		if t == nil {
 			continue
 		}
-		w.proposed = nil
-		if ok && r.now >= w.until {
+		t.proposed = nil
+		if ok && r.now >= t.leaseUntil {
 			delete(r.lead.entries, name)
 		}
 	}
 }
 
-// driveExpiry proposes Expire when something is past its window, so that an
-// idle group's log does not grow.
-func (r *Reducer) driveExpiry() {
-	if r.now < r.lead.expired+expireInterval {
+// proposeExpiry proposes an Expire only when a record is past its retention, so that the
+// log of an idle group does not grow.
+func (r *Reducer) proposeExpiry() {
+	if r.now < r.lead.lastExpiryCheckAt+expireInterval {
 		return
 	}
-	r.lead.expired = r.now
+	r.lead.lastExpiryCheckAt = r.now
 	if !r.state.expiryDue(r.wall()) {
 		return
 	}
 	r.propose(&pb.Command{Op: &pb.Command_Expire{Expire: &pb.Expire{}}}, func(proto.Message, bool) {})
 }
 
-// expiryDue tells whether an Expire at that time would drop something.
+// expiryDue reports whether an Expire at that time would remove any record.
 func (s *State) expiryDue(nowMS int64) bool {
-	cut := (nowMS - s.limits().OnceWindow.Milliseconds()) / claimBucket.Milliseconds()
+	cut := (nowMS - s.limits().OnceWindow.Milliseconds()) / claimBucketWidth.Milliseconds()
 	for bucket := range s.claims.buckets {
 		if bucket < cut {
 			return true
 		}
 	}
 	keep := s.limits().QuarantineTime.Milliseconds()
-	for _, sus := range s.suspects.byKey {
-		if nowMS >= max(sus.GetLastUnixMs()+keep, sus.GetExpiresUnixMs()) {
+	for _, suspect := range s.suspects.byKey {
+		if nowMS >= max(suspect.GetLastUnixMs()+keep, suspect.GetExpiresUnixMs()) {
 			return true
 		}
 	}
 	for id, sv := range s.servers {
-		if s.forgettable(id, sv, nowMS) {
+		if s.serverExpired(id, sv, nowMS) {
 			return true
 		}
 	}
--- a/internal/control/mending.go
+++ b/internal/control/membership.go
@@ -13,18 +13,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// joinerKept is how long a replica that asked to join counts as waiting: it asks
+// joinerTimeout is how long a replica counts as waiting after its last Join call: it calls
 // several times a second.
-const joinerKept = 3 * time.Second
+const joinerTimeout = 3 * time.Second
 
-// joiner is a replica that waits to be added.
+// joiner is a replica that waits to be added to the group.
 type joiner struct {
-	member *pb.ReplicaMember
-	at     time.Duration
+	member     *pb.ReplicaMember
+	lastSeenAt time.Duration
 }
 
-// onJoin notes a replica that waits. One address has one replica: the newest life
-// there counts.
+// onJoin records a replica that waits to be added. An address has one replica: the newest
+// incarnation there replaces the earlier one.
 func (r *Reducer) onJoin(id uint64, req *pb.JoinRequest) {
 	m := req.GetMember()
 	if m.GetIdentity().GetId() == 0 || m.GetIdentity().GetIncarnation() == "" || m.GetAddress() == "" {
@@ -32,20 +32,21 @@
 		return
 	}
 	if r.lead.joiners[m.GetAddress()] == nil {
-		r.log(slog.LevelInfo, "replica waits to join", Field{"replica", m.GetIdentity().GetId()},
+		r.log(slog.LevelInfo, "replica is waiting to join", Field{"replica", m.GetIdentity().GetId()},
 			Field{"address", m.GetAddress()}, Field{"mends", r.cfg.TargetVoters > 0})
 	}
-	r.lead.joiners[m.GetAddress()] = &joiner{member: proto.CloneOf(m), at: r.now}
+	r.lead.joiners[m.GetAddress()] = &joiner{member: proto.CloneOf(m), lastSeenAt: r.now}
 	r.reply(id, &pb.JoinResponse{}, nil)
 }
 
-// mend makes the next change of the member list that the group needs.
-func (r *Reducer) mend() {
-	if r.cfg.TargetVoters == 0 || r.lead.mending {
+// reconcileMembership proposes the next change that brings the member list to the target
+// number of reachable voters.
+func (r *Reducer) reconcileMembership() {
+	if r.cfg.TargetVoters == 0 || r.lead.membershipChangePending {
 		return
 	}
-	maps.DeleteFunc(r.lead.joiners, func(_ string, j *joiner) bool { return r.now-j.at > joinerKept })
-	c, ok := replicas.Next(r.group())
+	maps.DeleteFunc(r.lead.joiners, func(_ string, j *joiner) bool { return r.now-j.lastSeenAt > joinerTimeout })
+	c, ok := replicas.Next(r.replicaGroup())
 	if !ok {
 		return
 	}
@@ -55,27 +56,27 @@
 		id = c.Add.ID
 		change = consensus.MembershipChange{Add: proto.CloneOf(r.lead.joiners[c.Add.Address].member)}
 	}
-	r.log(slog.LevelWarn, "group mends itself", Field{"add", c.Add != nil}, Field{"replica", id},
+	r.log(slog.LevelWarn, "control group membership change proposed", Field{"add", c.Add != nil}, Field{"replica", id},
 		Field{"reason", c.Reason}, Field{"voters_wanted", r.cfg.TargetVoters})
-	r.proposeMend(change)
+	r.proposeReconciledMembership(change)
 }
 
-func (r *Reducer) proposeMend(change consensus.MembershipChange) {
+func (r *Reducer) proposeReconciledMembership(change consensus.MembershipChange) {
 	lead := r.lead
-	lead.mending = true
+	lead.membershipChangePending = true
 	r.nextID++
 	r.proposals[r.nextID] = &proposal{
-		done: func(proto.Message, bool) { lead.mending = false },
+		done: func(proto.Message, bool) { lead.membershipChangePending = false },
 		refused: func(reason consensus.RefusalReason) {
-			lead.mending = false
-			r.log(slog.LevelInfo, "member list not changed yet", Field{"reason", membershipError(reason).Error()})
+			lead.membershipChangePending = false
+			r.log(slog.LevelInfo, "control group membership change refused; will be retried", Field{"reason", membershipError(reason).Error()})
 		},
 	}
 	r.stepNode(consensus.ProposeMembership{ID: r.nextID, Change: change})
 }
 
-// group is what the decision on the member list sees.
-func (r *Reducer) group() replicas.Group {
+// replicaGroup returns the input of the membership decision.
+func (r *Reducer) replicaGroup() replicas.Group {
 	g := replicas.Group{Voters: r.cfg.TargetVoters}
 	silent := make(map[uint64]time.Duration)
 	for _, s := range r.node.Status().Replicas {
--- /dev/null
+++ b/internal/control/membership_test.go
@@ -0,0 +1,67 @@
+package control
+
+import (
+	"testing"
+	"time"
+
+	"goldcrestseam.dev/goldcrestseam/internal/consensus"
+	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
+)
+
+func replicaAt(id uint64, address, incarnation string) *pb.ReplicaMember {
+	return &pb.ReplicaMember{
+		Identity: &pb.ReplicaIdentity{Id: id, Incarnation: incarnation}, Address: address,
+		Role: pb.ReplicaRole_REPLICA_ROLE_VOTER,
+	}
+}
+
+// mendingWorld leads a group of three that mends itself; 3 has been silent for
+// long.
+func newMembershipHarness(t *testing.T) *harness {
+	h := newHarness(t)
+	h.cfg.TargetVoters = 3
+	list := &pb.Membership{Members: []*pb.ReplicaMember{
+		replicaAt(1, "10.0.0.1:1", "a"), replicaAt(2, "10.0.0.2:1", "b"), replicaAt(3, "10.0.0.3:1", "c"),
+	}}
+	h.node.replicas = []consensus.ReplicaStatus{{ID: 1}, {ID: 2}, {ID: 3, SilentFor: time.Minute}}
+	h.emitOnTick(consensus.MembershipChanged{Membership: list, Committed: list})
+	return h
+}
+
+// A VM is replaced by an empty one. No operator is there: the group adds it by
+// itself when it asks, one change at a time.
+func TestGroupAddsAReplicaThatAsks(t *testing.T) {
+	h := newMembershipHarness(t)
+	call[*pb.JoinResponse](h, &pb.JoinRequest{ClusterId: cluster, Member: replicaAt(9, "10.0.0.9:1", "z")})
+	h.advance(time.Second)
+	if n := len(h.node.changes); n != 1 {
+		t.Fatalf("%d changes proposed, want 1 at a time: %v", n, h.node.changes)
+	}
+	if add := h.node.changes[0].Add; add.GetIdentity().GetId() != 9 || add.GetIdentity().GetIncarnation() != "z" {
+		t.Fatalf("change %v", h.node.changes[0])
+	}
+}
+
+// A group that operators change leaves its list alone, whoever asks.
+func TestOperatorManagedGroupIsNotChanged(t *testing.T) {
+	h := newMembershipHarness(t)
+	h.cfg.TargetVoters = 0
+	call[*pb.JoinResponse](h, &pb.JoinRequest{ClusterId: cluster, Member: replicaAt(9, "10.0.0.9:1", "z")})
+	h.advance(time.Second)
+	if len(h.node.changes) != 0 {
+		t.Fatalf("changes %v", h.node.changes)
+	}
+}
+
+// A replica asked, and is gone before its turn comes: it must not be added.
+func TestSilentJoinerExpires(t *testing.T) {
+	h := newMembershipHarness(t)
+	h.node.leaseUntil = 0
+	call[*pb.JoinResponse](h, &pb.JoinRequest{ClusterId: cluster, Member: replicaAt(9, "10.0.0.9:1", "z")})
+	h.advance(joinerTimeout + time.Second)
+	h.node.leaseUntil = h.clock + time.Hour
+	h.advance(time.Second)
+	if len(h.node.changes) != 0 {
+		t.Fatalf("changes %v", h.node.changes)
+	}
+}
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -10,8 +10,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// onApplyDeclaration checks that the objects are what the digest says before
-// they go into the log; who wins is decided where the command is applied.
+// onApplyDeclaration checks that the digest matches the objects before the declaration is
+// proposed. Conflicts between operators are decided when the command is applied.
 func (r *Reducer) onApplyDeclaration(id uint64, req *pb.ApplyRequest) {
 	d := req.GetDeclaration()
 	declaration.SortObjects(d.GetObjects())
@@ -46,8 +46,8 @@
 	r.proposeCall(id, &pb.Command{Op: &pb.Command_Drain{Drain: req}})
 }
 
-// onChangeRole gives an operator's order. The same request id gives the same
-// order, in its newest state.
+// onChangeRole proposes an operator's order. A repeated request id returns the existing
+// order in its latest state.
 func (r *Reducer) onChangeRole(id uint64, req *pb.ChangeRoleRequest) {
 	if known := r.state.requests.find(req.GetRequestId()); known.GetOrder() != nil {
 		r.reply(id, &pb.ChangeRoleResponse{Order: proto.CloneOf(known.GetOrder())}, nil)
@@ -66,7 +66,7 @@
 		return
 	}
 	order := &pb.Order{
-		Id: req.GetRequestId(), Server: req.GetServer(), Incarnation: sv.told.GetIncarnation(),
+		Id: req.GetRequestId(), Server: req.GetServer(), Incarnation: sv.info.GetIncarnation(),
 		Kind: pb.OrderKind_ORDER_KIND_SET_ROLE, Role: req.GetRole(), Reason: "operator",
 	}
 	r.proposeOrder(order, func(answer *pb.ChangeRoleResponse, ok bool) {
@@ -74,7 +74,7 @@
 	})
 }
 
-// onChangeReplica changes the member list of the control group by one.
+// onChangeReplica adds or removes one member of the control group.
 func (r *Reducer) onChangeReplica(id uint64, req *pb.ChangeReplicaRequest) {
 	member := req.GetMember()
 	replicaID := member.GetIdentity().GetId()
@@ -95,43 +95,43 @@
 		r.reply(id, nil, invalid("the change is neither add nor remove"))
 		return
 	}
-	r.log(slog.LevelInfo, "replica change", Field{"change", req.GetChange().String()}, Field{"replica", replicaID})
+	r.log(slog.LevelInfo, "replica change requested", Field{"change", req.GetChange().String()}, Field{"replica", replicaID})
 }
 
-// status is what operators see: the state with the leader's leases and loads.
+// status returns what operators see: the state with the leader's leases and loads.
 func (r *Reducer) status() *pb.StatusResponse {
 	resp := &pb.StatusResponse{
 		Revision: r.state.Revision(), ViewVersion: r.state.ViewVersion(),
 		Term: r.term, Leader: r.leader,
-		RoleChanges: r.state.roleChanges, OpenClaims: r.state.claims.open(),
+		RoleChanges: r.state.roleChanges, OpenClaims: r.state.claims.countRunning(),
 	}
 	for _, e := range r.state.sortedEntries() {
 		info := proto.CloneOf(e.info)
-		if w := r.lead.entries[info.GetIdentity().GetName()]; w != nil {
-			info.Revision, info.ViewVersion = w.revision, w.known
+		if t := r.lead.entries[info.GetIdentity().GetName()]; t != nil {
+			info.Revision, info.ViewVersion = t.revision, t.knownVersion
 		}
 		resp.Entries = append(resp.Entries, info)
 	}
 	for _, sv := range r.state.sortedServers() {
 		resp.Servers = append(resp.Servers, r.serverStatus(sv))
 	}
-	for _, sus := range r.state.suspects.sorted() {
-		if sus.GetVersion() > 0 {
-			resp.Quarantine = append(resp.Quarantine, quarantineOf(sus))
+	for _, suspect := range r.state.suspects.sorted() {
+		if suspect.GetVersion() > 0 {
+			resp.Quarantine = append(resp.Quarantine, quarantineOf(suspect))
 		}
 	}
 	return resp
 }
 
 func (r *Reducer) serverStatus(sv *server) *pb.ServerStatus {
-	id := sv.told.GetId()
-	st := &pb.ServerStatus{Server: r.state.shown(sv)}
+	id := sv.info.GetId()
+	st := &pb.ServerStatus{Server: r.state.serverView(sv)}
 	if o := r.state.unresolved(id); o != nil {
 		st.Unresolved = proto.CloneOf(o)
 	}
-	if w := r.lead.servers[id]; w != nil {
-		st.Load = w.load
-		st.LeaseLeftMs = uint32(max(0, (w.until - r.now).Milliseconds()))
+	if t := r.lead.servers[id]; t != nil {
+		st.Load = t.load
+		st.LeaseLeftMs = uint32(max(0, (t.leaseUntil - r.now).Milliseconds()))
 	}
 	return st
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -10,18 +10,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// maxRequests is how many operators' calls are remembered for resends.
+// maxRequests is the number of operators' calls that are remembered to answer repeats.
 const maxRequests = 1024
 
-// order is the newest order to one engine. It stays after its end, since the
-// next one must know whether a copy of it may still be on its way.
+// order is the newest order to one engine. It is kept after it is resolved, since the next
+// one must know whether a copy of it may still be in flight.
 type order struct {
 	proto      *pb.Order
 	wasSent    bool
 	createdMS  int64
 	resolvedMS int64
-	// previousTerm is the term of the order before it to the same engine, zero
-	// if that one was never sent.
+	// previousTerm is the term of the previous order to the same engine, zero if that one
+	// was never sent.
 	previousTerm uint64
 }
 
@@ -30,8 +30,8 @@
 	return st == pb.OrderState_ORDER_STATE_PREPARING || st == pb.OrderState_ORDER_STATE_SENT
 }
 
-// sentTerm is the newest term in which a copy of this order or of the one before
-// it was sent, zero if neither was.
+// sentTerm returns the newest term in which a copy of this order or the previous one was
+// sent, zero if neither was.
 func (o *order) sentTerm() uint64 {
 	if o.wasSent {
 		return o.proto.GetToken().GetTerm()
@@ -39,7 +39,7 @@
 	return o.previousTerm
 }
 
-// unresolved gives the server's order whose end is not known, or nil.
+// unresolved returns the server's order without a known outcome, or nil.
 func (s *State) unresolved(server string) *pb.Order {
 	if o := s.orders[server]; o != nil && o.unresolved() {
 		return o.proto
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// applyOrder takes a new intent or the next state of the unresolved one.
+// applyOrder applies a new intent or the next state of the unresolved order.
 func (s *State) applyOrder(term uint64, u *pb.Order) *pb.ChangeRoleResponse {
 	if u.GetState() == pb.OrderState_ORDER_STATE_PREPARING {
 		return s.newOrder(term, u)
@@ -56,34 +56,34 @@
 	if o == nil || !o.unresolved() || o.proto.GetId() != u.GetId() {
 		return &pb.ChangeRoleResponse{Order: u}
 	}
-	s.moveOrder(o, u)
+	s.updateOrder(o, u)
 	return &pb.ChangeRoleResponse{Order: proto.CloneOf(o.proto)}
 }
 
-// newOrder accepts an intent or answers it as REFUSED with the reason.
+// newOrder accepts an intent, or answers it as REFUSED with the reason.
 //
-// Failure: two operators, or an operator and the automatic change, order
-// different things of one engine, or a new leader orders while the old one's
-// order is on its way. Intents stand in one log, and while one is unresolved no
-// other is accepted for that engine.
+// Failure: two operators, or an operator and the automatic planner, order different changes
+// of one engine, or a new leader sends an order while the previous leader's order is in
+// flight. All intents are in one log, and while one is unresolved no other is accepted for
+// that engine.
 func (s *State) newOrder(term uint64, u *pb.Order) *pb.ChangeRoleResponse {
 	if known := s.requests.find(u.GetId()); known != nil && known.GetOrder() != nil {
 		return &pb.ChangeRoleResponse{Order: proto.CloneOf(known.GetOrder())}
 	}
-	if why := s.orderRefusal(u); why != "" {
+	if reason := s.orderRefusal(u); reason != "" {
 		refused := proto.CloneOf(u)
-		refused.State, refused.Reason = pb.OrderState_ORDER_STATE_REFUSED, why
+		refused.State, refused.Reason = pb.OrderState_ORDER_STATE_REFUSED, reason
 		return &pb.ChangeRoleResponse{Order: refused}
 	}
 	o := &order{proto: proto.CloneOf(u), createdMS: s.nowMS}
-	// Term and index of the intent grow from order to order, whoever leads.
+	// The intent's term and index increase from order to order across leaders.
 	o.proto.Token = &pb.FencingToken{Term: term, Sequence: s.index}
-	if before := s.orders[u.GetServer()]; before != nil {
-		o.previousTerm = before.sentTerm()
+	if previous := s.orders[u.GetServer()]; previous != nil {
+		o.previousTerm = previous.sentTerm()
 	}
 	s.orders[u.GetServer()] = o
 	s.requests.remember(&pb.OperatorRequest{Id: u.GetId(), Server: u.GetServer(), Order: o.proto})
-	s.touchServer(u.GetServer())
+	s.bumpServerVersion(u.GetServer())
 	return &pb.ChangeRoleResponse{Order: proto.CloneOf(o.proto)}
 }
 
@@ -92,31 +92,32 @@
 	switch {
 	case u.GetId() == "":
 		return "the order has no id"
-	case sv == nil || sv.told.GetState() == pb.ServerState_SERVER_STATE_GONE:
+	case sv == nil || sv.info.GetState() == pb.ServerState_SERVER_STATE_GONE:
 		return "no such backend server is alive"
-	case sv.told.GetKind() != pb.ServerKind_SERVER_KIND_MODEL:
+	case sv.info.GetKind() != pb.ServerKind_SERVER_KIND_MODEL:
 		return "it is not a model engine"
-	case sv.told.GetIncarnation() != u.GetIncarnation():
+	case sv.info.GetIncarnation() != u.GetIncarnation():
 		return "the engine has restarted since"
-	case sv.told.GetState() != pb.ServerState_SERVER_STATE_SERVING:
+	case sv.info.GetState() != pb.ServerState_SERVER_STATE_SERVING:
 		return "the engine does not serve"
 	case s.unresolved(u.GetServer()) != nil:
 		return "order " + s.orders[u.GetServer()].proto.GetId() + " to it is unresolved"
-	case s.away(sv.told.GetModel()) >= s.maxAway():
+	case s.enginesAway(sv.info.GetModel()) >= s.maxAway():
 		return "as many engines of its model are away as roles.max_away allows"
 	}
 	return ""
 }
 
-// away counts the engines of a model that an unresolved order takes away.
-func (s *State) away(model string) int {
+// enginesAway returns the number of the model's engines that have an unresolved order and
+// therefore take no requests.
+func (s *State) enginesAway(model string) int {
 	n := 0
 	for id, o := range s.orders {
 		sv := s.servers[id]
-		if sv == nil || !o.unresolved() || sv.told.GetState() == pb.ServerState_SERVER_STATE_GONE {
+		if sv == nil || !o.unresolved() || sv.info.GetState() == pb.ServerState_SERVER_STATE_GONE {
 			continue
 		}
-		if sv.told.GetModel() == model {
+		if sv.info.GetModel() == model {
 			n++
 		}
 	}
@@ -130,8 +131,9 @@
 	return orDefault(s.declared.parsed.Roles.MaxAway, declaration.DefaultMaxAway)
 }
 
-// moveOrder takes the unresolved order one state on. SENT never goes back.
-func (s *State) moveOrder(o *order, u *pb.Order) {
+// updateOrder moves the unresolved order to its next state. A SENT order never returns to
+// PREPARING.
+func (s *State) updateOrder(o *order, u *pb.Order) {
 	o.proto.State = u.GetState()
 	if u.GetReason() != "" && u.GetState() != pb.OrderState_ORDER_STATE_SENT {
 		o.proto.Reason = u.GetReason()
@@ -141,47 +143,47 @@
 		o.wasSent = true
 		return
 	case pb.OrderState_ORDER_STATE_DONE:
-		s.takeResult(o.proto)
+		s.applyOrderResult(o.proto)
 	}
 	o.resolvedMS = s.nowMS
-	s.touchServer(o.proto.GetServer())
+	s.bumpServerVersion(o.proto.GetServer())
 }
 
-// takeResult puts what the order changed into the view, so that it does not
-// show the old role until the next announcement.
-func (s *State) takeResult(done *pb.Order) {
+// applyOrderResult updates the server's record with the order's result, so that the view
+// does not show the old role until the next announcement.
+func (s *State) applyOrderResult(done *pb.Order) {
 	sv := s.servers[done.GetServer()]
-	if sv == nil || sv.told.GetIncarnation() != done.GetIncarnation() {
+	if sv == nil || sv.info.GetIncarnation() != done.GetIncarnation() {
 		return
 	}
 	switch done.GetKind() {
 	case pb.OrderKind_ORDER_KIND_SET_ROLE:
-		sv.told.Role = done.GetRole()
+		sv.info.Role = done.GetRole()
 		s.roleChanges++
 	case pb.OrderKind_ORDER_KIND_LOAD_MODEL:
-		sv.told.Model, sv.told.ModelVersion = done.GetModel(), done.GetModelVersion()
+		sv.info.Model, sv.info.ModelVersion = done.GetModel(), done.GetModelVersion()
 	case pb.OrderKind_ORDER_KIND_LOAD_ADAPTER:
-		if !slices.Contains(sv.told.Adapters, done.GetAdapter()) {
-			sv.told.Adapters = append(sv.told.Adapters, done.GetAdapter())
+		if !slices.Contains(sv.info.Adapters, done.GetAdapter()) {
+			sv.info.Adapters = append(sv.info.Adapters, done.GetAdapter())
 		}
 	}
 }
 
-// abandonOrder ends the unresolved order to a server whose incarnation it was
-// for is gone: nothing of it can be carried out by that life any more.
-func (s *State) abandonOrder(told *pb.BackendServer) {
-	o := s.orders[told.GetId()]
+// abandonOrder ends the unresolved order to a server that has a new incarnation: the
+// incarnation that the order was for can't carry it out any more.
+func (s *State) abandonOrder(info *pb.BackendServer) {
+	o := s.orders[info.GetId()]
 	if o == nil || !o.unresolved() {
 		return
 	}
-	if o.proto.GetIncarnation() == told.GetIncarnation() {
+	if o.proto.GetIncarnation() == info.GetIncarnation() {
 		return
 	}
 	o.proto.State = pb.OrderState_ORDER_STATE_ABANDONED
 	o.resolvedMS = s.nowMS
 }
 
-// sortedOrders gives the newest order of each engine, by engine.
+// sortedOrders returns the newest order of each engine, sorted by engine.
 func (s *State) sortedOrders() []*order {
 	list := make([]*order, 0, len(s.orders))
 	for _, o := range s.orders {
@@ -193,7 +195,7 @@
 	return list
 }
 
-// requestLog remembers operators' calls by their request id.
+// requestLog remembers operators' calls by request id.
 type requestLog struct {
 	byID map[string]*pb.OperatorRequest
 	ids  []string
@@ -203,7 +205,7 @@
 	return requestLog{byID: make(map[string]*pb.OperatorRequest)}
 }
 
-// find gives the call with that id; calls without an id are never found.
+// find returns the call with that id; a call without an id is never found.
 func (l *requestLog) find(id string) *pb.OperatorRequest {
 	if id == "" {
 		return nil
--- a/internal/control/orders_rapid_test.go
+++ b/internal/control/orders_rapid_test.go
@@ -20,13 +20,13 @@
 	ended bool
 	// unsure is when the last copy was given up without an answer; term is the
 	// one in which the last order was first sent.
-	unsure time.Duration
-	term   uint64
-	ignore bool
+	unansweredAt  time.Duration
+	term          uint64
+	ignoresTokens bool
 }
 
 // check judges one sending by what went out before.
-func (m *orderModel) check(rt *rapid.T, w *world, took time.Duration, e SendOrder) {
+func (m *orderModel) check(rt *rapid.T, h *harness, ledSince time.Duration, e SendOrder) {
 	if e.Order.ID == m.last.ID {
 		if e.Order.Token != m.last.Token {
 			rt.Fatalf("%s was resent under another token", e.Order.ID)
@@ -39,12 +39,12 @@
 		rt.Fatalf("%s was sent while %s is unresolved", e.Order.ID, m.last.ID)
 	case !m.last.Token.Less(e.Order.Token):
 		rt.Fatalf("%s has token %v after %v", e.Order.ID, e.Order.Token, m.last.Token)
-	case m.ignore && m.unsure != 0 && w.clock < m.unsure+w.cfg.OrderPause:
+	case m.ignoresTokens && m.unansweredAt != 0 && h.clock < m.unansweredAt+h.cfg.OrderPause:
 		rt.Fatalf("%s was sent while a copy of %s may be on its way", e.Order.ID, m.last.ID)
-	case m.ignore && m.term != w.term && w.clock < took+w.cfg.OrderPause:
+	case m.ignoresTokens && m.term != h.term && h.clock < ledSince+h.cfg.OrderPause:
 		rt.Fatalf("%s was sent while an earlier leader's copy of %s may be on its way", e.Order.ID, m.last.ID)
 	}
-	*m = orderModel{last: e.Order, ignore: m.ignore, term: w.term, unsure: m.unsure}
+	*m = orderModel{last: e.Order, ignoresTokens: m.ignoresTokens, term: h.term, unansweredAt: m.unansweredAt}
 }
 
 // Operators order roles of engines that check tokens and engines that ignore
@@ -53,52 +53,52 @@
 // still arrive.
 func TestNoConflictingOrdersUnderAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(t)
-		w.apply(with(declare(1, 0, "ann", "a"), "roles", `{"max_away":2}`))
+		h := newHarness(t)
+		h.apply(withObjects(testDeclaration(1, 0, "ann", "a"), "roles", `{"max_away":2}`))
 		models := map[string]*orderModel{}
 		var fleet []*pb.Announcement
 		for _, id := range []string{"checks-1", "ignores-1", "ignores-2"} {
-			fleet = append(fleet, w.engine(id))
-			models[id] = &orderModel{ignore: id != "checks-1"}
+			fleet = append(fleet, h.engine(id))
+			models[id] = &orderModel{ignoresTokens: id != "checks-1"}
 		}
-		term, took := uint64(1), w.clock
+		term, ledSince := uint64(1), h.clock
 		for n := range rapid.IntRange(10, 40).Draw(rt, "steps") {
 			a := rapid.SampledFrom(fleet).Draw(rt, "engine")
 			m := models[a.GetServer().GetId()]
 			switch rapid.IntRange(0, 5).Draw(rt, "op") {
 			case 0, 1:
 				role := pb.EngineRole(rapid.IntRange(1, 3).Draw(rt, "role"))
-				w.changeRole(a.GetServer().GetId(), role, "op"+strconv.Itoa(n))
+				h.changeRole(a.GetServer().GetId(), role, "op"+strconv.Itoa(n))
 			case 2:
 				if m.last.ID != "" && m.last.Incarnation == a.GetServer().GetIncarnation() {
 					m.ended = true
-					w.answer(a, m.last.ID)
+					h.complete(a, m.last.ID)
 					a.Server.Role = wire.RoleProto(m.last.Role)
 				}
 			case 3:
 				if m.last.ID != "" {
-					w.step(OrderUnanswered{Server: a.GetServer().GetId(), OrderID: m.last.ID})
-					m.unsure = w.clock
+					h.step(OrderUnanswered{Server: a.GetServer().GetId(), OrderID: m.last.ID})
+					m.unansweredAt = h.clock
 				}
 			case 4:
 				term++
-				w.follow(term)
+				h.stepDown(term)
 				term++
-				w.lead(term)
-				took = w.clock
+				h.becomeLeader(term)
+				ledSince = h.clock
 			case 5:
 				a.Server.Incarnation = "life" + strconv.Itoa(n)
 				a.OrderId, a.OrderToken = "", nil
 				m.ended = true
-				w.report(a)
+				h.report(a)
 			}
 			for range rapid.IntRange(0, 80).Draw(rt, "later") {
-				seen := len(w.orders)
-				w.advance(100 * time.Millisecond)
-				for _, e := range w.orders[seen:] {
-					models[e.Server].check(rt, w, took, e)
+				seen := len(h.orders)
+				h.advance(100 * time.Millisecond)
+				for _, e := range h.orders[seen:] {
+					models[e.Server].check(rt, h, ledSince, e)
 				}
-				if away := w.State().away("m"); away > 2 {
+				if away := h.State().enginesAway("m"); away > 2 {
 					rt.Fatalf("%d engines away", away)
 				}
 			}
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -13,64 +13,64 @@
 	"goldcrestseam.dev/goldcrestseam/internal/wire"
 )
 
-// planInterval is how often roles are planned; the planner's averages are laid
-// out for it.
+// planInterval is how often roles are planned; the planner's moving averages assume this
+// interval.
 const planInterval = time.Second
 
-// modelPlan is the role planning of one model. It begins anew with each leader:
-// a change waits until the averages have filled again.
+// modelPlan is the role planning of one model. Each new leader starts an empty one: it
+// changes no role until the averages have filled again.
 type modelPlan struct {
 	planner *roles.Planner
-	// prefillRate and decodeRate are the highest that an engine of that role
-	// has reported, in tokens/s: an engine with both kinds of work reports less
-	// than it can.
+	// prefillRate and decodeRate are the highest rates that an engine of that role has
+	// reported, in tokens/s: an engine with both kinds of work reports less than it is
+	// capable of.
 	prefillRate, decodeRate float64
 }
 
-// planRoles lets the planner of each model look at the offered work and orders
-// what it chooses.
+// planRoles runs the planner of each model on the demand and orders the role changes that
+// it chooses.
 func (r *Reducer) planRoles() {
 	interval := r.now - r.lead.demand.since
 	d := r.state.declared.parsed
 	if interval < planInterval || d == nil {
 		return
 	}
-	offeredNow := r.lead.demand.byModel
+	demandByModel := r.lead.demand.byModel
 	r.lead.demand = newDemandWindow(r.now)
-	if r.now-r.lead.heardAt > deafAfter {
+	if r.now-r.lead.lastContactAt > isolatedAfter {
 		return
 	}
 	for _, m := range d.Models {
 		switch {
 		case d.Roles.Automatic:
-			r.planModel(m.Name, interval, offeredNow[m.Name])
+			r.planModel(m.Name, interval, demandByModel[m.Name])
 		case d.Roles.PrefillShare > 0:
-			r.keepShare(m.Name, d.Roles.PrefillShare)
+			r.maintainPrefillShare(m.Name, d.Roles.PrefillShare)
 		}
 	}
 }
 
-// keepShare orders the changes that keep the declared share of a model's engines
-// at prefill.
-func (r *Reducer) keepShare(model string, share float64) {
+// maintainPrefillShare orders the changes that keep the declared share of a model's engines
+// in the prefill role.
+func (r *Reducer) maintainPrefillShare(model string, share float64) {
 	o := roles.Observation{Engines: r.engines(model, &modelPlan{}), Bounds: r.roleBounds()}
 	for _, c := range roles.Keep(&o, share) {
 		r.orderChange(&o, c)
 	}
 }
 
-func (r *Reducer) planModel(model string, interval time.Duration, work *offered) {
+func (r *Reducer) planModel(model string, interval time.Duration, demand *modelDemand) {
 	plan := r.lead.plans[model]
 	if plan == nil {
 		plan = &modelPlan{planner: roles.NewPlanner()}
 		r.lead.plans[model] = plan
 	}
-	if work == nil {
-		work = &offered{}
+	if demand == nil {
+		demand = &modelDemand{}
 	}
 	o := roles.Observation{
-		Interval: interval, PrefillTokens: work.prefill, DecodeTokens: work.decode,
-		Engines: r.engines(model, plan), Bounds: r.roleBounds(), Price: r.rolePrice(work),
+		Interval: interval, PrefillTokens: demand.prefill, DecodeTokens: demand.decode,
+		Engines: r.engines(model, plan), Bounds: r.roleBounds(), Price: r.rolePrice(demand),
 	}
 	o.Rates = roles.Rates{Prefill: plan.prefillRate, Decode: plan.decodeRate}
 	for _, c := range plan.planner.Plan(r.now, o) {
@@ -78,24 +78,24 @@
 	}
 }
 
-// engines lists the model's engines as the planner sees them.
+// engines returns the model's engines as input for the planner.
 func (r *Reducer) engines(model string, plan *modelPlan) []roles.Engine {
 	var list []roles.Engine
 	for _, sv := range r.state.sortedServers() {
-		if sv.told.GetKind() != pb.ServerKind_SERVER_KIND_MODEL || sv.told.GetModel() != model {
+		if sv.info.GetKind() != pb.ServerKind_SERVER_KIND_MODEL || sv.info.GetModel() != model {
 			continue
 		}
-		id := sv.told.GetId()
+		id := sv.info.GetId()
 		load, age := &pb.Load{}, time.Duration(0)
-		if w := r.lead.servers[id]; w != nil {
-			age = r.now - w.since
-			if w.load != nil {
-				load = w.load
+		if t := r.lead.servers[id]; t != nil {
+			age = r.now - t.firstSeenAt
+			if t.load != nil {
+				load = t.load
 			}
 		}
-		plan.note(sv.told.GetRole(), load)
+		plan.observeRates(sv.info.GetRole(), load)
 		e := roles.Engine{
-			ID: id, Role: wire.Role(sv.told.GetRole()), Target: wire.Role(sv.told.GetRole()),
+			ID: id, Role: wire.Role(sv.info.GetRole()), Target: wire.Role(sv.info.GetRole()),
 			Age:  age,
 			Busy: float64(load.GetQueuedPrefillTokens()) + decision.OutputCost*float64(load.GetRunningDecodeTokens()),
 		}
@@ -105,13 +105,13 @@
 				e.Target = wire.Role(o.GetRole())
 			}
 		}
-		e.Usable = !e.Changing && !r.state.drained[id] && sv.told.GetState() == pb.ServerState_SERVER_STATE_SERVING
+		e.Usable = !e.Changing && !r.state.drained[id] && sv.info.GetState() == pb.ServerState_SERVER_STATE_SERVING
 		list = append(list, e)
 	}
 	return list
 }
 
-func (p *modelPlan) note(role pb.EngineRole, load *pb.Load) {
+func (p *modelPlan) observeRates(role pb.EngineRole, load *pb.Load) {
 	if role != pb.EngineRole_ENGINE_ROLE_DECODE {
 		p.prefillRate = max(p.prefillRate, load.GetPrefillRate())
 	}
@@ -120,22 +120,23 @@
 	}
 }
 
-// idleAfter is how long no work must have been offered for engines to count as idle: a new
-// leader has heard all entries by then.
-const idleAfter = 3 * time.Second
+// noDemandPeriod is how long no entry must have reported demand for engines to count as
+// idle: a new leader has received reports from all entries by then.
+const noDemandPeriod = 3 * time.Second
 
-// maxToldChanges bounds the engines that are away at once times the entries: each change is
-// told to all entries, several times.
-const maxToldChanges = 1700
+// maxChangeNotifications bounds the number of engines that change at once multiplied by the
+// number of entries: each change is sent to all entries several times.
+const maxChangeNotifications = 1700
 
-// roleBounds bound the system's own changes: few while work is offered, and before that as
-// many as all entries can be told of without harm to what else control tells them.
+// roleBounds returns the limits for automatic changes: few engines at once while there is
+// demand, and otherwise as many as can be announced to all entries without delaying the
+// leader's other messages.
 func (r *Reducer) roleBounds() roles.Bounds {
 	d := r.state.declared.parsed.Roles
 	away := r.state.maxAway()
 	if loaded := d.MaxAwayLoaded; loaded > 0 {
-		idle := max(loaded, maxToldChanges/max(1, len(r.state.entries)))
-		if r.now < r.lead.offeredAt+idleAfter {
+		idle := max(loaded, maxChangeNotifications/max(1, len(r.state.entries)))
+		if r.now < r.lead.lastDemandAt+noDemandPeriod {
 			idle = loaded
 		}
 		away = min(away, idle)
@@ -143,15 +144,16 @@
 	return roles.Bounds{MaxAway: away, MinMixedShare: d.MinMixedShare, ChangeTime: d.ChangeTime}
 }
 
-// rolePrice weighs the profiles' prices of a change by their part of the work.
-func (r *Reducer) rolePrice(work *offered) roles.Price {
+// rolePrice returns the price of a change: the average of the profiles' prices, weighted by
+// their share of the demand.
+func (r *Reducer) rolePrice(demand *modelDemand) roles.Price {
 	d := r.state.declared.parsed
 	price := roles.Price{GoodputWeight: d.Roles.GoodputWeight, ChangeWeight: d.Roles.ChangeWeight}
 	total, sum := 0.0, 0.0
-	for _, name := range slices.Sorted(maps.Keys(work.byProfile)) {
+	for _, name := range slices.Sorted(maps.Keys(demand.byProfile)) {
 		if p := d.Profile(name); p != nil {
-			total += work.byProfile[name]
-			sum += work.byProfile[name] * p.RoleChangePrice.Seconds()
+			total += demand.byProfile[name]
+			sum += demand.byProfile[name] * p.RoleChangePrice.Seconds()
 		}
 	}
 	if total > 0 {
@@ -160,10 +162,10 @@
 	return price
 }
 
-// orderChange orders a planned change, with the figures that it was taken on.
+// orderChange orders a planned change and logs the figures that it is based on.
 func (r *Reducer) orderChange(o *roles.Observation, c roles.Change) {
 	sv := r.state.servers[c.Engine]
-	if sv == nil || !r.orderable(sv) {
+	if sv == nil || !r.canOrder(sv) {
 		return
 	}
 	fields := []Field{
@@ -174,9 +176,9 @@
 		fields = append(fields, Field{f.Name, f.Value})
 	}
 	r.log(slog.LevelInfo, "role change decided", fields...)
-	// Term and log index make the id one of a kind: the intent moves the index.
+	// Term and log index make the id unique: each intent advances the index.
 	id := "auto/" + c.Engine + "/" + strconv.FormatUint(r.term, 10) + "/" + strconv.FormatUint(r.state.Index(), 10)
-	r.giveOrder(&pb.Order{
+	r.issueOrder(&pb.Order{
 		Id: id, Server: c.Engine, Kind: pb.OrderKind_ORDER_KIND_SET_ROLE,
 		Role: wire.RoleProto(c.To), Reason: "automatic: " + c.Reason,
 	})
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -11,14 +11,14 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// propose puts a command into the log; done gets its answer.
+// propose appends a command to the log; done receives the answer.
 func (r *Reducer) propose(cmd *pb.Command, done func(proto.Message, bool)) {
 	r.nextID++
 	cmd.Proposer, cmd.Sequence = r.cfg.ID, r.nextID
 	cmd.NowUnixMs = r.wall()
 	data, err := proto.Marshal(cmd)
 	if err != nil {
-		// A string that is not UTF-8; it can't come through an RPC.
+		// The command holds a string that is not UTF-8, which can't arrive through an RPC.
 		done(nil, false)
 		return
 	}
@@ -26,7 +26,7 @@
 	r.stepNode(consensus.Propose{ID: r.nextID, Data: data})
 }
 
-// proposeCall proposes a caller's command and answers the call with its result.
+// proposeCall proposes a caller's command and answers the call with the result.
 func (r *Reducer) proposeCall(callID uint64, cmd *pb.Command) {
 	r.propose(cmd, func(answer proto.Message, ok bool) { r.replyApplied(callID, answer, ok) })
 }
@@ -82,8 +82,8 @@
 			continue
 		}
 		delete(r.appended, e.GetIndex())
-		// An entry of another term at this index: the proposal was lost with
-		// its leadership, and will never be applied.
+		// An entry of another term at this index means that the proposal was lost when its
+		// leadership ended, and will never be applied.
 		p.done(answer, p.term == e.GetTerm())
 	}
 	if len(entries) > 0 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// failProposals tells all that wait that the fate of their proposals is unknown.
+// failProposals tells all waiting callers that the outcome of their proposals is unknown.
 func (r *Reducer) failProposals() {
 	for _, id := range slices.Sorted(maps.Keys(r.proposals)) {
 		r.proposals[id].done(nil, false)
@@ -103,7 +103,7 @@
 	clear(r.appended)
 }
 
-// read calls done once the state covers everything committed before the call.
+// read calls done once the state covers everything that was committed before the call.
 func (r *Reducer) read(done func(ok bool)) {
 	r.nextID++
 	r.reads[r.nextID] = done
@@ -119,7 +119,7 @@
 	done(ok)
 }
 
-// readCall answers a call with what the state holds after a confirmed read.
+// readCall answers a call from the state after a quorum has confirmed this leader.
 func (r *Reducer) readCall(callID uint64, answer func() proto.Message) {
 	r.read(func(ok bool) {
 		if !ok || r.lead == nil {
@@ -130,7 +130,7 @@
 	})
 }
 
-// membershipError says in words why the log did not take a change.
+// membershipError returns the error for a change of the member list that was refused.
 func membershipError(reason consensus.RefusalReason) error {
 	switch reason {
 	case consensus.ChangePending:
@@ -141,4 +141,4 @@
 	return twirp.NewError(twirp.ResourceExhausted, "the log does not take the change now; try again")
 }
 
-func invalid(why string) error { return twirp.NewError(twirp.InvalidArgument, why) }
+func invalid(message string) error { return twirp.NewError(twirp.InvalidArgument, message) }
--- a/internal/control/reducer.go
+++ b/internal/control/reducer.go
@@ -11,33 +11,33 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Node is the consensus node that the Reducer hosts (consensus.Node).
+// Node is the interface of the consensus node that the Reducer hosts (consensus.Node).
 type Node interface {
 	Step(now time.Duration, ev consensus.Event) []consensus.Effect
-	// LeaseUntil is when this replica's authority as a leader ends, since boot;
-	// zero when it does not lead.
+	// LeaseUntil is when this replica's leader lease ends, as time since boot; zero when it
+	// does not lead.
 	LeaseUntil() time.Duration
-	// Status is what the leader knows of the group.
+	// Status returns the leader's knowledge of the group.
 	Status() consensus.Status
-	// IsRemoved tells whether the group has removed that identity.
+	// IsRemoved reports whether the group has removed that identity.
 	IsRemoved(id *pb.ReplicaIdentity) bool
 }
 
-// Config sets up a Reducer.
+// Config configures a Reducer.
 type Config struct {
-	// Cluster is the cluster id; calls with another one are refused.
+	// Cluster is the cluster id; calls with another id are rejected.
 	Cluster string
-	// ID is this replica's.
+	// ID is the id of this replica.
 	ID uint64
-	// Sender names this process and its incarnation in orders.
+	// Sender identifies this process and its incarnation in orders.
 	Sender string
-	// TargetVoters is the number of voters that the group maintains by itself; 0: operators
-	// change the member list.
+	// TargetVoters is the number of voters that the group maintains by itself; 0: only
+	// operators change the member list.
 	TargetVoters int
-	// OrderPause is the longest pause of a control process that is stated for
+	// OrderPause is the longest pause of a control process that must be tolerated for
 	// engines that ignore fencing tokens.
 	OrderPause time.Duration
-	// Duties says what is done outside of the deployment in its name.
+	// Duties configures the leader's calls to external services.
 	Duties DutiesConfig
 }
 
@@ -48,44 +48,44 @@
 	state *State
 
 	now time.Duration
-	// wallMS is the wall clock that the last Tick carried, wallAt its time.
+	// wallMS is the wall clock of the last Tick, wallAt the time of that Tick.
 	wallMS int64
 	wallAt time.Duration
 
 	effects []Effect
-	// work holds consensus effects that are still to be carried out.
-	work []consensus.Effect
+	// pendingEffects holds consensus effects that are not carried out yet.
+	pendingEffects []consensus.Effect
 
 	term    uint64
 	leader  uint64
 	members *pb.Membership
 	// committed is the latest member list known to be committed.
 	committed *pb.Membership
-	// lead is what only a ready leader keeps; nil otherwise.
+	// lead is the state of a ready leader; nil otherwise.
 	lead *leadership
 
 	nextID    uint64
 	proposals map[uint64]*proposal
-	// appended finds the proposal at a log index.
+	// appended holds the proposals by log index.
 	appended map[uint64]*proposal
 	reads    map[uint64]func(ok bool)
-	// restoring holds the state that a RestoreSnapshot effect will put in place.
+	// restoring holds the state that a RestoreSnapshot effect is about to put in place.
 	restoring *State
 }
 
-// proposal is a command or membership change on its way through the log.
+// proposal is a command or membership change that is being replicated.
 type proposal struct {
 	index uint64
 	term  uint64
-	// done gets the command's answer once it is applied; ok is false when it is
-	// not known whether it ever will be.
+	// done receives the command's answer once it is applied; ok is false when it is unknown
+	// whether it will ever be applied.
 	done func(answer proto.Message, ok bool)
-	// refused, if set, is called instead of done when the log does not take it
-	// though this replica leads.
+	// refused, if set, is called instead of done when the node refuses the proposal
+	// although this replica leads.
 	refused func(reason consensus.RefusalReason)
 }
 
-// NewReducer gives a replica that starts from state.
+// NewReducer returns a replica that starts from state.
 func NewReducer(cfg Config, node Node, state *State) *Reducer {
 	return &Reducer{
 		cfg: cfg, node: node, state: state, members: &pb.Membership{}, committed: &pb.Membership{},
@@ -95,11 +95,11 @@
 	}
 }
 
-// State gives the replicated state; the caller must not keep it over a Step.
+// State returns the replicated state; the caller must not keep it across a Step.
 func (r *Reducer) State() *State { return r.state }
 
-// Step takes one event at the given time since boot and returns what the runner
-// must do, in order.
+// Step handles one event at the given time since boot and returns the effects that the
+// runner must perform, in order.
 func (r *Reducer) Step(now time.Duration, ev Event) []Effect {
 	r.effects = nil
 	r.now = max(r.now, now)
@@ -127,12 +127,12 @@
 	case Stop:
 		r.stepNode(consensus.TransferLeadership{})
 	}
-	r.settleStep()
+	r.finishStep()
 	return r.effects
 }
 
-// settleStep does what follows from whatever the step has changed.
-func (r *Reducer) settleStep() {
+// finishStep proposes queued registrations and answers held watches at the end of a step.
+func (r *Reducer) finishStep() {
 	if r.lead == nil {
 		return
 	}
@@ -155,21 +155,21 @@
 	r.stepNode(ev)
 }
 
-// stepNode steps the consensus node and carries out its effects in order; what
-// they lead to comes after them.
+// stepNode steps the consensus node and carries out its effects in order; effects of nested
+// steps come after them.
 func (r *Reducer) stepNode(ev consensus.Event) {
-	running := len(r.work) > 0
-	r.work = append(r.work, r.node.Step(r.now, ev)...)
-	if running {
+	nested := len(r.pendingEffects) > 0
+	r.pendingEffects = append(r.pendingEffects, r.node.Step(r.now, ev)...)
+	if nested {
 		return
 	}
-	for len(r.work) > 0 {
-		// The effect stays in work while it runs, so that steps of the node
-		// that it causes only queue theirs.
-		r.onEffect(r.work[0])
-		r.work = r.work[1:]
+	for len(r.pendingEffects) > 0 {
+		// The effect stays in the queue while it is carried out, so that nested steps of
+		// the node only append theirs.
+		r.onEffect(r.pendingEffects[0])
+		r.pendingEffects = r.pendingEffects[1:]
 	}
-	r.work = nil
+	r.pendingEffects = nil
 }
 
 func (r *Reducer) onEffect(eff consensus.Effect) {
@@ -234,20 +234,20 @@
 	r.emit(Members{Membership: r.members, Committed: r.committed, Leader: r.leader, IsLeader: r.lead != nil})
 }
 
-// endLeadership answers all that wait: what they asked for may still come about,
-// under the next leader.
+// endLeadership answers all waiting calls with an error: their commands may still be
+// applied under the next leader.
 func (r *Reducer) endLeadership() {
 	lead := r.lead
 	r.lead = nil
 	for _, w := range lead.watches {
 		r.reply(w.callID, nil, r.notLeader())
 	}
-	r.failWaiting(lead)
+	r.failWaitingCalls(lead)
 	r.failProposals()
 }
 
-// notLeader is the answer of a replica that can't serve a call, with the
-// address of the one that can, as far as it is known.
+// notLeader is the error of a replica that can't serve a call, with the leader's address if
+// it is known.
 func (r *Reducer) notLeader() error {
 	return twirp.NewError(twirp.Unavailable, "this replica does not lead").
 		WithMeta("leader", r.addressOf(r.leader))
@@ -272,8 +272,8 @@
 	r.emit(Log{Level: level, Message: message, Fields: fields})
 }
 
-// wall is the wall clock now, in Unix milliseconds.
+// wall returns the present wall clock in Unix milliseconds.
 func (r *Reducer) wall() int64 { return r.wallMS + (r.now - r.wallAt).Milliseconds() }
 
-// leased tells whether a quorum has confirmed just now that no other leads.
-func (r *Reducer) leased() bool { return r.now < r.node.LeaseUntil() }
+// hasQuorumLease reports whether the leader lease that a quorum confirmed is still valid.
+func (r *Reducer) hasQuorumLease() bool { return r.now < r.node.LeaseUntil() }
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -11,17 +11,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// leavingSticks is for how long after a server said that it leaves another word
-// of the same incarnation counts as late. Entries relay announcements every
-// second, so an older "serving" can come after a newer "leaving".
-const leavingSticks = 3 * time.Second
+// staleServingPeriod is how long after a server reported that it is leaving other
+// announcements of the same incarnation count as stale. Entries relay announcements every
+// second, so an older "serving" can arrive after a newer "leaving".
+const staleServingPeriod = 3 * time.Second
 
-// onReport takes in what an entry has learned. Deaths are answered once they
-// are committed; all the rest comes again with the next report.
+// onReport handles an entry's report. Server deaths are answered after the commit;
+// everything else is repeated in the next report.
 func (r *Reducer) onReport(id uint64, req *pb.ReportRequest) {
 	if req.GetReplica() == "" || len(req.GetHeartbeats()) > 0 {
-		// Another replica is heard also where neither entries nor servers are.
-		r.lead.heardAt = r.now
+		// A report from another replica proves connectivity even where no entry or server
+		// exists.
+		r.lead.lastContactAt = r.now
 	}
 	for _, a := range req.GetAnnouncements() {
 		r.onAnnouncement(req.GetEntry().GetName(), a)
@@ -31,10 +32,10 @@
 	for _, d := range req.GetDemand() {
 		r.lead.demand.add(d)
 		if d.GetPrefillTokens()+d.GetDecodeTokens() > 0 {
-			r.lead.offeredAt = r.now
+			r.lead.lastDemandAt = r.now
 		}
 	}
-	deaths := r.newDeaths(req.GetDeaths())
+	deaths := r.uncountedDeaths(req.GetDeaths())
 	if len(deaths) == 0 {
 		r.reply(id, resp, nil)
 		return
@@ -45,120 +46,119 @@
 	})
 }
 
-// newDeaths leaves out deaths that every suspect of theirs is counted for
-// already, so that nine entries' reports of one death are one command.
-func (r *Reducer) newDeaths(list []*pb.ServerDeath) []*pb.ServerDeath {
+// uncountedDeaths drops the deaths that are already counted for all of their suspects, so
+// that nine entries' reports of one death produce one command.
+func (r *Reducer) uncountedDeaths(list []*pb.ServerDeath) []*pb.ServerDeath {
 	return slices.DeleteFunc(slices.Clone(list), func(d *pb.ServerDeath) bool {
 		return !slices.ContainsFunc(d.GetSuspects(), func(q *pb.Quarantine) bool {
-			return !r.state.counted(d, q)
+			return !r.state.deathCounted(d, q)
 		})
 	})
 }
 
-func (s *State) counted(d *pb.ServerDeath, q *pb.Quarantine) bool {
-	sus := s.suspects.byKey[suspectKey{q.GetMember(), q.GetFingerprint()}]
-	return slices.Contains(sus.GetDeaths(), d.GetServer()+"/"+d.GetIncarnation())
+func (s *State) deathCounted(d *pb.ServerDeath, q *pb.Quarantine) bool {
+	suspect := s.suspects.byKey[suspectKey{q.GetMember(), q.GetFingerprint()}]
+	return slices.Contains(suspect.GetDeaths(), d.GetServer()+"/"+d.GetIncarnation())
 }
 
-// onAnnouncement renews a server's lease and registers what is new of it.
+// onAnnouncement renews a server's lease and registers changes.
 func (r *Reducer) onAnnouncement(from string, a *pb.Announcement) {
-	told := a.GetServer()
-	if told.GetId() == "" || told.GetIncarnation() == "" || told.GetAddress() == "" {
-		r.log(slog.LevelWarn, "announcement without id, incarnation or address refused", Field{"entry", from})
+	info := a.GetServer()
+	if info.GetId() == "" || info.GetIncarnation() == "" || info.GetAddress() == "" {
+		r.log(slog.LevelWarn, "announcement rejected: id, incarnation or address is missing", Field{"entry", from})
 		return
 	}
-	if sv := r.state.servers[told.GetId()]; sv != nil && sv.earlier(told.GetIncarnation()) {
+	if sv := r.state.servers[info.GetId()]; sv != nil && sv.isEarlierIncarnation(info.GetIncarnation()) {
 		return
 	}
-	if r.lead.servers[told.GetId()] == nil && len(r.lead.servers) >= maxServers {
-		r.log(slog.LevelError, "too many backend servers; announcement refused", Field{"server", told.GetId()})
+	if r.lead.servers[info.GetId()] == nil && len(r.lead.servers) >= maxServers {
+		r.log(slog.LevelError, "announcement rejected: too many backend servers", Field{"server", info.GetId()})
 		return
 	}
-	w := r.serverWatch(told)
-	if olderToken(a.GetOrderToken(), w.token) {
-		// It was said before the server carried out its last order.
+	t := r.trackServer(info)
+	if olderToken(a.GetOrderToken(), t.token) {
+		// The announcement was made before the server carried out its last order.
 		return
 	}
-	w.token, w.heard = a.GetOrderToken(), true
-	w.until = r.now + serverLease
-	r.noteLoad(w, a.GetLoad())
-	if r.lateServing(w, told) {
+	t.token, t.fullyAnnounced = a.GetOrderToken(), true
+	t.leaseUntil = r.now + serverLease
+	r.recordLoad(t, a.GetLoad())
+	if r.isStaleServing(t, info) {
 		return
 	}
-	r.registerChanged(w, told)
-	r.onReportedOrder(told, a.GetOrderId())
+	r.registerChanged(t, info)
+	r.onReportedOrder(info, a.GetOrderId())
 }
 
-// onHeartbeats renews the leases of servers that this leader has heard in full,
-// and gives those that it has not: another life than the one known, or servers
-// that told an earlier leader.
+// onHeartbeats renews the leases of servers that this leader has a full announcement of,
+// and returns the servers that must announce in full: those with another incarnation than
+// the known one, and those that announced only to an earlier leader.
 //
-// A heartbeat carries neither state nor order, so that it can't take back what
-// a server has said since: it only renews.
+// A heartbeat carries neither state nor order, so that a late one can't undo a newer
+// announcement: it only renews the lease.
 func (r *Reducer) onHeartbeats(list []*pb.Heartbeat) []string {
 	var unknown []string
 	for _, h := range list {
-		w := r.lead.servers[h.GetServer()]
-		if w == nil || !w.heard || xxhash.Sum64String(w.incarnation) != h.GetIncarnationHash() {
+		t := r.lead.servers[h.GetServer()]
+		if t == nil || !t.fullyAnnounced || xxhash.Sum64String(t.incarnation) != h.GetIncarnationHash() {
 			unknown = append(unknown, h.GetServer())
 			continue
 		}
-		w.until = r.now + serverLease
-		r.noteLoad(w, h.GetLoad())
+		t.leaseUntil = r.now + serverLease
+		r.recordLoad(t, h.GetLoad())
 	}
 	return unknown
 }
 
-func (r *Reducer) serverWatch(told *pb.BackendServer) *serverWatch {
-	w := r.lead.servers[told.GetId()]
-	if w == nil || w.incarnation != told.GetIncarnation() {
-		if w != nil {
-			r.answerWaiting(w, true)
+func (r *Reducer) trackServer(info *pb.BackendServer) *trackedServer {
+	t := r.lead.servers[info.GetId()]
+	if t == nil || t.incarnation != info.GetIncarnation() {
+		if t != nil {
+			r.answerWaitingCalls(t, true)
 		}
-		w = &serverWatch{incarnation: told.GetIncarnation(), since: r.now}
-		r.lead.servers[told.GetId()] = w
+		t = &trackedServer{incarnation: info.GetIncarnation(), firstSeenAt: r.now}
+		r.lead.servers[info.GetId()] = t
 	}
-	return w
+	return t
 }
 
-// noteLoad keeps the newest load. Entries relay the same figures with different
-// lags, so one that was true earlier does not replace a newer one.
-func (r *Reducer) noteLoad(w *serverWatch, load *pb.Load) {
+// recordLoad keeps the newest load. Entries relay the same figures with different delays,
+// so a load that was measured earlier does not replace a newer one.
+func (r *Reducer) recordLoad(t *trackedServer, load *pb.Load) {
 	at := r.now - time.Duration(load.GetAgeMs())*time.Millisecond
-	if load == nil || at < w.loadAt {
+	if load == nil || at < t.loadMeasuredAt {
 		return
 	}
-	w.load, w.loadAt = load, at
+	t.load, t.loadMeasuredAt = load, at
 }
 
-// lateServing tells whether a "serving" was probably said before the "leaving"
-// that is known.
+// isStaleServing reports whether a "serving" was probably sent before the known "leaving".
 //
-// Failure: a server says that it leaves; the announcement of the second before,
-// relayed by a slower entry, makes it serve again, and it gets new work.
-func (r *Reducer) lateServing(w *serverWatch, told *pb.BackendServer) bool {
-	if told.GetState() == pb.ServerState_SERVER_STATE_LEAVING {
-		w.leftAt = r.now
+// Failure: a server reports that it is leaving. A slower entry relays the announcement of
+// the second before, which makes the server serve again, and it gets new requests.
+func (r *Reducer) isStaleServing(t *trackedServer, info *pb.BackendServer) bool {
+	if info.GetState() == pb.ServerState_SERVER_STATE_LEAVING {
+		t.leavingAt = r.now
 		return false
 	}
-	return w.leftAt != 0 && r.now < w.leftAt+leavingSticks
+	return t.leavingAt != 0 && r.now < t.leavingAt+staleServingPeriod
 }
 
-// registerChanged registers a server of which something has changed that all
-// must know. Loads and lease renewals stay out of the log.
-func (r *Reducer) registerChanged(w *serverWatch, told *pb.BackendServer) {
-	told = proto.CloneOf(told)
-	told.Drained, told.ChecksFencing = false, false
-	if known := r.state.servers[told.GetId()]; known != nil && proto.Equal(known.told, told) {
+// registerChanged registers a server if a property has changed that is part of the
+// replicated state. Loads and lease renewals stay out of the log.
+func (r *Reducer) registerChanged(t *trackedServer, info *pb.BackendServer) {
+	info = proto.CloneOf(info)
+	info.Drained, info.ChecksFencing = false, false
+	if known := r.state.servers[info.GetId()]; known != nil && proto.Equal(known.info, info) {
 		return
 	}
-	if w.proposed != nil && proto.Equal(w.proposed, told) {
+	if t.proposed != nil && proto.Equal(t.proposed, info) {
 		return
 	}
-	r.register(w, told)
-	r.log(slog.LevelInfo, "backend server changed", Field{"server", told.GetId()},
-		Field{"incarnation", told.GetIncarnation()}, Field{"state", told.GetState().String()},
-		Field{"role", told.GetRole().String()}, Field{"model_version", told.GetModelVersion()})
+	r.register(t, info)
+	r.log(slog.LevelInfo, "backend server changed", Field{"server", info.GetId()},
+		Field{"incarnation", info.GetIncarnation()}, Field{"state", info.GetState().String()},
+		Field{"role", info.GetRole().String()}, Field{"model_version", info.GetModelVersion()})
 }
 
 func olderToken(a, b *pb.FencingToken) bool {
--- a/internal/control/scale.go
+++ b/internal/control/scale.go
@@ -14,11 +14,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// scaleSettle is how long the number of servers of a data centre must stand still for it to
-// count as the size that operators gave it: servers announce themselves about once a second.
-const scaleSettle = 1300 * time.Millisecond
+// stableSizePeriod is how long the number of servers of a data centre must stay constant to
+// count as the size that operators chose: servers announce themselves about once a second.
+const stableSizePeriod = 1300 * time.Millisecond
 
-// ScaleOrder says how many servers of a service and kind a data centre is to have.
+// ScaleOrder sets how many servers of a service and kind a data centre should have.
 type ScaleOrder struct {
 	Service, DataCentre string
 	Servers             int
@@ -29,8 +29,8 @@
 
 type scaleKey struct{ service, dataCentre string }
 
-// scaleTargets are how many servers services are to have; they are replicated, so that a new
-// leader does not take what is left after a loss for the size that is aimed at.
+// scaleTargets holds the target sizes of services. They are replicated, so that a new
+// leader does not take the servers that remain after a failure for the target size.
 type scaleTargets map[scaleKey]*pb.ScaleTarget
 
 func (t scaleTargets) apply(update *pb.ScaleUpdate) {
@@ -50,24 +50,24 @@
 	return list
 }
 
-// scaleLead is what only a leader keeps of ordering servers.
-type scaleLead struct {
+// leaderScale is the leader's in-memory state of ordering servers.
+type leaderScale struct {
 	planners map[string]*autoscaling.Planner
-	// seen are the last numbers of servers without a target, and since when.
-	seen map[scaleKey]seenServers
+	// observed is the last size of each data centre without a target, and since when.
+	observed map[scaleKey]observedSize
 }
 
-type seenServers struct {
+type observedSize struct {
 	servers int
 	since   time.Duration
 }
 
-func newScaleLead() scaleLead {
-	return scaleLead{planners: make(map[string]*autoscaling.Planner), seen: make(map[scaleKey]seenServers)}
+func newLeaderScale() leaderScale {
+	return leaderScale{planners: make(map[string]*autoscaling.Planner), observed: make(map[scaleKey]observedSize)}
 }
 
-// driveScale orders servers of the services that are declared so.
-func (r *Reducer) driveScale() {
+// reconcileScale orders servers for the services that declare autoscaling.
+func (r *Reducer) reconcileScale() {
 	d := r.state.declared.parsed
 	if !r.cfg.Duties.OrderServers || d == nil {
 		return
@@ -80,17 +80,17 @@
 }
 
 func (r *Reducer) scaleService(s *declaration.Service) {
-	centres := r.centresOf(s)
-	var wanted []autoscaling.DataCentre
+	centres := r.countByDataCentre(s)
+	var withTarget []autoscaling.DataCentre
 	for _, c := range centres {
 		key := scaleKey{s.Name, c.Name}
 		target := r.state.scale[key]
 		if target == nil {
-			r.learnTarget(key, c.Steady+c.Spot)
+			r.adoptTarget(key, c.Steady+c.Spot)
 			continue
 		}
 		c.Target = int(target.GetEngines())
-		wanted = append(wanted, c)
+		withTarget = append(withTarget, c)
 	}
 	p := r.lead.scale.planners[s.Name]
 	if p == nil {
@@ -98,7 +98,7 @@
 		r.lead.scale.planners[s.Name] = p
 	}
 	bounds := autoscaling.Bounds{Min: s.Scale.Min, Max: s.Scale.Max, Boot: s.Scale.Boot, SpotPrice: s.Scale.SpotPrice}
-	for _, o := range p.Plan(r.now, bounds, wanted) {
+	for _, o := range p.Plan(r.now, bounds, withTarget) {
 		r.callDuty(scaleCall(s.Name, o))
 	}
 }
@@ -110,23 +110,23 @@
 	}
 }
 
-// centresOf counts a service's servers that serve, by data centre; one that has lost all of
-// them is there as well.
-func (r *Reducer) centresOf(s *declaration.Service) []autoscaling.DataCentre {
+// countByDataCentre counts the serving servers of a service by data centre. A data centre
+// that has lost all of them is included if it has a target.
+func (r *Reducer) countByDataCentre(s *declaration.Service) []autoscaling.DataCentre {
 	var list []autoscaling.DataCentre
 	for _, sv := range r.state.sortedServers() {
-		told := sv.told
-		if !serves(told, s) {
+		info := sv.info
+		if !servesService(info, s) {
 			continue
 		}
-		i := slices.IndexFunc(list, func(c autoscaling.DataCentre) bool { return c.Name == told.GetDataCentre() })
+		i := slices.IndexFunc(list, func(c autoscaling.DataCentre) bool { return c.Name == info.GetDataCentre() })
 		if i < 0 {
-			list = append(list, autoscaling.DataCentre{Name: told.GetDataCentre()})
+			list = append(list, autoscaling.DataCentre{Name: info.GetDataCentre()})
 			i = len(list) - 1
 		}
 		switch {
-		case told.GetState() != pb.ServerState_SERVER_STATE_SERVING:
-		case told.GetSpot():
+		case info.GetState() != pb.ServerState_SERVER_STATE_SERVING:
+		case info.GetSpot():
 			list[i].Spot++
 		default:
 			list[i].Steady++
@@ -142,44 +142,44 @@
 	return list
 }
 
-func serves(told *pb.BackendServer, s *declaration.Service) bool {
-	if told.GetKind() == pb.ServerKind_SERVER_KIND_MODEL {
-		return s.Kind == declaration.KindModel && told.GetModel() == s.Model
+func servesService(info *pb.BackendServer, s *declaration.Service) bool {
+	if info.GetKind() == pb.ServerKind_SERVER_KIND_MODEL {
+		return s.Kind == declaration.KindModel && info.GetModel() == s.Model
 	}
-	return slices.Contains(told.GetServices(), s.Name)
+	return slices.Contains(info.GetServices(), s.Name)
 }
 
-// learnTarget takes the number of servers that a data centre has for the size that is aimed
-// at, once it stands still.
-func (r *Reducer) learnTarget(key scaleKey, servers int) {
-	seen := r.lead.scale.seen[key]
-	if seen.servers != servers {
-		r.lead.scale.seen[key] = seenServers{servers: servers, since: r.now}
+// adoptTarget takes a data centre's number of servers as its target size once that number
+// is stable.
+func (r *Reducer) adoptTarget(key scaleKey, servers int) {
+	observed := r.lead.scale.observed[key]
+	if observed.servers != servers {
+		r.lead.scale.observed[key] = observedSize{servers: servers, since: r.now}
 		return
 	}
-	if servers == 0 || r.now-seen.since < scaleSettle {
+	if servers == 0 || r.now-observed.since < stableSizePeriod {
 		return
 	}
-	r.lead.scale.seen[key] = seenServers{}
+	r.lead.scale.observed[key] = observedSize{}
 	target := &pb.ScaleTarget{Service: key.service, DataCentre: key.dataCentre, Engines: uint32(servers)}
-	r.log(slog.LevelInfo, "size taken for the one that is aimed at",
+	r.log(slog.LevelInfo, "present size adopted as scale target",
 		Field{"service", key.service}, Field{"data_centre", key.dataCentre}, Field{"servers", servers})
 	cmd := &pb.Command{Op: &pb.Command_Scale{Scale: &pb.ScaleUpdate{Targets: []*pb.ScaleTarget{target}}}}
 	r.propose(cmd, func(proto.Message, bool) {})
 }
 
-func orderOf(c *DutyCall) autoscaling.Order {
+func plannerOrder(c *DutyCall) autoscaling.Order {
 	return autoscaling.Order{DataCentre: c.Scale.DataCentre, Kind: autoscaling.Kind(c.Scale.Spot), Servers: c.Scale.Servers}
 }
 
-func (r *Reducer) scaleTaken(c *DutyCall) {
+func (r *Reducer) onScaleAccepted(c *DutyCall) {
 	if p := r.lead.scale.planners[c.Scale.Service]; p != nil {
-		p.Taken(r.now, orderOf(c))
+		p.Taken(r.now, plannerOrder(c))
 	}
 }
 
-func (r *Reducer) scaleUnavailable(c *DutyCall) {
+func (r *Reducer) onScaleUnavailable(c *DutyCall) {
 	if p := r.lead.scale.planners[c.Scale.Service]; p != nil {
-		p.Unavailable(r.now, orderOf(c))
+		p.Unavailable(r.now, plannerOrder(c))
 	}
 }
--- a/internal/control/scale_test.go
+++ b/internal/control/scale_test.go
@@ -10,9 +10,9 @@
 )
 
 // scaledWorld is a leader before engines of a service that may be ordered.
-func scaledWorld(t *testing.T, engines int, roles declaration.Roles) *world {
-	w := newWorld(t)
-	w.cfg.Duties = DutiesConfig{OrderServers: true, Lease: 3 * time.Second, Holder: "control-1"}
+func newScaleHarness(t *testing.T, engines int, roles declaration.Roles) *harness {
+	h := newHarness(t)
+	h.cfg.Duties = DutiesConfig{OrderServers: true, Lease: 3 * time.Second, Holder: "control-1"}
 	d := &declaration.Declaration{
 		Revision: 1, Profiles: []declaration.Profile{{Name: "p", Class: declaration.ClassUrgent}},
 		Models: []declaration.Model{{Name: "m", Version: declaration.AnyVersion}}, Roles: roles,
@@ -20,42 +20,42 @@
 			Min: 1, Max: 60, Boot: 4 * time.Second, SpotPrice: 0.25,
 		}}},
 	}
-	w.Reducer.state.applyDeclaration(d.ToProto(), true)
+	h.Reducer.state.applyDeclaration(d.ToProto(), true)
 	for i := range engines {
-		w.engine(fmt.Sprintf("engine-%02d", i))
+		h.engine(fmt.Sprintf("engine-%02d", i))
 	}
-	return w
+	return h
 }
 
-func (w *world) scaleOrders(d time.Duration) []ScaleOrder {
+func (h *harness) scaleOrders(d time.Duration) []ScaleOrder {
 	var list []ScaleOrder
-	for until := w.clock + d; w.clock < until; {
-		for _, c := range w.dutiesFor(200 * time.Millisecond) {
+	for until := h.clock + d; h.clock < until; {
+		for _, c := range h.advanceDuties(200 * time.Millisecond) {
 			list = append(list, c.Scale)
-			w.dutyAnswered(c, DutyAccepted)
+			h.answerDuty(c, DutyAccepted)
 		}
-		w.poll()
+		h.poll()
 	}
 	return list
 }
 
 // Guards against a new leader that takes what a loss has left for the size that is aimed at.
-func TestNewLeaderKnowsTheSizeThatIsAimedAt(t *testing.T) {
-	w := scaledWorld(t, 10, declaration.Roles{MaxAway: 1})
-	w.advance(4 * time.Second)
-	if n := len(w.Reducer.state.scale); n != 1 {
+func TestNewLeaderKeepsScaleTarget(t *testing.T) {
+	h := newScaleHarness(t, 10, declaration.Roles{MaxAway: 1})
+	h.advance(4 * time.Second)
+	if n := len(h.Reducer.state.scale); n != 1 {
 		t.Fatalf("%d sizes are known", n)
 	}
-	back, err := RestoreState(w.Reducer.state.Snapshot())
-	if err != nil || back.scale[scaleKey{"lm", ""}].GetEngines() != 10 {
-		t.Fatalf("restored %v, %v", back.scale, err)
+	restored, err := RestoreState(h.Reducer.state.Snapshot())
+	if err != nil || restored.scale[scaleKey{"lm", ""}].GetEngines() != 10 {
+		t.Fatalf("restored %v, %v", restored.scale, err)
 	}
-	w.announced = w.announced[:4]
-	w.advance(8 * time.Second)
-	w.follow(2)
-	w.lead(3)
+	h.repeated = h.repeated[:4]
+	h.advance(8 * time.Second)
+	h.stepDown(2)
+	h.becomeLeader(3)
 	most := 0
-	for _, o := range w.scaleOrders(6 * time.Second) {
+	for _, o := range h.scaleOrders(6 * time.Second) {
 		if !o.Spot {
 			most = max(most, o.Servers)
 		}
@@ -67,16 +67,16 @@
 
 // Guards against a fleet that begins its day in roles by chance since few may change at once,
 // and against half of it being away while callers ask for work.
-func TestAllMayChangeTheirRoleBeforeLoad(t *testing.T) {
+func TestIdleFleetMayChangeAllRoles(t *testing.T) {
 	for _, loaded := range []bool{false, true} {
-		w := scaledWorld(t, 12, declaration.Roles{MaxAway: 100, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
+		h := newScaleHarness(t, 12, declaration.Roles{MaxAway: 100, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
 		for range 8 {
 			if loaded {
-				w.send(&pb.ReportRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), Demand: []*pb.Demand{{Model: "m", PrefillTokens: 1000}}})
+				h.send(&pb.ReportRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), Demand: []*pb.Demand{{Model: "m", PrefillTokens: 1000}}})
 			}
-			w.advance(500 * time.Millisecond)
+			h.advance(500 * time.Millisecond)
 		}
-		away := w.Reducer.state.away("m")
+		away := h.Reducer.state.enginesAway("m")
 		if loaded && away > 2 || !loaded && away != 8 {
 			t.Errorf("loaded %v: %d are away", loaded, away)
 		}
@@ -85,14 +85,14 @@
 
 // Guards against role changes of thousands of engines that are each told to hundreds of entries,
 // before any load, so that control has no time for anything else.
-func TestFewChangeTheirRoleBeforeHundredsOfEntries(t *testing.T) {
-	w := scaledWorld(t, 60, declaration.Roles{MaxAway: 1000, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
+func TestRoleChangesAreBoundedByEntryCount(t *testing.T) {
+	h := newScaleHarness(t, 60, declaration.Roles{MaxAway: 1000, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
 	for i := range 200 {
 		name := fmt.Sprint("e", i)
-		w.Reducer.state.entries[name] = &entry{info: &pb.EntryInfo{Identity: entryIdentity(name, "1")}}
+		h.Reducer.state.entries[name] = &entry{info: &pb.EntryInfo{Identity: entryIdentity(name, "1")}}
 	}
-	w.advance(5 * time.Second)
-	if away := w.Reducer.state.away("m"); away > maxToldChanges/200 {
-		t.Errorf("%d engines are away, %d entries are told of each", away, len(w.Reducer.state.entries))
+	h.advance(5 * time.Second)
+	if away := h.Reducer.state.enginesAway("m"); away > maxChangeNotifications/200 {
+		t.Errorf("%d engines are away, %d entries are told of each", away, len(h.Reducer.state.entries))
 	}
 }
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -11,96 +11,96 @@
 )
 
 const (
-	// maxPastIncarnations is how many replaced incarnations of one server are
-	// remembered; an announcement that lags behind by more restarts than this
-	// is far outside of the entries' report interval.
+	// maxPastIncarnations is how many replaced incarnations of one server are remembered.
+	// An announcement that is late by more restarts than this is far older than the
+	// entries' report interval.
 	maxPastIncarnations = 8
-	// goneKept is how long a GONE server is shown before it is forgotten.
-	goneKept = 5 * time.Minute
-	// orderedKept is the same for a server that was sent an order: the longest
-	// order_pause that settings allow. Forgotten earlier, the server could come
-	// back and get an order while a copy of the old one is on its way.
-	orderedKept = time.Hour
-	// maxServers bounds the servers that may register: nearly four times the
-	// fleet that is aimed at. Announcements with made-up ids can't fill memory.
+	// goneRetention is how long a GONE server stays in the view before it is removed.
+	goneRetention = 5 * time.Minute
+	// orderedRetention is the same for a server that was sent an order: the longest
+	// order_pause that settings allow. If the server were removed earlier, it could come
+	// back and get an order while a copy of the old one is in flight.
+	orderedRetention = time.Hour
+	// maxServers bounds the servers that may register: nearly four times the intended fleet
+	// size, so that announcements with made-up ids can't fill memory.
 	maxServers = 10_000
 )
 
-// server is a backend server as it announced itself. Its state is what it
-// said; the view shows CHANGING on top of it while an order is unresolved.
+// server is the record of a backend server as it announced itself. The view shows CHANGING
+// instead of SERVING while an order is unresolved.
 type server struct {
-	told    *pb.BackendServer
-	version uint64
-	past    []string
-	goneMS  int64
+	info             *pb.BackendServer
+	version          uint64
+	pastIncarnations []string
+	goneMS           int64
 }
 
-// applyRegister takes over servers as the leader registered them.
+// applyRegister applies the leader's registrations.
 //
-// Failure: an announcement of an earlier life of a server that an entry relayed
-// late would put the old address and role back. An incarnation that was replaced
-// is remembered and never comes back.
+// Failure: an entry relays a late announcement of a server's earlier incarnation, which
+// would restore the old address and role. Replaced incarnations are remembered and never
+// accepted again.
 func (s *State) applyRegister(r *pb.RegisterServers) {
-	for _, told := range r.GetServers() {
-		if told.GetId() != "" {
-			s.registerServer(told)
+	for _, info := range r.GetServers() {
+		if info.GetId() != "" {
+			s.registerServer(info)
 		}
 	}
 }
 
-func (s *State) registerServer(told *pb.BackendServer) {
-	sv := s.servers[told.GetId()]
+func (s *State) registerServer(info *pb.BackendServer) {
+	sv := s.servers[info.GetId()]
 	if sv == nil && len(s.servers) >= maxServers {
 		return
 	}
 	if sv == nil {
 		sv = &server{}
-		s.servers[told.GetId()] = sv
+		s.servers[info.GetId()] = sv
 	}
-	if sv.earlier(told.GetIncarnation()) {
+	if sv.isEarlierIncarnation(info.GetIncarnation()) {
 		return
 	}
-	was := sv.told
-	if was != nil && was.GetIncarnation() != told.GetIncarnation() {
-		sv.past = append(sv.past, was.GetIncarnation())
-		sv.past = sv.past[max(0, len(sv.past)-maxPastIncarnations):]
+	previous := sv.info
+	if previous != nil && previous.GetIncarnation() != info.GetIncarnation() {
+		sv.pastIncarnations = append(sv.pastIncarnations, previous.GetIncarnation())
+		sv.pastIncarnations = sv.pastIncarnations[max(0, len(sv.pastIncarnations)-maxPastIncarnations):]
 	}
-	sv.told = proto.CloneOf(told)
-	sv.told.Drained, sv.told.ChecksFencing = false, false
+	sv.info = proto.CloneOf(info)
+	sv.info.Drained, sv.info.ChecksFencing = false, false
 	sv.goneMS = 0
-	if told.GetState() == pb.ServerState_SERVER_STATE_GONE {
+	if info.GetState() == pb.ServerState_SERVER_STATE_GONE {
 		sv.goneMS = s.nowMS
 	}
-	s.touchView()
+	s.bumpViewVersion()
 	sv.version = s.index
-	s.abandonOrder(told)
+	s.abandonOrder(info)
 }
 
-// earlier tells whether a life was replaced by the one in force, or began before it:
-// a follower that has just taken over may have heard of the later one only.
-func (sv *server) earlier(life string) bool {
-	return slices.Contains(sv.past, life) || incarnation.Before(life, sv.told.GetIncarnation())
+// isEarlierIncarnation reports whether an incarnation was replaced by the current one or
+// began before it: a follower that has just become leader may only know the later one.
+func (sv *server) isEarlierIncarnation(inc string) bool {
+	return slices.Contains(sv.pastIncarnations, inc) || incarnation.Before(inc, sv.info.GetIncarnation())
 }
 
-// touchServer makes the server's shown form new in this version.
-func (s *State) touchServer(id string) {
+// bumpServerVersion marks the server as changed in the version that is being applied.
+func (s *State) bumpServerVersion(id string) {
 	if sv := s.servers[id]; sv != nil {
-		s.touchView()
+		s.bumpViewVersion()
 		sv.version = s.index
 	}
 }
 
-// touchFencing marks all servers changed: the declaration says which of them
+// bumpAllServerVersions marks all servers as changed: a declaration decides which of them
 // check fencing tokens.
-func (s *State) touchFencing() {
+func (s *State) bumpAllServerVersions() {
 	for _, sv := range s.servers {
 		sv.version = s.index
 	}
 }
 
-// shown gives the server as the view shows it.
-func (s *State) shown(sv *server) *pb.BackendServer {
-	b := proto.CloneOf(sv.told)
+// serverView returns the server as it appears in the view.
+func (s *State) serverView(sv *server) *pb.BackendServer {
+	b := proto.CloneOf(sv.info)
 	b.Drained = s.drained[b.GetId()]
 	b.ChecksFencing = s.checksFencing(b.GetId())
 	unresolved := s.unresolved(b.GetId())
@@ -114,8 +114,8 @@
 	return s.declared.parsed != nil && s.declared.parsed.ChecksFencing(id)
 }
 
-// applyDrain sets or takes back an operator's drain. A resent call is answered
-// and not applied again, since another operator may have undrained since.
+// applyDrain sets or clears an operator's drain. A repeated call is answered but not
+// applied again, since another operator may have cleared the drain meanwhile.
 func (s *State) applyDrain(r *pb.DrainRequest) *pb.DrainResponse {
 	id := r.GetServer()
 	if s.requests.find(r.GetRequestId()) == nil {
@@ -125,29 +125,29 @@
 		} else {
 			delete(s.drained, id)
 		}
-		s.touchServer(id)
+		s.bumpServerVersion(id)
 	}
 	sv := s.servers[id]
 	if sv == nil {
 		return &pb.DrainResponse{Server: &pb.BackendServer{Id: id, Drained: s.drained[id]}}
 	}
-	return &pb.DrainResponse{Server: s.shown(sv)}
+	return &pb.DrainResponse{Server: s.serverView(sv)}
 }
 
-// forgettable tells whether a server has been GONE for long enough.
-func (s *State) forgettable(id string, sv *server, nowMS int64) bool {
-	keep := goneKept
+// serverExpired reports whether a server has been GONE for longer than its retention.
+func (s *State) serverExpired(id string, sv *server, nowMS int64) bool {
+	keep := goneRetention
 	if o := s.orders[id]; o != nil && o.sentTerm() != 0 {
-		keep = orderedKept
+		keep = orderedRetention
 	}
 	return sv.goneMS != 0 && nowMS-sv.goneMS >= keep.Milliseconds()
 }
 
-// expireServers forgets servers that have been GONE for long.
+// expireServers removes servers that have been GONE for longer than their retention.
 func (s *State) expireServers() {
 	var gone []string
 	for id, sv := range s.servers {
-		if s.forgettable(id, sv, s.nowMS) {
+		if s.serverExpired(id, sv, s.nowMS) {
 			gone = append(gone, id)
 		}
 	}
@@ -155,7 +155,7 @@
 	for _, id := range gone {
 		delete(s.servers, id)
 		delete(s.orders, id)
-		s.touchView()
-		s.changes.bury(&pb.Tombstone{Server: id})
+		s.bumpViewVersion()
+		s.changes.addTombstone(&pb.Tombstone{Server: id})
 	}
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -17,17 +17,17 @@
 // BadSnapshot is the type of errors about snapshots that can't be read.
 var BadSnapshot = Namespace.NewType("bad_snapshot")
 
-// Snapshot gives the whole state as bytes; replicas at the same index give the
-// same bytes.
+// Snapshot returns the whole state in serialized form; replicas at the same index return
+// the same bytes.
 func (s *State) Snapshot() []byte {
 	snap := &pb.StateSnapshot{
 		Index: s.index, NowUnixMs: s.nowMS,
 		Declaration: s.declared.proto, ObjectVersions: s.declared.versions, Accepted: s.declared.accepted,
 		Servers: s.serverRecords(), Drained: slices.Sorted(maps.Keys(s.drained)),
 		Entries: s.entryRecords(), Orders: s.orderRecords(),
-		Claims: s.claims.records(), ClaimsForgottenUnixMs: s.claims.forgottenMS,
+		Claims: s.claims.records(), ClaimsForgottenUnixMs: s.claims.expiredBeforeMS,
 		Suspects: s.suspects.sorted(), Tombstones: s.changes.tombstones,
-		OldestDelta: s.changes.oldest, ViewVersion: s.changes.version, RoleChanges: s.roleChanges,
+		OldestDelta: s.changes.oldestDelta, ViewVersion: s.changes.version, RoleChanges: s.roleChanges,
 		UsageDecided: s.usage.decided, UsagePending: s.usage.pending, ScaleTargets: s.scale.sorted(),
 	}
 	for _, id := range s.requests.ids {
@@ -35,14 +35,14 @@
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(snap)
 	if err != nil {
-		// Only strings that are not UTF-8 can't be marshalled, and the state
-		// holds only strings that were unmarshalled from proto before.
+		// Marshalling fails only for strings that are not UTF-8, and the state holds only
+		// strings that were unmarshalled from proto messages.
 		panic("control: snapshot: " + err.Error())
 	}
 	return data
 }
 
-// RestoreState gives the state that a snapshot holds. Errors: BadSnapshot.
+// RestoreState returns the state that a snapshot holds. Errors: BadSnapshot.
 func RestoreState(data []byte) (*State, error) {
 	snap := &pb.StateSnapshot{}
 	if err := proto.Unmarshal(data, snap); err != nil {
@@ -56,24 +56,24 @@
 	s.restoreFleet(snap)
 	s.restoreOrders(snap)
 	s.claims.restore(snap)
-	for _, sus := range snap.GetSuspects() {
-		s.suspects.byKey[suspectKey{sus.GetMember(), sus.GetFingerprint()}] = sus
+	for _, suspect := range snap.GetSuspects() {
+		s.suspects.byKey[suspectKey{suspect.GetMember(), suspect.GetFingerprint()}] = suspect
 	}
-	s.usage = usage{decided: snap.GetUsageDecided(), pending: snap.GetUsagePending()}
+	s.usage = usageState{decided: snap.GetUsageDecided(), pending: snap.GetUsagePending()}
 	s.scale.apply(&pb.ScaleUpdate{Targets: snap.GetScaleTargets()})
 	s.changes = changes{
-		version: snap.GetViewVersion(), tombstones: snap.GetTombstones(), oldest: snap.GetOldestDelta(),
+		version: snap.GetViewVersion(), tombstones: snap.GetTombstones(), oldestDelta: snap.GetOldestDelta(),
 	}
 	return s, nil
 }
 
-func (d *declared) restore(snap *pb.StateSnapshot) error {
+func (d *declarationState) restore(snap *pb.StateSnapshot) error {
 	d.accepted, d.versions = snap.GetAccepted(), snap.GetObjectVersions()
 	if snap.GetDeclaration().GetRevision() == 0 {
 		return nil
 	}
 	d.proto = snap.GetDeclaration()
-	d.places = placesOf(d.proto.GetObjects())
+	d.positions = positionsOf(d.proto.GetObjects())
 	if len(d.versions) != len(d.proto.GetObjects()) {
 		return BadSnapshot.New("%d versions for %d objects", len(d.versions), len(d.proto.GetObjects()))
 	}
@@ -85,8 +85,8 @@
 func (s *State) restoreFleet(snap *pb.StateSnapshot) {
 	for _, r := range snap.GetServers() {
 		s.servers[r.GetServer().GetId()] = &server{
-			told: r.GetServer(), version: r.GetVersion(),
-			past: r.GetPastIncarnations(), goneMS: r.GetGoneUnixMs(),
+			info: r.GetServer(), version: r.GetVersion(),
+			pastIncarnations: r.GetPastIncarnations(), goneMS: r.GetGoneUnixMs(),
 		}
 	}
 	for _, id := range snap.GetDrained() {
@@ -108,7 +108,8 @@
 			previousTerm: r.GetPreviousTerm(),
 		}
 		s.orders[r.GetOrder().GetServer()] = o
-		// The memory of requests shows the order's newest state too.
+		// The record of the request refers to the order, so that it shows the latest state
+		// too.
 		if known := s.requests.find(o.proto.GetId()); known != nil {
 			known.Order = o.proto
 		}
@@ -135,7 +136,7 @@
 	var list []*pb.ServerRecord
 	for _, sv := range s.sortedServers() {
 		list = append(list, &pb.ServerRecord{
-			Server: sv.told, Version: sv.version, PastIncarnations: sv.past, GoneUnixMs: sv.goneMS,
+			Server: sv.info, Version: sv.version, PastIncarnations: sv.pastIncarnations, GoneUnixMs: sv.goneMS,
 		})
 	}
 	return list
@@ -169,7 +170,7 @@
 				RequestId: known.requestID, Fingerprint: known.fingerprint,
 				Owner: &pb.EntryIdentity{Name: known.owner.name, Incarnation: known.owner.incarnation},
 			},
-			Status: known.status, Answer: known.answer, Answered: known.answered,
+			Status: known.status, Answer: known.answer, Answered: known.answerSequence,
 		})
 	}
 	slices.SortFunc(list, func(a, b *pb.ClaimRecord) int {
@@ -183,17 +184,17 @@
 }
 
 func (c *claims) restore(snap *pb.StateSnapshot) {
-	c.forgottenMS = snap.GetClaimsForgottenUnixMs()
+	c.expiredBeforeMS = snap.GetClaimsForgottenUnixMs()
 	for _, r := range snap.GetClaims() {
 		key := keyOf(r.GetClaim())
 		keyMS, _ := keyTime(key.key)
 		known := &claim{
 			requestID: r.GetClaim().GetRequestId(), owner: ownerOf(r.GetClaim().GetOwner()),
 			fingerprint: r.GetClaim().GetFingerprint(), status: r.GetStatus(),
-			answer: r.GetAnswer(), answered: r.GetAnswered(),
+			answer: r.GetAnswer(), answerSequence: r.GetAnswered(),
 		}
 		c.byKey[key] = known
-		bucket := keyMS / claimBucket.Milliseconds()
+		bucket := keyMS / claimBucketWidth.Milliseconds()
 		c.buckets[bucket] = append(c.buckets[bucket], key)
 		if known.status == pb.ClaimStatus_CLAIM_STATUS_RUNNING {
 			c.addRunning(known.owner, key)
--- a/internal/control/snapshot_test.go
+++ b/internal/control/snapshot_test.go
@@ -20,7 +20,7 @@
 	switch rapid.IntRange(0, 8).Draw(rt, "op") {
 	case 0:
 		revision := uint64(rapid.IntRange(1, 9).Draw(rt, "revision"))
-		cmd.Op = &pb.Command_Apply{Apply: &pb.ApplyRequest{Declaration: declare(revision, revision-1, name("a"), name("c"))}}
+		cmd.Op = &pb.Command_Apply{Apply: &pb.ApplyRequest{Declaration: testDeclaration(revision, revision-1, name("a"), name("c"))}}
 	case 1:
 		cmd.Op = &pb.Command_Drain{Drain: &pb.DrainRequest{Server: name("s"), Drained: rapid.Bool().Draw(rt, "on"), RequestId: name("q")}}
 	case 2:
@@ -60,7 +60,7 @@
 func TestRestoredReplicaStaysTheSame(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plain, restored := NewState(), NewState()
-		follower := newFollower()
+		follower := newDeltaFollower()
 		now := startMS
 		for index := uint64(1); index <= uint64(rapid.IntRange(5, 80).Draw(rt, "length")); index++ {
 			now += int64(rapid.SampledFrom([]int{0, 1000, 600_000}).Draw(rt, "later"))
@@ -77,7 +77,7 @@
 				restored = mustRestore(rt, restored.Snapshot())
 			}
 			if rapid.Bool().Draw(rt, "poll") {
-				follower.take(rt, plain)
+				follower.poll(rt, plain)
 			}
 		}
 		if !bytes.Equal(plain.Snapshot(), restored.Snapshot()) {
@@ -95,14 +95,14 @@
 }
 
 // follower keeps a view by deltas as an entry does.
-type follower struct {
+type deltaFollower struct {
 	version uint64
 	items   map[string]string
 }
 
-func newFollower() *follower { return &follower{items: map[string]string{}} }
+func newDeltaFollower() *deltaFollower { return &deltaFollower{items: map[string]string{}} }
 
-func (f *follower) take(rt *rapid.T, s *State) {
+func (f *deltaFollower) poll(rt *rapid.T, s *State) {
 	v := s.View(f.version)
 	if v.GetFull() {
 		f.items = map[string]string{}
@@ -121,19 +121,19 @@
 	}
 	f.put(v)
 	f.version = v.GetVersion()
-	whole := newFollower()
-	whole.put(s.View(0))
-	if len(whole.items) != len(f.items) {
-		rt.Fatalf("by deltas %v, as a whole %v", f.items, whole.items)
+	full := newDeltaFollower()
+	full.put(s.View(0))
+	if len(full.items) != len(f.items) {
+		rt.Fatalf("by deltas %v, as a whole %v", f.items, full.items)
 	}
-	for key, content := range whole.items {
+	for key, content := range full.items {
 		if f.items[key] != content {
 			rt.Fatalf("%s: by deltas %q, as a whole %q", key, f.items[key], content)
 		}
 	}
 }
 
-func (f *follower) put(v *pb.WatchResponse) {
+func (f *deltaFollower) put(v *pb.WatchResponse) {
 	for _, o := range v.GetObjects() {
 		f.items["o/"+o.GetKind()+"/"+o.GetName()] = string(o.GetContent())
 	}
