--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -9,17 +9,16 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// State is what committed commands have built: the same commands give the same
-// State on every replica. It is bounded by what is alive and by windows of
-// time, never by how many commands there were.
+// State is the replicated state: the same committed commands produce the same State on
+// every replica. Its size is bounded by what is alive and by retention times, never by the
+// number of commands.
 type State struct {
 	index uint64
-	// nowMS is the latest now_unix_ms of any command. It never goes back, so
-	// that a leader whose wall clock is behind can't bring a forgotten claim's
-	// key back into the window.
+	// nowMS is the latest now_unix_ms of any command. It never decreases, so that a leader
+	// whose wall clock is behind can't bring an expired claim's key back into the window.
 	nowMS int64
 
-	declared declared
+	declared declarationState
 	servers  map[string]*server
 	drained  map[string]bool
 	entries  map[string]*entry
@@ -28,16 +27,16 @@
 	claims   claims
 	suspects suspects
 	changes  changes
-	usage    usage
+	usage    usageState
 	scale    scaleTargets
-	// roleChanges counts role orders that were carried out.
+	// roleChanges counts the role orders that were carried out.
 	roleChanges uint64
 }
 
-// NewState gives the state before the first command.
+// NewState returns the state before the first command.
 func NewState() *State {
 	return &State{
-		declared: newDeclared(),
+		declared: newDeclarationState(),
 		servers:  make(map[string]*server),
 		drained:  make(map[string]bool),
 		entries:  make(map[string]*entry),
@@ -49,13 +48,13 @@
 	}
 }
 
-// Index is the log index of the last command applied.
+// Index returns the log index of the last applied command.
 func (s *State) Index() uint64 { return s.index }
 
-// Revision is the declaration revision in force, zero before the first.
+// Revision returns the declaration revision in force, zero before the first.
 func (s *State) Revision() uint64 { return s.declared.proto.GetRevision() }
 
-// ViewVersion is the log index of the last change of the view.
+// ViewVersion returns the log index of the last change of the view.
 func (s *State) ViewVersion() uint64 { return s.changes.version }
 
 // Stats holds sizes of the state, for metrics.
@@ -79,9 +78,9 @@
 	return f
 }
 
-// Apply applies one committed log entry and gives the answer for its proposer,
-// nil for entries that have none. An entry that can't be read changes nothing:
-// every replica sees the same bytes and skips it alike.
+// Apply applies one committed log entry and returns the answer for its proposer, nil for
+// entries that have none. An entry that can't be unmarshalled changes nothing: every
+// replica gets the same bytes and skips the entry in the same way.
 func (s *State) Apply(e *pb.LogEntry) proto.Message {
 	s.index = e.GetIndex()
 	if e.GetKind() != pb.LogEntryKind_LOG_ENTRY_KIND_NORMAL || len(e.GetData()) == 0 {
@@ -124,16 +123,16 @@
 	return nil
 }
 
-// applyExpire drops what is past its window.
+// applyExpire removes records that are past their retention.
 func (s *State) applyExpire() {
 	s.expireClaims()
 	s.expireSuspects()
 	s.expireServers()
 }
 
-// limits gives the declared limits, with the defaults for what is not declared.
-// goldcrestctl fills them in; a declaration that came another way must not make
-// every key expire at once.
+// limits returns the declared limits, with defaults for those that are not declared.
+// goldcrestctl fills in the defaults; a declaration from another source must not make every
+// key expire at once.
 func (s *State) limits() declaration.Limits {
 	var l declaration.Limits
 	if s.declared.parsed != nil {
--- a/internal/control/suspects.go
+++ b/internal/control/suspects.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// maxSuspects bounds the suspects; the one quiet for longest goes first.
+	// maxSuspects bounds the suspects; the one with the oldest last death is evicted first.
 	maxSuspects = 4096
-	// maxSuspectsPerDeath bounds what one report can add: an engine runs fewer
-	// requests than this at once.
+	// maxSuspectsPerDeath bounds what one report can add: an engine runs fewer requests
+	// than this at once.
 	maxSuspectsPerDeath = 512
 )
 
-// suspectKey is member and fingerprint: one member's request never
-// quarantines another's.
+// suspectKey identifies a request by member and fingerprint, so that one member's request
+// never quarantines that of another member.
 type suspectKey struct {
 	member      string
 	fingerprint uint64
 }
 
-// suspects counts deaths of servers by the requests that ran on them.
+// suspects counts the server deaths that happened while a request was running on the
+// server.
 type suspects struct {
 	byKey map[suspectKey]*pb.Suspect
 }
 
 func newSuspects() suspects { return suspects{byKey: make(map[suspectKey]*pb.Suspect)} }
 
-// applyDeaths counts each death once however many entries report it: the death
-// of one incarnation counts once per suspect.
+// applyDeaths counts the death of one incarnation once per suspect, no matter how many
+// entries report it.
 func (s *State) applyDeaths(u *pb.QuarantineUpdate) {
 	for _, death := range u.GetDeaths() {
 		list := death.GetSuspects()
@@ -39,44 +40,44 @@
 			s.countDeath(death.GetServer()+"/"+death.GetIncarnation(), q)
 		}
 	}
-	s.boundSuspects()
+	s.evictSuspects()
 }
 
 func (s *State) countDeath(death string, q *pb.Quarantine) {
 	key := suspectKey{q.GetMember(), q.GetFingerprint()}
-	sus := s.suspects.byKey[key]
-	if sus == nil {
-		sus = &pb.Suspect{Member: key.member, Fingerprint: key.fingerprint}
-		s.suspects.byKey[key] = sus
+	suspect := s.suspects.byKey[key]
+	if suspect == nil {
+		suspect = &pb.Suspect{Member: key.member, Fingerprint: key.fingerprint}
+		s.suspects.byKey[key] = suspect
 	}
-	if slices.Contains(sus.Deaths, death) {
+	if slices.Contains(suspect.Deaths, death) {
 		return
 	}
-	sus.LastUnixMs = s.nowMS
+	suspect.LastUnixMs = s.nowMS
 	limits := s.limits()
-	if len(sus.Deaths) < limits.QuarantineDeaths {
-		sus.Deaths = append(sus.Deaths, death)
+	if len(suspect.Deaths) < limits.QuarantineDeaths {
+		suspect.Deaths = append(suspect.Deaths, death)
 	}
-	s.touchView()
-	sus.SuspectedVersion = s.index
-	if len(sus.Deaths) >= limits.QuarantineDeaths {
-		sus.Version = s.index
-		sus.ExpiresUnixMs = s.nowMS + limits.QuarantineTime.Milliseconds()
+	s.bumpViewVersion()
+	suspect.SuspectedVersion = s.index
+	if len(suspect.Deaths) >= limits.QuarantineDeaths {
+		suspect.Version = s.index
+		suspect.ExpiresUnixMs = s.nowMS + limits.QuarantineTime.Milliseconds()
 	}
 }
 
-// expireSuspects forgets suspects that killed nothing for the quarantine time.
+// expireSuspects removes suspects that caused no death for the quarantine time.
 func (s *State) expireSuspects() {
 	keep := s.limits().QuarantineTime.Milliseconds()
-	for _, sus := range s.suspects.sorted() {
-		ends := max(sus.GetLastUnixMs()+keep, sus.GetExpiresUnixMs())
+	for _, suspect := range s.suspects.sorted() {
+		ends := max(suspect.GetLastUnixMs()+keep, suspect.GetExpiresUnixMs())
 		if s.nowMS >= ends {
-			s.dropSuspect(sus)
+			s.removeSuspect(suspect)
 		}
 	}
 }
 
-func (s *State) boundSuspects() {
+func (s *State) evictSuspects() {
 	excess := len(s.suspects.byKey) - maxSuspects
 	if excess <= 0 {
 		return
@@ -85,32 +86,32 @@
 	slices.SortStableFunc(list, func(a, b *pb.Suspect) int {
 		return cmp.Compare(a.GetLastUnixMs(), b.GetLastUnixMs())
 	})
-	for _, sus := range list[:excess] {
-		s.dropSuspect(sus)
+	for _, suspect := range list[:excess] {
+		s.removeSuspect(suspect)
 	}
 }
 
-func (s *State) dropSuspect(sus *pb.Suspect) {
-	delete(s.suspects.byKey, suspectKey{sus.GetMember(), sus.GetFingerprint()})
-	if sus.GetVersion() == 0 {
+func (s *State) removeSuspect(suspect *pb.Suspect) {
+	delete(s.suspects.byKey, suspectKey{suspect.GetMember(), suspect.GetFingerprint()})
+	if suspect.GetVersion() == 0 {
 		return
 	}
-	s.touchView()
-	s.changes.bury(&pb.Tombstone{Quarantine: quarantineOf(sus)})
+	s.bumpViewVersion()
+	s.changes.addTombstone(&pb.Tombstone{Quarantine: quarantineOf(suspect)})
 }
 
-func quarantineOf(sus *pb.Suspect) *pb.Quarantine {
+func quarantineOf(suspect *pb.Suspect) *pb.Quarantine {
 	return &pb.Quarantine{
-		Member: sus.GetMember(), Fingerprint: sus.GetFingerprint(),
-		ExpiresUnixMs: sus.GetExpiresUnixMs(), Deaths: uint32(len(sus.GetDeaths())),
+		Member: suspect.GetMember(), Fingerprint: suspect.GetFingerprint(),
+		ExpiresUnixMs: suspect.GetExpiresUnixMs(), Deaths: uint32(len(suspect.GetDeaths())),
 	}
 }
 
-// sorted gives the suspects by member and fingerprint.
+// sorted returns the suspects ordered by member and fingerprint.
 func (q *suspects) sorted() []*pb.Suspect {
 	list := make([]*pb.Suspect, 0, len(q.byKey))
-	for _, sus := range q.byKey {
-		list = append(list, sus)
+	for _, suspect := range q.byKey {
+		list = append(list, suspect)
 	}
 	slices.SortFunc(list, func(a, b *pb.Suspect) int {
 		return cmp.Or(strings.Compare(a.GetMember(), b.GetMember()),
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// maxUsagePending bounds the windows that are decided and not taken: an hour of windows
-	// of five seconds. The oldest is given up first.
+	// maxUsagePending bounds the windows that are decided but not reported: one hour of
+	// five-second windows. The oldest is dropped first.
 	maxUsagePending = 720
-	// maxUsageAhead is by how many windows an entry's clock may be ahead of the leader's.
+	// maxUsageAhead is how many windows an entry's clock may be ahead of the leader's.
 	maxUsageAhead = 12
-	// usageGather is how long a new leader lets entries tell it what the one before knew:
-	// more than the time between two of their reports.
-	usageGather = 2500 * time.Millisecond
-	// usageSendReserve is how long before a report is due its window is decided, whoever is
-	// missing: for the log, and for some tries of the call.
-	usageSendReserve = 4 * time.Second
+	// usageGatherTime is how long a new leader collects entries' counts before it decides a
+	// window: more than the interval between two of their reports.
+	usageGatherTime = 2500 * time.Millisecond
+	// usageReportReserve is how long before its report is due a window is decided even if
+	// entries are missing. It leaves time for the commit and for some retries of the call.
+	usageReportReserve = 4 * time.Second
 )
 
-// UsageConfig says how members' usage is accounted for.
+// UsageConfig configures the accounting of members' usage.
 type UsageConfig struct {
-	// Window is the length of a window; zero: nothing is accounted for.
+	// Window is the length of an accounting window; zero disables accounting.
 	Window time.Duration
 	// ReportDelay is how long after the end of a window its report is due.
 	ReportDelay time.Duration
 }
 
-// usage is the replicated part: which windows are decided, and what is to be reported.
-type usage struct {
-	// decided is the last window whose content stands, zero for none.
+// usageState is the replicated part: which windows are decided, and which are still to be
+// reported.
+type usageState struct {
+	// decided is the last window with final counts, zero for none.
 	decided int64
-	// pending are decided and not known to have been taken, in order.
+	// pending holds the decided windows that are not known to be reported, in order.
 	pending []*pb.UsageWindow
 }
 
-// apply settles windows and forgets those that were taken.
+// apply records decided windows and removes those that were reported.
 //
-// Failure: two leaders, one after the other, report one window with the counts that each of
-// them has heard. The first content that stands in the log is the only one that is sent.
-func (u *usage) apply(update *pb.UsageUpdate) {
+// Failure: two successive leaders report the same window with the different counts that
+// each of them received. Only the first counts in the log are ever reported.
+func (u *usageState) apply(update *pb.UsageUpdate) {
 	for _, w := range update.GetDecided() {
 		if w.GetWindow() <= u.decided {
 			continue
@@ -61,34 +62,36 @@
 	}
 }
 
-// usageLead is what only a leader keeps of usage.
-type usageLead struct {
-	// first is the window that this leader began in.
-	first int64
-	// heard are the counts of windows that are not decided, by the life of an entry.
-	heard map[int64]map[string]*pb.UsageWindow
-	// complete is the window up to which each entry's counts are whole, by its life.
-	complete map[string]int64
-	// proposing is set while a decision is on its way through the log.
+// leaderUsage is the leader's in-memory state of usage accounting.
+type leaderUsage struct {
+	// firstWindow is the window in which this leadership began.
+	firstWindow int64
+	// counts holds the counts of undecided windows, by the entry's incarnation.
+	counts map[int64]map[string]*pb.UsageWindow
+	// completeBefore is the window before which an entry's counts are complete, by the
+	// entry's incarnation.
+	completeBefore map[string]int64
+	// proposing is set while a decision is being replicated.
 	proposing bool
 }
 
-func newUsageLead() usageLead {
-	return usageLead{heard: make(map[int64]map[string]*pb.UsageWindow), complete: make(map[string]int64)}
+func newLeaderUsage() leaderUsage {
+	return leaderUsage{counts: make(map[int64]map[string]*pb.UsageWindow), completeBefore: make(map[string]int64)}
 }
 
-func lifeOf(id *pb.EntryIdentity) string { return id.GetName() + "/" + id.GetIncarnation() }
+func incarnationKey(id *pb.EntryIdentity) string { return id.GetName() + "/" + id.GetIncarnation() }
 
-// onUsage takes an entry's counts. They are sums of its life, so that the larger one counts.
+// onUsage records an entry's counts. They are cumulative for the entry's incarnation, so
+// the larger count wins.
 func (r *Reducer) onUsage(req *pb.ReportRequest) {
 	if req.GetUsageComplete() == 0 || r.cfg.Duties.Usage.Window <= 0 {
 		return
 	}
-	l, life := &r.lead.usage, lifeOf(req.GetEntry())
-	ahead := r.usageWindow(r.wall()) + maxUsageAhead
+	l, key := &r.lead.usage, incarnationKey(req.GetEntry())
+	newest := r.usageWindow(r.wall()) + maxUsageAhead
 	for _, w := range req.GetUsage() {
-		if w.GetWindow() > ahead {
-			r.log(slog.LevelWarn, "usage of a window that is far ahead dropped",
+		if w.GetWindow() > newest {
+			r.log(slog.LevelWarn, "usage dropped: its window is too far ahead of the clock",
 				Field{"entry", req.GetEntry().GetName()}, Field{"window", w.GetWindow()})
 			continue
 		}
@@ -96,29 +99,29 @@
 			r.logLateUsage(req.GetEntry().GetName(), w)
 			continue
 		}
-		byLife := l.heard[w.GetWindow()]
-		if byLife == nil {
-			byLife = make(map[string]*pb.UsageWindow)
-			l.heard[w.GetWindow()] = byLife
+		byEntry := l.counts[w.GetWindow()]
+		if byEntry == nil {
+			byEntry = make(map[string]*pb.UsageWindow)
+			l.counts[w.GetWindow()] = byEntry
 		}
-		if requestsIn(w) >= requestsIn(byLife[life]) {
-			byLife[life] = w
+		if totalRequests(w) >= totalRequests(byEntry[key]) {
+			byEntry[key] = w
 		}
 	}
-	l.complete[life] = max(l.complete[life], req.GetUsageComplete())
+	l.completeBefore[key] = max(l.completeBefore[key], req.GetUsageComplete())
 }
 
-// logLateUsage tells of counts that came after their window was decided, unless a leader
-// before may have had them.
+// logLateUsage logs counts that arrived after their window was decided, unless an earlier
+// leader may have received them.
 func (r *Reducer) logLateUsage(entry string, w *pb.UsageWindow) {
-	if w.GetWindow() < r.lead.usage.first {
+	if w.GetWindow() < r.lead.usage.firstWindow {
 		return
 	}
-	r.log(slog.LevelWarn, "usage came after its window was decided", Field{"entry", entry},
-		Field{"window", w.GetWindow()}, Field{"requests", requestsIn(w)})
+	r.log(slog.LevelWarn, "usage arrived after its window was decided", Field{"entry", entry},
+		Field{"window", w.GetWindow()}, Field{"requests", totalRequests(w)})
 }
 
-func requestsIn(w *pb.UsageWindow) uint64 {
+func totalRequests(w *pb.UsageWindow) uint64 {
 	sum := uint64(0)
 	for _, c := range w.GetCounts() {
 		sum += c.GetRequests()
@@ -126,14 +129,14 @@
 	return sum
 }
 
-// driveUsage decides the windows that have ended, and reports what is decided.
-func (r *Reducer) driveUsage() {
+// processUsage decides the windows that have ended and reports the decided ones.
+func (r *Reducer) processUsage() {
 	if r.cfg.Duties.Usage.Window <= 0 {
 		return
 	}
 	current := r.usageWindow(r.wall())
-	if r.lead.usage.first == 0 || !r.membersDeclared() {
-		r.lead.usage.first = current
+	if r.lead.usage.firstWindow == 0 || !r.membersDeclared() {
+		r.lead.usage.firstWindow = current
 	}
 	r.decideUsage(current)
 	for _, w := range r.state.usage.pending {
@@ -150,34 +153,34 @@
 	return parsed != nil && len(parsed.Members) > 0
 }
 
-// decideUsage puts the content of ended windows into the log, one after the other.
+// decideUsage proposes the counts of ended windows in order.
 func (r *Reducer) decideUsage(current int64) {
 	l := &r.lead.usage
-	if l.proposing || r.now < r.lead.since+usageGather {
+	if l.proposing || r.now < r.lead.startedAt+usageGatherTime {
 		return
 	}
 	next := max(r.state.usage.decided+1, current-maxUsagePending)
 	if r.state.usage.decided == 0 {
-		next = l.first
+		next = l.firstWindow
 	}
 	update := &pb.UsageUpdate{}
 	for ; next < current && r.usageReady(next); next++ {
 		update.Decided = append(update.Decided, l.sum(next))
-		delete(l.heard, next)
+		delete(l.counts, next)
 	}
 	if len(update.Decided) > 0 {
 		r.proposeUsage(update)
-		l.forgetGone(r.state)
+		l.forgetRemovedEntries(r.state)
 	}
 }
 
-// forgetGone forgets how far entries had told whose lives are over.
-func (l *usageLead) forgetGone(s *State) {
-	living := make(map[string]bool, len(s.entries))
+// forgetRemovedEntries removes the progress of entry incarnations that no longer exist.
+func (l *leaderUsage) forgetRemovedEntries(s *State) {
+	present := make(map[string]bool, len(s.entries))
 	for _, e := range s.entries {
-		living[lifeOf(e.info.GetIdentity())] = true
+		present[incarnationKey(e.info.GetIdentity())] = true
 	}
-	maps.DeleteFunc(l.complete, func(life string, _ int64) bool { return !living[life] })
+	maps.DeleteFunc(l.completeBefore, func(key string, _ int64) bool { return !present[key] })
 }
 
 func (r *Reducer) proposeUsage(update *pb.UsageUpdate) {
@@ -185,31 +188,31 @@
 	l.proposing = true
 	for _, w := range update.Decided {
 		r.log(slog.LevelInfo, "usage decided", Field{"window", w.GetWindow()},
-			Field{"members", len(w.GetCounts())}, Field{"requests", requestsIn(w)})
+			Field{"members", len(w.GetCounts())}, Field{"requests", totalRequests(w)})
 	}
 	r.propose(&pb.Command{Op: &pb.Command_Usage{Usage: update}}, func(proto.Message, bool) { l.proposing = false })
 }
 
-// usageReady tells whether all living entries have told all of a window, or no time is left
-// to wait for them.
+// usageReady reports whether all live entries have reported all counts of a window, or no
+// time is left to wait for them.
 func (r *Reducer) usageReady(window int64) bool {
 	cfg := r.cfg.Duties.Usage
 	ended := time.Duration(r.wall())*time.Millisecond - time.Duration(window+1)*cfg.Window
-	if ended >= cfg.ReportDelay-usageSendReserve {
+	if ended >= cfg.ReportDelay-usageReportReserve {
 		return true
 	}
 	for _, e := range r.state.entries {
-		if r.lead.usage.complete[lifeOf(e.info.GetIdentity())] <= window {
+		if r.lead.usage.completeBefore[incarnationKey(e.info.GetIdentity())] <= window {
 			return false
 		}
 	}
 	return true
 }
 
-// sum adds the entries' counts of a window up, in order of member.
-func (l *usageLead) sum(window int64) *pb.UsageWindow {
+// sum adds up the entries' counts of a window, ordered by member.
+func (l *leaderUsage) sum(window int64) *pb.UsageWindow {
 	sums := make(map[string]uint64)
-	for _, w := range l.heard[window] {
+	for _, w := range l.counts[window] {
 		for _, c := range w.GetCounts() {
 			sums[c.GetMember()] += c.GetRequests()
 		}
@@ -221,7 +224,7 @@
 	return out
 }
 
-// usageTaken forgets a window whose report was taken, on all replicas.
-func (r *Reducer) usageTaken(window int64) {
+// onUsageAccepted removes a window whose report was accepted, on all replicas.
+func (r *Reducer) onUsageAccepted(window int64) {
 	r.propose(&pb.Command{Op: &pb.Command_Usage{Usage: &pb.UsageUpdate{Taken: []int64{window}}}}, func(proto.Message, bool) {})
 }
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -4,14 +4,14 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// View gives what an entry that knows the view up to a version must learn: a
-// delta, or the whole view when it knows nothing, a version that this group
-// never had, or one that the change index does not reach back to.
+// View returns the update for an entry that has the view of the known version: a delta, or
+// the full view if known is zero, is a version that this group never had, or is older than
+// the change index covers.
 func (s *State) View(known uint64) *pb.WatchResponse {
 	resp := &pb.WatchResponse{
 		Version: s.changes.version, Revision: s.Revision(), KnownVersion: known,
 	}
-	if known == 0 || known > s.changes.version || known < s.changes.oldest {
+	if known == 0 || known > s.changes.version || known < s.changes.oldestDelta {
 		resp.Full = true
 		known = 0
 	}
@@ -30,7 +30,7 @@
 	}
 	for _, sv := range s.sortedServers() {
 		if sv.version > known {
-			resp.Servers = append(resp.Servers, s.shown(sv))
+			resp.Servers = append(resp.Servers, s.serverView(sv))
 		}
 	}
 	for _, e := range s.sortedEntries() {
@@ -38,17 +38,17 @@
 			resp.Entries = append(resp.Entries, e.info)
 		}
 	}
-	for _, sus := range s.suspects.sorted() {
-		if sus.GetVersion() > known {
-			resp.Quarantine = append(resp.Quarantine, quarantineOf(sus))
+	for _, suspect := range s.suspects.sorted() {
+		if suspect.GetVersion() > known {
+			resp.Quarantine = append(resp.Quarantine, quarantineOf(suspect))
 		}
-		if sus.GetVersion() == 0 && sus.GetSuspectedVersion() > known && !resp.GetFull() {
-			resp.Suspects = append(resp.Suspects, quarantineOf(sus))
+		if suspect.GetVersion() == 0 && suspect.GetSuspectedVersion() > known && !resp.GetFull() {
+			resp.Suspects = append(resp.Suspects, quarantineOf(suspect))
 		}
 	}
 }
 
-// addRemoved adds what has left since and has not come back.
+// addRemoved adds what was removed since the known version and was not added again.
 func (s *State) addRemoved(resp *pb.WatchResponse, known uint64) {
 	for _, t := range s.changes.since(known) {
 		switch {
@@ -72,12 +72,12 @@
 	}
 }
 
-func (d *declared) has(ref *pb.ObjectRef) bool {
-	_, ok := d.places[objectKey{ref.GetKind(), ref.GetName()}]
+func (d *declarationState) has(ref *pb.ObjectRef) bool {
+	_, ok := d.positions[objectKey{ref.GetKind(), ref.GetName()}]
 	return ok
 }
 
-func (q *suspects) quarantined(was *pb.Quarantine) bool {
-	sus := q.byKey[suspectKey{was.GetMember(), was.GetFingerprint()}]
-	return sus.GetVersion() > 0
+func (q *suspects) quarantined(quarantine *pb.Quarantine) bool {
+	suspect := q.byKey[suspectKey{quarantine.GetMember(), quarantine.GetFingerprint()}]
+	return suspect.GetVersion() > 0
 }
--- a/internal/control/viewcache.go
+++ b/internal/control/viewcache.go
@@ -4,22 +4,21 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// maxCachedViews bounds the answers kept for one version. Entries that follow
-// the view know one of the last few versions.
+// maxCachedViews bounds the answers cached for one version. Entries that follow the view
+// have one of the last few versions.
 const maxCachedViews = 64
 
-// viewCache keeps the answers worked out for the version in force.
+// viewCache caches the answers for the present version.
 //
-// When the view changes, all entries wait for the same delta. Without the cache
-// each answer looks through the whole state again, and one change costs a
-// leader the square of the number of entries. Answers are shared and must not
-// be changed.
+// When the view changes, all entries wait for the same delta. Without the cache each answer
+// scans the whole state again, and the leader's cost of one change is the square of the
+// number of entries. Answers are shared and must not be modified.
 type viewCache struct {
 	version uint64
 	byKnown map[uint64]*pb.WatchResponse
 }
 
-// get gives the answer for an entry that knows the view up to a version.
+// get returns the answer for an entry that has the view of the known version.
 func (c *viewCache) get(s *State, known uint64, control []string) *pb.WatchResponse {
 	if c.byKnown == nil || c.version != s.ViewVersion() || len(c.byKnown) >= maxCachedViews {
 		c.version = s.ViewVersion()
@@ -35,5 +34,5 @@
 	return resp
 }
 
-// reset forgets all answers: the list of control replicas in them has changed.
+// reset drops all answers, because the list of control replicas in them has changed.
 func (c *viewCache) reset() { c.byKnown = nil }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -12,50 +12,51 @@
 )
 
 const (
-	// loadStep is how much an entry's load must have changed for the view to
-	// tell: callers' weights need no finer figure, and each step is a change
-	// that goes to all entries.
-	loadStep = 0.2
-	// maxHeldWatches bounds held calls; each entry has one, and one more while
-	// it connects again.
+	// loadChangeThreshold is how much an entry's load must change before the view is
+	// updated: callers' weights need no finer value, and each update is sent to all
+	// entries.
+	loadChangeThreshold = 0.2
+	// maxHeldWatches bounds the held calls. Each entry has one, and a second one while it
+	// reconnects.
 	maxHeldWatches = 4096
-	// newsTime is the least time between two rounds of news for each entry that a round
-	// answers, so that rounds leave the leader half of its time or more.
-	newsTime = time.Millisecond
-	// maxNewsPace bounds it, well within an entry's lease on its view.
-	maxNewsPace = 300 * time.Millisecond
-	// manyWatches is from how many entries on news go in rounds: for fewer they would be
-	// shorter than a tick.
-	manyWatches = 50
+	// roundTimePerEntry is the minimum interval between two rounds of view updates, per
+	// entry, so that rounds leave the leader at least half of its time.
+	roundTimePerEntry = time.Millisecond
+	// maxRoundInterval bounds the interval between rounds; it is well below an entry's view
+	// lease.
+	maxRoundInterval = 300 * time.Millisecond
+	// minEntriesForRounds is the number of entries from which view updates are sent in
+	// rounds: with fewer entries a round interval would be shorter than a tick.
+	minEntriesForRounds = 50
 )
 
-// heldWatch is a Watch that waits for news.
+// heldWatch is a Watch call that waits for a change of the view.
 type heldWatch struct {
-	callID uint64
-	entry  string
-	known  uint64
-	until  time.Duration
+	callID       uint64
+	entry        string
+	knownVersion uint64
+	answerBy     time.Duration
 }
 
-// onWatch renews the entry's lease and answers with news now or later.
+// onWatch renews the entry's lease and answers once the view changes or the hold time ends.
 func (r *Reducer) onWatch(id uint64, req *pb.WatchRequest) {
 	name := req.GetEntry().GetName()
 	if name == "" || req.GetEntry().GetIncarnation() == "" {
 		r.reply(id, nil, invalid("the entry's name or incarnation is missing"))
 		return
 	}
-	w := r.lead.entries[name]
-	if w == nil {
-		w = &entryWatch{}
-		r.lead.entries[name] = w
+	t := r.lead.entries[name]
+	if t == nil {
+		t = &trackedEntry{}
+		r.lead.entries[name] = t
 	}
-	if slices.Contains(w.past, req.GetEntry().GetIncarnation()) {
+	if slices.Contains(t.pastIncarnations, req.GetEntry().GetIncarnation()) {
 		r.reply(id, nil, invalid("a newer life of this entry is known"))
 		return
 	}
-	r.renewEntry(w, req)
+	r.renewEntry(t, req)
 	if req.GetKnownVersion() == 0 {
-		r.firstView(&heldWatch{callID: id, entry: name})
+		r.answerFirstView(&heldWatch{callID: id, entry: name})
 		return
 	}
 	if len(r.lead.watches) >= maxHeldWatches {
@@ -64,33 +65,33 @@
 	}
 	hold := min(watchHold, time.Duration(req.GetHoldMs())*time.Millisecond)
 	r.lead.watches = append(r.lead.watches, &heldWatch{
-		callID: id, entry: name, known: req.GetKnownVersion(), until: r.now + hold,
+		callID: id, entry: name, knownVersion: req.GetKnownVersion(), answerBy: r.now + hold,
 	})
 }
 
-// renewEntry takes over what an entry says of itself; only what the others must
-// know goes through the log.
-func (r *Reducer) renewEntry(w *entryWatch, req *pb.WatchRequest) {
-	if w.incarnation != "" && w.incarnation != req.GetEntry().GetIncarnation() {
-		w.past = append(w.past, w.incarnation)
-		w.past = w.past[max(0, len(w.past)-maxPastIncarnations):]
-		w.known = 0
-	}
-	w.incarnation = req.GetEntry().GetIncarnation()
-	w.until = r.now + entryLease
-	w.known, w.revision = req.GetKnownVersion(), req.GetRevision()
-	r.lead.heardAt = r.now
+// renewEntry records what an entry reports about itself. Only properties that other entries
+// need are replicated.
+func (r *Reducer) renewEntry(t *trackedEntry, req *pb.WatchRequest) {
+	if t.incarnation != "" && t.incarnation != req.GetEntry().GetIncarnation() {
+		t.pastIncarnations = append(t.pastIncarnations, t.incarnation)
+		t.pastIncarnations = t.pastIncarnations[max(0, len(t.pastIncarnations)-maxPastIncarnations):]
+		t.knownVersion = 0
+	}
+	t.incarnation = req.GetEntry().GetIncarnation()
+	t.leaseUntil = r.now + entryLease
+	t.knownVersion, t.revision = req.GetKnownVersion(), req.GetRevision()
+	r.lead.lastContactAt = r.now
 	info := &pb.EntryInfo{
 		Identity: req.GetEntry(), Leaving: req.GetLeaving(), Load: roundLoad(req.GetLoad()),
 	}
-	if w.proposed != nil || !r.entryChanged(info) {
+	if t.proposed != nil || !r.entryChanged(info) {
 		return
 	}
-	w.proposed = info
+	t.proposed = info
 	cmd := &pb.Command{Op: &pb.Command_Entry{Entry: &pb.EntryUpdate{Entries: []*pb.EntryInfo{info}}}}
 	r.propose(cmd, func(proto.Message, bool) {
-		if r.lead != nil && w.proposed == info {
-			w.proposed = nil
+		if r.lead != nil && t.proposed == info {
+			t.proposed = nil
 		}
 	})
 	r.log(slog.LevelInfo, "entry changed", Field{"entry", info.GetIdentity().GetName()},
@@ -102,13 +103,13 @@
 	if known == nil || known.info.GetLeaving() != info.GetLeaving() {
 		return true
 	}
-	if math.Abs(known.info.GetLoad()-info.GetLoad()) >= loadStep {
+	if math.Abs(known.info.GetLoad()-info.GetLoad()) >= loadChangeThreshold {
 		return true
 	}
 	return !proto.Equal(known.info.GetIdentity(), info.GetIdentity())
 }
 
-// roundLoad keeps one digit: the log holds no finer load.
+// roundLoad rounds to one decimal place, the precision of loads in the log.
 func roundLoad(load float64) float64 {
 	if math.IsNaN(load) {
 		return 0
@@ -116,13 +117,12 @@
 	return math.Round(min(max(load, 0), 1)*10) / 10
 }
 
-// firstView answers an entry that knows nothing.
+// answerFirstView answers an entry that has no view yet.
 //
-// Failure: an entry starts while the leader it finds has been replaced without
-// knowing it, and gets an older declaration than one that was accepted. The
-// answer waits until a quorum has confirmed, after the request came, that this
-// replica leads.
-func (r *Reducer) firstView(w *heldWatch) {
+// Failure: an entry starts and asks a leader that has been replaced without knowing it, and
+// gets an older declaration than one that was accepted. The answer waits until a quorum has
+// confirmed, after the request arrived, that this replica leads.
+func (r *Reducer) answerFirstView(w *heldWatch) {
 	r.read(func(ok bool) {
 		if !ok || r.lead == nil {
 			r.reply(w.callID, nil, r.notLeader())
@@ -132,53 +132,54 @@
 	})
 }
 
-// answerWatches answers the held calls that the view has news for, in rounds where there
-// are many calls.
+// answerWatches answers the held calls that lack the present view, in rounds if there are
+// many entries.
 //
-// Failure: hundreds of entries start at once, after a power loss or when control comes back.
-// Each is a change of the view, and each change answered the calls of all the others: as many
-// answers as entries squared, which kept the leader from giving the first views for seconds
-// while callers waited at entries without one.
+// Failure: hundreds of entries start at once, after a power loss or when control recovers.
+// Each start changes the view, and if each change answered the calls of all other entries,
+// the number of answers would be the square of the number of entries. The leader would then
+// be too busy for seconds to send first views, while callers wait at entries without one.
 func (r *Reducer) answerWatches() {
-	if r.now < r.lead.newsAt+newsPace(len(r.lead.entries)) {
+	if r.now < r.lead.lastRoundAt+roundInterval(len(r.lead.entries)) {
 		return
 	}
 	held := len(r.lead.watches)
 	r.lead.watches = slices.DeleteFunc(r.lead.watches, func(w *heldWatch) bool {
-		if w.known == r.state.ViewVersion() {
+		if w.knownVersion == r.state.ViewVersion() {
 			return false
 		}
 		r.answerWatch(w)
 		return true
 	})
-	if told := held - len(r.lead.watches); told > 0 {
-		r.lead.newsAt = r.now
-		r.logNews(told, held)
+	if answered := held - len(r.lead.watches); answered > 0 {
+		r.lead.lastRoundAt = r.now
+		r.logRound(answered, held)
 	}
 }
 
-// logNews tells of a round of news to many entries.
-func (r *Reducer) logNews(told, held int) {
-	if told < manyWatches {
+// logRound logs a round of view updates to many entries.
+func (r *Reducer) logRound(answered, held int) {
+	if answered < minEntriesForRounds {
 		return
 	}
 	r.log(slog.LevelInfo, "news", Field{"version", r.state.ViewVersion()}, Field{"revision", r.state.Revision()},
-		Field{"told", told}, Field{"held", held})
+		Field{"told", answered}, Field{"held", held})
 }
 
-// newsPace is the shortest time between two rounds of news to so many entries. Those are
-// counted that may poll, not the calls that are held: just after a round there are hardly any.
-func newsPace(entries int) time.Duration {
-	if entries < manyWatches {
+// roundInterval is the minimum interval between two rounds of view updates. It depends on
+// the entries that may poll, not on the held calls, of which there are hardly any just
+// after a round.
+func roundInterval(entries int) time.Duration {
+	if entries < minEntriesForRounds {
 		return 0
 	}
-	return min(maxNewsPace, time.Duration(entries)*newsTime)
+	return min(maxRoundInterval, time.Duration(entries)*roundTimePerEntry)
 }
 
-// releaseWatches answers the held calls whose time has passed.
-func (r *Reducer) releaseWatches() {
+// answerExpiredWatches answers the held calls whose hold time has ended.
+func (r *Reducer) answerExpiredWatches() {
 	r.lead.watches = slices.DeleteFunc(r.lead.watches, func(w *heldWatch) bool {
-		if r.now < w.until {
+		if r.now < w.answerBy {
 			return false
 		}
 		r.answerWatch(w)
@@ -186,14 +187,14 @@
 	})
 }
 
-// answerWatch gives view and lease. A leader whose quorum lease has run out
-// gives no lease on its view: another may lead and have changed it.
+// answerWatch answers with the view and its lease. A leader without a valid quorum lease
+// must not lease a view: another replica may lead and have changed it.
 func (r *Reducer) answerWatch(w *heldWatch) {
-	if !r.leased() {
+	if !r.hasQuorumLease() {
 		r.reply(w.callID, nil, r.notLeader())
 		return
 	}
-	resp := r.lead.views.get(r.state, w.known, r.controlAddresses())
+	resp := r.lead.views.get(r.state, w.knownVersion, r.controlAddresses())
 	if e := r.lead.entries[w.entry]; e != nil {
 		e.viewUntil = r.now + viewLease
 	}
@@ -208,11 +209,11 @@
 	return list
 }
 
-// inForce tells whether every entry that may act on a view has the version in
-// force. An entry whose view lease has run out sends no new work.
-func (r *Reducer) inForce(version uint64) bool {
-	for _, w := range r.lead.entries {
-		if w.known < version && r.now < w.viewUntil {
+// appliedByAllEntries reports whether every entry that may use a view has at least this
+// version. An entry whose view lease has expired sends no new requests.
+func (r *Reducer) appliedByAllEntries(version uint64) bool {
+	for _, t := range r.lead.entries {
+		if t.knownVersion < version && r.now < t.viewUntil {
 			return false
 		}
 	}
