--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -120,17 +120,17 @@
 // Failure: a server is told to shut down right after its start. Its Leave overtakes its
 // first announcement and is confirmed, and the announcement then registers the server as
 // serving: it gets requests although it relies on getting none.
-func (l *leadership) recordDeparted(now time.Duration, inc string) {
+func (l *leadership) recordDeparted(now time.Duration, incarnation string) {
 	if len(l.departed) < maxDeparted {
-		l.departed[inc] = now
+		l.departed[incarnation] = now
 	}
 }
 
 // expireDeparted drops the records that are older than departedRetention.
 func (l *leadership) expireDeparted(now time.Duration) {
-	for inc, at := range l.departed {
+	for incarnation, at := range l.departed {
 		if now-at >= departedRetention {
-			delete(l.departed, inc)
+			delete(l.departed, incarnation)
 		}
 	}
 }
@@ -151,9 +151,9 @@
 }
 
 // byIncarnation returns the server with that incarnation, or nil.
-func (s *State) byIncarnation(inc string) *server {
+func (s *State) byIncarnation(incarnationID string) *server {
 	for _, sv := range s.sortedServers() {
-		if incarnation.Covers(inc, sv.info.GetIncarnation()) {
+		if incarnation.Covers(incarnationID, sv.info.GetIncarnation()) {
 			return sv
 		}
 	}
--- a/internal/control/announce_test.go
+++ b/internal/control/announce_test.go
@@ -9,7 +9,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// word is a server's own announcement, told to control directly.
+// announcementOf returns an announcement as a server sends it directly to control.
 func announcementOf(id, incarnation string, state pb.ServerState) *pb.Announcement {
 	return &pb.Announcement{Server: &pb.BackendServer{
 		Id: id, Incarnation: incarnation, Address: id, Kind: pb.ServerKind_SERVER_KIND_PLAIN,
@@ -29,9 +29,9 @@
 	return h.nextID
 }
 
-// A server says that it leaves and stops once that is confirmed. If the leader
-// confirmed before the commit and died then, the next one would go on sending
-// work to a server that is gone.
+// A server reports that it is leaving and stops once that is confirmed. If the leader
+// confirmed before the commit and then died, the next leader would still send requests to a
+// server that has stopped.
 func TestLeavingIsConfirmedOnlyOnceCommitted(t *testing.T) {
 	h := newHarness(t)
 	h.announce(announcementOf("a", "life-1", serving), 1)
@@ -46,8 +46,8 @@
 	}
 }
 
-// A heartbeat is delayed on its way and comes after the word that the server
-// leaves, and after its last word. Neither makes the server serve again.
+// A delayed heartbeat arrives after the announcement that the server is leaving, or after
+// its Leave. Neither may make the server serve again.
 func TestOutOfOrderAnnouncementsAreIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.announce(announcementOf("a", "life-1", serving), 1)
@@ -60,31 +60,31 @@
 	h.announce(announcementOf("b", "life-2", serving), 1)
 	h.leave("life-2")
 	if got := h.state("b"); got != leaving {
-		t.Fatalf("after its last word: %v", got)
+		t.Fatalf("after its Leave: %v", got)
 	}
 	h.clock += 2 * staleServingPeriod
 	h.announce(announcementOf("b", "life-2", serving), 99)
 	if got := h.state("b"); got != leaving {
-		t.Fatalf("a heartbeat after the last word: %v", got)
+		t.Fatalf("after a heartbeat that arrived after the Leave: %v", got)
 	}
 }
 
-// A server crashes and starts again at its address; a heartbeat of its earlier
-// life arrives late. The new life stays in force.
+// A server crashes and restarts at its address; a heartbeat of its earlier incarnation
+// arrives late. The new incarnation stays in force.
 func TestEarlierIncarnationIsNotRestored(t *testing.T) {
 	h := newHarness(t)
 	h.announce(announcementOf("a", "life-1", serving), 7)
 	h.announce(announcementOf("a", "life-2", serving), 1)
 	if id := h.announce(announcementOf("a", "life-1", leaving), 8); h.replies[id].Err != nil {
-		t.Fatalf("the late word is not answered: %v", h.replies[id].Err)
+		t.Fatalf("the late announcement is not answered: %v", h.replies[id].Err)
 	}
 	if got := h.server("a"); got.GetIncarnation() != "life-2" || got.GetState() != serving {
-		t.Fatalf("in force: %v", got)
+		t.Fatalf("server in force: %v", got)
 	}
 }
 
-// A server whose word this leader never heard tells that it leaves: there is
-// nothing to take back, and it must not wait for an answer.
+// A server that this leader has no announcement of sends a Leave: there is nothing to undo,
+// and the server must get its answer at once.
 func TestUnknownServerMayLeave(t *testing.T) {
 	h := newHarness(t)
 	id := h.leave("nobody")
@@ -93,10 +93,10 @@
 	}
 }
 
-// A server starts and is told to go at once. Its last word overtakes its first
-// announcement; control confirms it though it knows no such server, and the announcement
-// comes 0.1 s later. It registered the server as serving, and requests went on to it 2.2 s
-// after it had been told that nothing would come. Its next life is another matter.
+// A server is told to shut down right after its start. Its Leave overtakes its first
+// announcement, which arrives 0.1 s later. If the late announcement registered the server
+// as serving, requests would still reach it 2.2 s after it was told that none would come.
+// Its next incarnation is registered as usual.
 func TestServerThatLeftBeforeAnnouncingIsNotRegistered(t *testing.T) {
 	h := newHarness(t)
 	h.leave("life-1")
@@ -109,23 +109,24 @@
 	}
 	h.announce(announcementOf("a", "life-2", serving), 1)
 	if got := h.server("a"); got.GetIncarnation() != "life-2" || got.GetState() != serving {
-		t.Fatalf("its next life: %v", got)
+		t.Fatalf("its next incarnation: %v", got)
 	}
 }
 
-// A follower sends the call to the leader in place of answering it.
+// A follower must refuse the announcement with the leader's address instead of confirming
+// it.
 func TestFollowerRejectsAnnouncements(t *testing.T) {
 	h := newHarness(t)
 	h.stepDown(2)
 	id := h.announce(announcementOf("a", "life-1", serving), 1)
 	if r := h.replies[id]; r.Err == nil {
-		t.Fatal("a follower confirmed a word")
+		t.Fatal("a follower confirmed an announcement")
 	}
 }
 
-// Operators number their changes from one sequence and don't know of each other.
-// The highest counts, whatever it was written against; one that comes late or
-// again is confirmed, changes nothing, and is not read back.
+// Operators number their changes from one sequence and don't know of each other. The
+// highest revision wins, whatever its base. A revision that arrives late or again is
+// confirmed, changes nothing, and is not returned by GetDeclaration.
 func TestNewestDeclarationWins(t *testing.T) {
 	h := newHarness(t)
 	apply := func(revision uint64, mark string) *pb.ApplyResponse {
@@ -136,7 +137,7 @@
 	for _, tc := range []struct {
 		revision uint64
 		mark     string
-		force    string
+		inForce  string
 		repeated bool
 	}{
 		{5, "five", "five", false}, {3, "three", "five", true}, {5, "other", "five", true}, {9, "nine", "nine", false},
@@ -146,8 +147,8 @@
 			t.Fatalf("revision %d: %v", tc.revision, r)
 		}
 		got := call[*pb.GetDeclarationResponse](h, &pb.GetDeclarationRequest{ClusterId: cluster})
-		if string(got.GetDeclaration().GetDocument()) != tc.force {
-			t.Fatalf("after revision %d %q is read back, want %q", tc.revision, got.GetDeclaration().GetDocument(), tc.force)
+		if string(got.GetDeclaration().GetDocument()) != tc.inForce {
+			t.Fatalf("after revision %d %q is in force, want %q", tc.revision, got.GetDeclaration().GetDocument(), tc.inForce)
 		}
 	}
 }
--- a/internal/control/claims_test.go
+++ b/internal/control/claims_test.go
@@ -27,8 +27,8 @@
 	}}})
 }
 
-// A caller's balance lookup is sent to two entries at once, and again after its
-// end. One of them may send it; all others learn what became of it.
+// A caller sends a balance lookup to two entries at once, and again after its end. Only one
+// entry may send it; all others get its status.
 func TestOneClaimOfManyIsGranted(t *testing.T) {
 	h := newHarness(t)
 	key := keyAt(h.wallNow(), 1)
@@ -56,13 +56,12 @@
 	h.settle(first, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
 	got := h.claim(second)
 	if got.GetStatus() != pb.ClaimStatus_CLAIM_STATUS_DONE || string(got.GetAnswer().GetBody()) != "42" {
-		t.Errorf("after its end: %v", got)
+		t.Errorf("after its settlement: %v", got)
 	}
 }
 
-// The entry that was granted a filing dies before it tells the end. The caller
-// sends again elsewhere: whether the filing ran is unknown, so it never runs
-// again.
+// The entry that was granted a filing dies before it settles the claim. The caller repeats
+// the call elsewhere: it is unknown whether the filing ran, so it must never run again.
 func TestDeadOwnerLeavesItsClaimUnknown(t *testing.T) {
 	h := newHarness(t)
 	dead := h.addEntry("e1")
@@ -77,9 +76,9 @@
 	}
 }
 
-// A key is forgotten with its window, then a declaration makes the window
-// longer, or a leader with a slow clock takes over. The caller sends the old key
-// again: its receipt must not be issued twice.
+// A key expires with its window, then a declaration extends the window, or a leader with a
+// slow clock takes over. The caller sends the old key again: its receipt must not be issued
+// twice.
 func TestExpiredKeyStaysRefused(t *testing.T) {
 	h := newHarness(t)
 	h.apply(testDeclaration(1, 0, "ann", "a"))
@@ -91,15 +90,15 @@
 	h.becomeLeader(2)
 	h.advance(expireInterval + time.Second)
 	if n := len(h.State().claims.byKey); n != 0 {
-		t.Fatalf("%d claims are kept beyond the window", n)
+		t.Fatalf("%d claims are retained beyond the window", n)
 	}
 	h.apply(withObjects(testDeclaration(2, 1, "ann", "b"), "limits", `{"once_window":86400000000000}`))
 	if got := h.claim(c).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
-		t.Fatalf("under a longer window: %v", got)
+		t.Fatalf("with a longer window: %v", got)
 	}
 	h.Step(h.clock, Tick{WallMS: startMS})
 	if got := h.claim(c).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
-		t.Fatalf("under a slow clock: %v", got)
+		t.Fatalf("with a slow clock: %v", got)
 	}
 	for _, key := range []string{keyAt(startMS+int64(48*time.Hour/time.Millisecond), 1), "x", ""} {
 		if got := h.claim(claimOf(key, "r1", entryIdentity("e1", "1"))).GetStatus(); got != pb.ClaimStatus_CLAIM_STATUS_EXPIRED {
@@ -108,16 +107,16 @@
 	}
 }
 
-// claimModel counts the grants of one key.
+// claimModel is the expected state of one key.
 type claimModel struct {
-	// granted holds owner and request of the grant that may still be sent.
+	// granted is owner and request id of the grant that may still be sent.
 	granted string
 	ended   bool
 }
 
-// Claims of several entries race, are doubled and resent, entries die and
-// restart, settlements come late or twice. At any time at most one owner and
-// request holds the right to send, and after a known or unknown end nobody.
+// Claims of several entries race and are duplicated and resent, entries die and restart,
+// settlements arrive late or twice. At any time at most one owner and request may send, and
+// after a known or unknown outcome none.
 func TestClaimsUnderDoubledAndResentCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newHarness(t)
@@ -138,22 +137,22 @@
 		m = &claimModel{}
 		models[c.GetKey()] = m
 	}
-	me := c.GetOwner().GetName() + c.GetOwner().GetIncarnation() + c.GetRequestId()
+	grantee := c.GetOwner().GetName() + c.GetOwner().GetIncarnation() + c.GetRequestId()
 	switch rapid.IntRange(0, 4).Draw(rt, "op") {
 	case 0, 1:
 		got := h.claim(c).GetStatus() == pb.ClaimStatus_CLAIM_STATUS_GRANTED
-		if got && (m.ended || m.granted != "" && m.granted != me) {
-			rt.Fatalf("granted to %s after %+v", me, *m)
+		if got && (m.ended || m.granted != "" && m.granted != grantee) {
+			rt.Fatalf("granted to %s after %+v", grantee, *m)
 		}
 		if got {
-			m.granted = me
+			m.granted = grantee
 		}
 	case 2:
 		h.settle(c, pb.ClaimStatus_CLAIM_STATUS_DONE, "x")
-		m.ended = m.ended || m.granted == me
+		m.ended = m.ended || m.granted == grantee
 	case 3:
 		h.settle(c, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, "")
-		if m.granted == me && !m.ended {
+		if m.granted == grantee && !m.ended {
 			m.granted = ""
 		}
 	case 4:
--- a/internal/control/declared_test.go
+++ b/internal/control/declared_test.go
@@ -9,9 +9,9 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Two operators write against the same revision. The first to commit wins; the
-// other is told who won and must rebase, or the first one's change would be
-// reverted without anybody having asked for it.
+// Two operators write against the same revision. The first to commit wins. The other must
+// be told who won and rebase; otherwise its declaration would silently revert the first
+// one's change.
 func TestSecondOfTwoRacingOperatorsIsRefused(t *testing.T) {
 	h := newHarness(t)
 	h.apply(testDeclaration(1, 0, "ann", "a"))
@@ -27,9 +27,9 @@
 	}
 }
 
-// An operator loses the answer, and others go on meanwhile; the resent call must
-// get the first answer. Another operator who took the same number for other
-// content must be told so, also when the number is long past.
+// An operator loses the answer while others apply further revisions; the repeated call must
+// get the first answer. An operator that used the same number for other content must get a
+// refusal, even if the number is long past.
 func TestResentRevisionGetsItsFirstAnswer(t *testing.T) {
 	h := newHarness(t)
 	for i := uint64(1); i <= 5; i++ {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Garbage under a valid digest, a wrong digest or another cluster's id changes
+// A wrong digest, a missing declaration or author, or another cluster's id must change
 // nothing.
 func TestBadApplyChangesNothing(t *testing.T) {
 	h := newHarness(t)
@@ -71,7 +71,8 @@
 	}
 }
 
-// Guards against objects that were taken out, by the thousand and some put back, and stay in force at entries.
+// Guards against removed objects that stay in force at entries. Thousands are removed, and
+// some are added again.
 func TestDeltaListsAllRemovedObjects(t *testing.T) {
 	const profiles = 4000
 	h := newHarness(t)
@@ -82,10 +83,10 @@
 	view := h.State().View(known)
 	removed := view.GetRemovedObjects()
 	if len(removed) != profiles-10 || removed[0].GetName() != "q00010" || removed[len(removed)-1].GetName() != "q03999" {
-		t.Errorf("%d objects are told to be taken out", len(removed))
+		t.Errorf("%d objects are reported as removed", len(removed))
 	}
 	if restored := len(view.GetObjects()); restored < 10 {
-		t.Errorf("%d objects are told that were put back", restored)
+		t.Errorf("%d objects are reported as added again", restored)
 	}
 }
 
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -18,9 +18,8 @@
 	gone    = pb.ServerState_SERVER_STATE_GONE
 )
 
-// An entry starts and asks a leader that was cut off and replaced without
-// knowing it. Its view may be older than one in force; the entry must get no
-// view from it.
+// An entry starts and asks a leader that was partitioned and replaced without knowing it.
+// The leader's view may be older than the one in force, so the entry must not get it.
 func TestFreshEntryWaitsForAQuorum(t *testing.T) {
 	h := newHarness(t)
 	h.apply(testDeclaration(1, 0, "ann", "a"))
@@ -32,24 +31,24 @@
 	}
 }
 
-// A leader whose quorum lease has run out gives no entry a lease on its view.
+// A leader whose quorum lease has expired must not lease a view to an entry.
 func TestLeaderWithoutQuorumLeaseGrantsNoViewLease(t *testing.T) {
 	h := newHarness(t)
 	h.apply(testDeclaration(1, 0, "ann", "a"))
 	version := h.State().ViewVersion()
 	id := h.send(&pb.WatchRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), KnownVersion: version + 99, HoldMs: 600})
 	if r := h.replies[id]; r.Response.(*pb.WatchResponse).GetLeaseMs() == 0 {
-		t.Fatal("no lease from a leader that has one")
+		t.Fatal("no view lease from a leader with a quorum lease")
 	}
 	h.node.leaseUntil = h.clock
 	id = h.send(&pb.WatchRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), KnownVersion: 1, HoldMs: 600})
 	h.advance(time.Second)
 	if r := h.replies[id]; r.Err == nil {
-		t.Fatalf("got %v", r.Response)
+		t.Fatalf("a leader without a quorum lease answered %v", r.Response)
 	}
 }
 
-// A follower tells where the leader is.
+// A follower answers with the leader's address.
 func TestFollowerNamesTheLeader(t *testing.T) {
 	h := newHarness(t)
 	h.members = &pb.Membership{Members: []*pb.ReplicaMember{
@@ -65,14 +64,14 @@
 	}
 }
 
-// A server falls silent: it is GONE once its lease has run out, not before, and
-// comes back with its next announcement.
+// A server stops announcing: it is GONE once its lease has expired, not before, and returns
+// with its next announcement.
 func TestSilentServerIsGoneAfterItsLease(t *testing.T) {
 	h := newHarness(t)
 	h.engine("a")
 	b := h.engine("b")
 	h.advance(2 * time.Second)
-	h.repeated = h.repeated[:1]
+	h.repeatedAnnouncements = h.repeatedAnnouncements[:1]
 	h.advance(serverLease - 1500*time.Millisecond)
 	if got := h.state("b"); got != serving {
 		t.Fatalf("%v within its lease", got)
@@ -83,12 +82,12 @@
 	}
 	h.report(b)
 	if got := h.state("b"); got != serving {
-		t.Errorf("back: %v", got)
+		t.Errorf("after its next announcement: %v", got)
 	}
 }
 
-// The leader hears no entry for a while, or its process is stopped, or it is
-// new. All servers' leases run out together though all serve; none may be GONE.
+// The leader gets no report for a while, or its process is paused, or it is new. All
+// servers' leases expire together although all of them serve; none may become GONE.
 func TestIsolatedLeaderKeepsServers(t *testing.T) {
 	for name, isolate := range map[string]func(*harness){
 		"no reports": func(h *harness) {
@@ -127,7 +126,7 @@
 	}
 }
 
-// A server says that it leaves. The word of the second before, relayed by a
+// A server reports that it is leaving. The announcement of the second before, relayed by a
 // slower entry, must not make it serve again.
 func TestLateServingDoesNotUndoLeaving(t *testing.T) {
 	h := newHarness(t)
@@ -135,21 +134,21 @@
 	a.Server.State = leaving
 	h.report(a)
 	if got := h.state("a"); got != leaving {
-		t.Fatalf("not at once: %v", got)
+		t.Fatalf("after leaving: %v", got)
 	}
 	a.Server.State = serving
 	h.report(a)
 	if got := h.state("a"); got != leaving {
-		t.Fatalf("late word: %v", got)
+		t.Fatalf("after a late announcement: %v", got)
 	}
 	h.advance(staleServingPeriod + 2*time.Second)
 	if got := h.state("a"); got != serving {
-		t.Errorf("it has come back to stay: %v", got)
+		t.Errorf("serving again after the stale period: %v", got)
 	}
 }
 
-// A drain outlives the server's restart; a drain that is resent after another
-// operator has taken it back is not applied again.
+// A drain must survive the server's restart. A repeated drain call after another operator
+// has cleared the drain must not set it again.
 func TestDrainOutlivesRestartsAndResends(t *testing.T) {
 	h := newHarness(t)
 	a := h.engine("a")
@@ -158,7 +157,7 @@
 	a.Server.Incarnation = "i2"
 	h.report(a)
 	if !h.server("a").GetDrained() {
-		t.Fatal("a restart undid the drain")
+		t.Fatal("a restart cleared the drain")
 	}
 	call[*pb.DrainResponse](h, &pb.DrainRequest{ClusterId: cluster, Server: "a", RequestId: "d2"})
 	if call[*pb.DrainResponse](h, drain).GetServer().GetDrained() {
@@ -166,9 +165,9 @@
 	}
 }
 
-// One request crashes two servers, and all nine entries report both deaths. The
-// view refuses it after the second server, not after the second report, and
-// forgets it after the quarantine time.
+// One request crashes two servers, and all nine entries report both deaths. The request
+// must be quarantined after the second death, not after the second report, and released
+// after the quarantine time.
 func TestQuarantineCountsServersNotReports(t *testing.T) {
 	h := newHarness(t)
 	h.apply(testDeclaration(1, 0, "ann", "a"))
@@ -183,13 +182,13 @@
 	}
 	before := h.State().ViewVersion()
 	if n := reportDeath("a"); n != 0 {
-		t.Fatalf("%d after one death", n)
+		t.Fatalf("%d quarantined after one death", n)
 	}
 	if got := h.State().View(before).GetSuspects(); len(got) != 2 {
-		t.Fatalf("entries are told of %d suspects after one death, want 2", len(got))
+		t.Fatalf("the view reports %d suspects after one death, want 2", len(got))
 	}
 	if n := reportDeath("bb"); n != 1 {
-		t.Fatalf("%d after two deaths", n)
+		t.Fatalf("%d quarantined after two deaths", n)
 	}
 	version := h.State().ViewVersion()
 	h.clock += time.Hour
@@ -200,9 +199,9 @@
 	}
 }
 
-// The offered work turns to long prompts for good. The planner's choice becomes
-// one order at a time, within roles.max_away, and none while the declaration
-// turns automatic changes off.
+// The demand shifts to long prompts permanently. The planner's choice must become one order
+// at a time, within roles.max_away, and no order if the declaration disables automatic
+// changes.
 func TestDemandShiftTriggersRoleOrders(t *testing.T) {
 	for _, automatic := range []bool{true, false} {
 		h := newHarness(t)
@@ -219,12 +218,12 @@
 				{Model: "m", Profile: "p", PrefillTokens: 40_000, DecodeTokens: 10},
 			}})
 			h.advance(time.Second)
-			if h.State().enginesAway("m") > 1 {
-				t.Fatal("more engines away than allowed")
+			if h.State().changingEngines("m") > 1 {
+				t.Fatal("more engines change than max_away allows")
 			}
 			if n := len(h.orders); n > 0 {
 				last := h.orders[n-1]
-				for _, a := range h.repeated {
+				for _, a := range h.repeatedAnnouncements {
 					if a.GetServer().GetId() == last.Server && a.OrderId != last.Order.ID {
 						h.completeLast(a)
 						a.Server.Role = h.State().orders[last.Server].proto.GetRole()
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -14,7 +14,8 @@
 )
 
 func init() {
-	// The same verdict every time; a flag on the command line still counts.
+	// A fixed seed gives the same result every time; a flag on the command line overrides
+	// it.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
@@ -26,22 +27,22 @@
 	startMS = int64(1_800_000_000_000)
 )
 
-// fakeNode is a group of one: what is proposed commits at once, unless the test
-// takes its leadership or lease away.
+// fakeNode is a group of one: proposals commit at once, unless the test takes its
+// leadership or lease away or sets commitsBlocked.
 type fakeNode struct {
 	term, index uint64
 	isLeader    bool
 	leaseUntil  time.Duration
-	// confirms is false when no quorum answers: reads stay open.
+	// quorumAnswers is false when no quorum responds: reads stay pending.
 	quorumAnswers bool
 	reads         []uint64
-	// tells is given out with the next Tick.
+	// nextEffects are returned by the next Tick.
 	nextEffects []consensus.Effect
-	// replicas is what Status tells of the others.
+	// replicas is what Status returns about the group.
 	replicas []consensus.ReplicaStatus
-	// changes are the changes of the member list that were proposed.
+	// changes are the proposed changes of the member list.
 	changes []consensus.MembershipChange
-	// stuck keeps what is proposed from committing.
+	// commitsBlocked keeps proposals from committing.
 	commitsBlocked bool
 }
 
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// world is one replica under test with its own clock.
+// harness is one replica under test with its own clock.
 type harness struct {
 	*Reducer
 	t       testing.TB
@@ -89,17 +90,17 @@
 	clock   time.Duration
 	nextID  uint64
 	replies map[uint64]Reply
-	// watched counts the answers to Watch.
-	watchReplies int
+	// watchAnswers counts the answers to Watch calls.
+	watchAnswers int
 	orders       []SendOrder
-	// announced are servers that go on announcing themselves each second.
-	repeated     []*pb.Announcement
-	lastReportAt time.Duration
-	// entries are entries that poll; silent ones do not.
+	// repeatedAnnouncements are sent again each second.
+	repeatedAnnouncements []*pb.Announcement
+	lastReportAt          time.Duration
+	// entries poll for the view; silent ones do not.
 	entries map[string]*fakeEntry
 }
 
-// fakeEntry polls Watch and takes over what it gets.
+// fakeEntry polls with Watch and applies the answers.
 type fakeEntry struct {
 	identity *pb.EntryIdentity
 	known    uint64
@@ -120,14 +121,14 @@
 	return h
 }
 
-// lead makes the replica the ready leader of a term.
+// becomeLeader makes the replica the ready leader of a term.
 func (h *harness) becomeLeader(term uint64) {
 	h.node.term, h.node.isLeader = term, true
 	h.node.leaseUntil = h.clock + time.Hour
 	h.emitOnTick(consensus.LeaderChanged{Term: term, Leader: 1, Leads: true})
 }
 
-// follow takes leadership away.
+// stepDown ends the replica's leadership.
 func (h *harness) stepDown(term uint64) {
 	h.node.isLeader, h.node.leaseUntil = false, 0
 	h.emitOnTick(consensus.LeaderChanged{Term: term, Leader: 2})
@@ -144,7 +145,7 @@
 		case Reply:
 			h.replies[e.ID] = e
 			if _, ok := e.Response.(*pb.WatchResponse); ok {
-				h.watchReplies++
+				h.watchAnswers++
 			}
 		case SendOrder:
 			h.orders = append(h.orders, e)
@@ -164,7 +165,7 @@
 		h.poll()
 		if h.clock >= h.lastReportAt+time.Second {
 			h.lastReportAt = h.clock
-			h.report(h.repeated...)
+			h.report(h.repeatedAnnouncements...)
 		}
 	}
 }
@@ -175,7 +176,7 @@
 	}
 }
 
-// pollOne lets an entry take the answer that it has and ask again.
+// pollOne lets an entry apply the answer to its last Watch, if any, and send the next one.
 func (h *harness) pollOne(e *fakeEntry) {
 	if r, ok := h.replies[e.call]; ok && e.call != 0 {
 		delete(h.replies, e.call)
@@ -207,7 +208,7 @@
 	return h.nextID
 }
 
-// ask sends a call that must be answered in the same step.
+// call sends a request that must be answered in the same step.
 func call[T proto.Message](h *harness, req proto.Message) T {
 	h.t.Helper()
 	id := h.send(req)
@@ -222,7 +223,7 @@
 	h.send(&pb.ReportRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), Announcements: list})
 }
 
-// engine gives an announcement of an idle engine, which the world repeats.
+// engine reports an idle engine and returns its announcement, which the harness repeats.
 func (h *harness) engine(id string) *pb.Announcement {
 	a := &pb.Announcement{
 		Server: &pb.BackendServer{
@@ -232,7 +233,7 @@
 		},
 		Load: &pb.Load{},
 	}
-	h.repeated = append(h.repeated, a)
+	h.repeatedAnnouncements = append(h.repeatedAnnouncements, a)
 	h.report(a)
 	return a
 }
@@ -246,7 +247,7 @@
 	return nil
 }
 
-// declare gives a small declaration; mark makes its content differ.
+// testDeclaration returns a small declaration; mark makes its content differ.
 func testDeclaration(revision, base uint64, author, mark string) *pb.Declaration {
 	d := &declaration.Declaration{Revision: revision, Base: base, Author: author}
 	d.Limits = declaration.Limits{
@@ -259,7 +260,7 @@
 	return d.ToProto()
 }
 
-// with gives the declaration with the objects of a kind changed.
+// withObjects replaces the content of the declaration's objects of that kind.
 func withObjects(d *pb.Declaration, kind, content string) *pb.Declaration {
 	for _, o := range d.GetObjects() {
 		if o.GetKind() == kind {
@@ -275,7 +276,7 @@
 	return call[*pb.ApplyResponse](h, &pb.ApplyRequest{ClusterId: cluster, Declaration: proto.CloneOf(d)})
 }
 
-// keyAt gives a UUIDv7 of that time.
+// keyAt returns a UUIDv7 with that time.
 func keyAt(ms int64, n int) string {
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", ms>>16, ms&0xffff, n)
 }
--- a/internal/control/heartbeat_test.go
+++ b/internal/control/heartbeat_test.go
@@ -22,11 +22,11 @@
 	h := newHarness(t)
 	h.addEntry("e1")
 	h.engine("checks-1")
-	h.repeated = nil
+	h.repeatedAnnouncements = nil
 	for range 8 {
 		h.advance(time.Second)
 		if unknown := h.heartbeat("checks-1", "i1"); len(unknown) != 0 {
-			t.Fatalf("a known server is asked for: %v", unknown)
+			t.Fatalf("a full announcement of a known server is requested: %v", unknown)
 		}
 	}
 	if got := h.server("checks-1").GetState(); got != pb.ServerState_SERVER_STATE_SERVING {
@@ -34,8 +34,8 @@
 	}
 }
 
-// A leader dies; its successor hears only heartbeats of an engine whose order it
-// does not know the end of. It must ask for the whole announcement.
+// A new leader gets only heartbeats of an engine with an order whose outcome it does not
+// know. It must request the full announcement.
 func TestNewLeaderRequestsFullAnnouncements(t *testing.T) {
 	h := newHarness(t)
 	h.addEntry("e1")
@@ -44,7 +44,7 @@
 	h.becomeLeader(3)
 	for _, incarnation := range []string{"i1", "i2"} {
 		if got := h.heartbeat("checks-1", incarnation); !slices.Equal(got, []string{"checks-1"}) {
-			t.Fatalf("incarnation %s: asks for %v, want checks-1", incarnation, got)
+			t.Fatalf("incarnation %s: requests %v, want checks-1", incarnation, got)
 		}
 	}
 }
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -279,9 +279,9 @@
 
 // expiryDue reports whether an Expire at that time would remove any record.
 func (s *State) expiryDue(nowMS int64) bool {
-	cut := (nowMS - s.limits().OnceWindow.Milliseconds()) / claimBucketWidth.Milliseconds()
+	firstKept := (nowMS - s.limits().OnceWindow.Milliseconds()) / claimBucketWidth.Milliseconds()
 	for bucket := range s.claims.buckets {
-		if bucket < cut {
+		if bucket < firstKept {
 			return true
 		}
 	}
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// mendingWorld leads a group of three that mends itself; 3 has been silent for
-// long.
+// newMembershipHarness returns the leader of a self-maintained group of three whose replica
+// 3 has been silent for a minute.
 func newMembershipHarness(t *testing.T) *harness {
 	h := newHarness(t)
 	h.cfg.TargetVoters = 3
@@ -28,8 +28,8 @@
 	return h
 }
 
-// A VM is replaced by an empty one. No operator is there: the group adds it by
-// itself when it asks, one change at a time.
+// A VM is replaced by an empty one and no operator is present: the group must add the
+// replica when it asks to join, one change at a time.
 func TestGroupAddsAReplicaThatAsks(t *testing.T) {
 	h := newMembershipHarness(t)
 	call[*pb.JoinResponse](h, &pb.JoinRequest{ClusterId: cluster, Member: replicaAt(9, "10.0.0.9:1", "z")})
@@ -42,7 +42,7 @@
 	}
 }
 
-// A group that operators change leaves its list alone, whoever asks.
+// A group that operators manage must not change its member list, whoever asks to join.
 func TestOperatorManagedGroupIsNotChanged(t *testing.T) {
 	h := newMembershipHarness(t)
 	h.cfg.TargetVoters = 0
@@ -53,7 +53,7 @@
 	}
 }
 
-// A replica asked, and is gone before its turn comes: it must not be added.
+// A replica asks to join and disappears before the group can add it: it must not be added.
 func TestSilentJoinerExpires(t *testing.T) {
 	h := newMembershipHarness(t)
 	h.node.leaseUntil = 0
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -102,15 +102,15 @@
 		return "the engine does not serve"
 	case s.unresolved(u.GetServer()) != nil:
 		return "order " + s.orders[u.GetServer()].proto.GetId() + " to it is unresolved"
-	case s.enginesAway(sv.info.GetModel()) >= s.maxAway():
+	case s.changingEngines(sv.info.GetModel()) >= s.maxAway():
 		return "as many engines of its model are away as roles.max_away allows"
 	}
 	return ""
 }
 
-// enginesAway returns the number of the model's engines that have an unresolved order and
+// changingEngines returns the number of the model's engines that have an unresolved order and
 // therefore take no requests.
-func (s *State) enginesAway(model string) int {
+func (s *State) changingEngines(model string) int {
 	n := 0
 	for id, o := range s.orders {
 		sv := s.servers[id]
--- a/internal/control/orders_rapid_test.go
+++ b/internal/control/orders_rapid_test.go
@@ -12,20 +12,20 @@
 	"goldcrestseam.dev/goldcrestseam/internal/wire"
 )
 
-// orderModel watches what goes out to one engine.
+// orderModel is the expected state of the orders to one engine.
 type orderModel struct {
 	last engineapi.Order
-	// ended tells that the engine has told the last order's result, or that the
-	// life it was for is over.
+	// ended is set once the engine has reported the last order's result, or once the
+	// incarnation that it was for has been replaced.
 	ended bool
-	// unsure is when the last copy was given up without an answer; term is the
-	// one in which the last order was first sent.
+	// unansweredAt is when the last copy was given up without an answer; term is the one in
+	// which the last order was first sent.
 	unansweredAt  time.Duration
 	term          uint64
 	ignoresTokens bool
 }
 
-// check judges one sending by what went out before.
+// check verifies that an order may be sent after the orders before it.
 func (m *orderModel) check(rt *rapid.T, h *harness, ledSince time.Duration, e SendOrder) {
 	if e.Order.ID == m.last.ID {
 		if e.Order.Token != m.last.Token {
@@ -40,17 +40,16 @@
 	case !m.last.Token.Less(e.Order.Token):
 		rt.Fatalf("%s has token %v after %v", e.Order.ID, e.Order.Token, m.last.Token)
 	case m.ignoresTokens && m.unansweredAt != 0 && h.clock < m.unansweredAt+h.cfg.OrderPause:
-		rt.Fatalf("%s was sent while a copy of %s may be on its way", e.Order.ID, m.last.ID)
+		rt.Fatalf("%s was sent while a copy of %s may be in flight", e.Order.ID, m.last.ID)
 	case m.ignoresTokens && m.term != h.term && h.clock < ledSince+h.cfg.OrderPause:
-		rt.Fatalf("%s was sent while an earlier leader's copy of %s may be on its way", e.Order.ID, m.last.ID)
+		rt.Fatalf("%s was sent while an earlier leader's copy of %s may be in flight", e.Order.ID, m.last.ID)
 	}
 	*m = orderModel{last: e.Order, ignoresTokens: m.ignoresTokens, term: h.term, unansweredAt: m.unansweredAt}
 }
 
-// Operators order roles of engines that check tokens and engines that ignore
-// them; answers are lost, engines crash, leaders change. Whatever the order of
-// events, no engine gets an order while another is unresolved or a copy of it may
-// still arrive.
+// Operators order roles of engines that check tokens and of engines that ignore them;
+// answers are lost, engines crash, leaders change. In any sequence of events, no engine may
+// get an order while another is unresolved or a copy of it may still arrive.
 func TestNoConflictingOrdersUnderAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newHarness(t)
@@ -98,8 +97,8 @@
 				for _, e := range h.orders[seen:] {
 					models[e.Server].check(rt, h, ledSince, e)
 				}
-				if away := h.State().enginesAway("m"); away > 2 {
-					rt.Fatalf("%d engines away", away)
+				if changing := h.State().changingEngines("m"); changing > 2 {
+					rt.Fatalf("%d engines change at once, at most 2", changing)
 				}
 			}
 		}
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -15,12 +15,12 @@
 	}).GetOrder()
 }
 
-// done lets the engine answer the last order as carried out.
+// completeLast lets the engine answer the last order as carried out.
 func (h *harness) completeLast(a *pb.Announcement) {
 	h.complete(a, h.orders[len(h.orders)-1].Order.ID)
 }
 
-// answer lets the engine answer the order with that id as carried out.
+// complete lets the engine answer the order with that id as carried out.
 func (h *harness) complete(a *pb.Announcement, id string) {
 	for _, o := range h.orders {
 		if o.Order.ID == id {
@@ -37,8 +37,8 @@
 	decode  = pb.EngineRole_ENGINE_ROLE_DECODE
 )
 
-// An engine runs a dossier when its role is changed. The order must wait until
-// every entry has stopped sending there and the dossier has ended, or the change
+// An engine runs a long request when its role is changed. The order must wait until every
+// entry has stopped sending requests there and the running request has ended, or the change
 // would cut it off.
 func TestOrderWaitsForEntriesAndStreams(t *testing.T) {
 	h := newHarness(t)
@@ -67,25 +67,25 @@
 	if got := h.server("checks-1"); got.GetRole() != prefill || got.GetState() != pb.ServerState_SERVER_STATE_SERVING {
 		t.Fatalf("after the order: %v", got)
 	}
-	// An entry that still acts on the old view holds the next order up until
-	// its view lease has run out.
+	// An entry that still uses the old view delays the next order until its view lease has
+	// expired.
 	lagging.silent = true
 	h.changeRole("checks-1", decode, "op2")
 	h.advance(500 * time.Millisecond)
 	if h.appliedByAllEntries(h.State().orders["checks-1"].proto.GetToken().GetSequence()) {
-		t.Error("in force though an entry may act on the old view")
+		t.Error("applied by all entries though one may use the old view")
 	}
 	a.Server.Role = prefill
 	h.advance(10 * time.Second)
 	if len(h.orders) != 2 {
-		t.Errorf("%d orders went out in the end, want 2", len(h.orders))
+		t.Errorf("%d orders were sent in total, want 2", len(h.orders))
 	}
 }
 
-// Two operators order different roles of one engine, one of them twice after a
-// lost answer, and others order more engines of the model. One order is under way
-// for each engine, no more engines than roles.max_away, and a resent call gets
-// its own order again.
+// Two operators order different roles of one engine, one of them twice after a lost answer,
+// and others order more engines of the model. Each engine may have one unresolved order, no
+// more engines than roles.max_away may change, and a repeated call must get its own order
+// again.
 func TestOneOrderAtATime(t *testing.T) {
 	h := newHarness(t)
 	h.apply(withObjects(testDeclaration(1, 0, "ann", "a"), "roles", `{"max_away":2}`))
@@ -101,22 +101,22 @@
 			t.Errorf("order to %s: %v, want %v", server, o, want)
 		}
 	}
-	resent := h.changeRole("checks-1", prefill, "op1")
-	if resent.GetId() != first.GetId() || resent.GetToken().GetSequence() != first.GetToken().GetSequence() {
-		t.Errorf("resent: %v, first %v", resent, first)
+	repeated := h.changeRole("checks-1", prefill, "op1")
+	if repeated.GetId() != first.GetId() || repeated.GetToken().GetSequence() != first.GetToken().GetSequence() {
+		t.Errorf("resent: %v, first %v", repeated, first)
 	}
 	h.advance(5 * time.Second)
 	h.complete(a, "op1")
-	if resent := h.changeRole("checks-1", prefill, "op1"); resent.GetState() != pb.OrderState_ORDER_STATE_DONE {
-		t.Errorf("resent after its end: %v", resent)
+	if repeated := h.changeRole("checks-1", prefill, "op1"); repeated.GetState() != pb.OrderState_ORDER_STATE_DONE {
+		t.Errorf("resent after its end: %v", repeated)
 	}
 	h.advance(5 * time.Second)
 	if n := h.sentTo("checks-1"); n != 1 {
-		t.Errorf("%d orders went to it", n)
+		t.Errorf("%d orders were sent to checks-1, want 1", n)
 	}
 }
 
-// sentTo counts the orders that went to a server.
+// sentTo counts the orders that were sent to a server.
 func (h *harness) sentTo(server string) int {
 	n := 0
 	for _, o := range h.orders {
@@ -127,10 +127,10 @@
 	return n
 }
 
-// The leader is lost with an order on its way, and an operator asks the next one
-// for the opposite role. The unresolved order goes first, under its old token.
-// For an engine that ignores tokens the opposite one then waits until no copy of
-// the old leader's can arrive any more.
+// The leader fails with an order in flight, and an operator asks the next leader for the
+// opposite role. The unresolved order must be sent first, under its old token. For an
+// engine that ignores tokens, the opposite order must then wait until no copy from the old
+// leader can arrive any more.
 func TestSuccessorFinishesTheOrderFirst(t *testing.T) {
 	for _, server := range []string{"checks-1", "ignores-1"} {
 		t.Run(server, func(t *testing.T) {
@@ -147,9 +147,9 @@
 				t.Fatalf("before the first is resolved: %v", o)
 			}
 			h.advance(time.Second)
-			again := h.orders[len(h.orders)-1]
-			if again.Order.ID != sent.Order.ID || again.Order.Token != sent.Order.Token {
-				t.Fatalf("resent %+v, sent %+v", again.Order, sent.Order)
+			resent := h.orders[len(h.orders)-1]
+			if resent.Order.ID != sent.Order.ID || resent.Order.Token != sent.Order.Token {
+				t.Fatalf("resent %+v, sent %+v", resent.Order, sent.Order)
 			}
 			h.completeLast(a)
 			a.Server.Role = prefill
@@ -162,14 +162,14 @@
 			}
 			h.advance(5 * time.Second)
 			if len(h.orders) == count {
-				t.Error("next order never went out")
+				t.Error("next order was never sent")
 			}
 		})
 	}
 }
 
-// A copy of an order gets no answer: it may lie in the network. An engine that
-// ignores tokens must not get the next order before the stated pause is over.
+// A copy of an order gets no answer, so it may still be in the network. An engine that
+// ignores tokens must not get the next order before the configured pause has passed.
 func TestUnansweredOrderDelaysTheNext(t *testing.T) {
 	h := newHarness(t)
 	h.apply(testDeclaration(1, 0, "ann", "a"))
@@ -184,17 +184,16 @@
 	h.changeRole("ignores-1", decode, "op2")
 	h.advance(h.cfg.OrderPause - orderRetry - 2*time.Second)
 	if len(h.orders) != count {
-		t.Fatal("the next order went out while a copy may be on its way")
+		t.Fatal("the next order was sent while a copy may be in flight")
 	}
 	h.advance(5 * time.Second)
 	if len(h.orders) == count {
-		t.Error("the next order never went out")
+		t.Error("the next order was never sent")
 	}
 }
 
-// An engine crashes in the middle of a change and comes back under a new
-// incarnation with its old role. The order for the old life is abandoned and
-// given again to the new one.
+// An engine crashes during a change and returns under a new incarnation with its old role.
+// The order for the old incarnation must be abandoned and issued again to the new one.
 func TestCrashInTheMiddleOfAChange(t *testing.T) {
 	h := newHarness(t)
 	h.apply(testDeclaration(1, 0, "ann", "a"))
@@ -207,16 +206,16 @@
 	if last.ID != "op1~1" || last.Incarnation != "i2" || last.Role != engineapi.RolePrefill {
 		t.Fatalf("last order %+v", last)
 	}
-	// An announcement of the old life that an entry relays late changes nothing.
+	// A late announcement of the old incarnation must change nothing.
 	old := h.engine("checks-1")
-	h.repeated = h.repeated[:1]
+	h.repeatedAnnouncements = h.repeatedAnnouncements[:1]
 	if h.server("checks-1").GetIncarnation() != "i2" {
-		t.Errorf("the old life %s is back", old.GetServer().GetIncarnation())
+		t.Errorf("the old incarnation %s is in force again", old.GetServer().GetIncarnation())
 	}
 }
 
-// The declaration names a new model version: the engines load it one after the
-// other, as many at once as roles.max_away allows.
+// The declaration sets a new model version: the engines must load it one after the other,
+// as many at once as roles.max_away allows.
 func TestDeclaredVersionIsRolledOut(t *testing.T) {
 	h := newHarness(t)
 	fleet := []*pb.Announcement{h.engine("checks-1"), h.engine("checks-2"), h.engine("checks-3")}
@@ -224,11 +223,11 @@
 	h.apply(withObjects(testDeclaration(2, 1, "ann", "a"), "model", `{"name":"m","version":"v2"}`))
 	for loaded := 0; loaded < len(fleet); {
 		h.advance(100 * time.Millisecond)
-		if away := h.State().enginesAway("m"); away > 1 {
-			t.Fatalf("%d engines away at once", away)
+		if changing := h.State().changingEngines("m"); changing > 1 {
+			t.Fatalf("%d engines change at once, at most 1", changing)
 		}
 		if h.clock > 3*time.Hour {
-			t.Fatal("the fleet never got the version")
+			t.Fatal("the version was not rolled out within 3 h")
 		}
 		if len(h.orders) > loaded {
 			a := fleet[loaded]
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -133,15 +133,15 @@
 // leader's other messages.
 func (r *Reducer) roleBounds() roles.Bounds {
 	d := r.state.declared.parsed.Roles
-	away := r.state.maxAway()
+	limit := r.state.maxAway()
 	if loaded := d.MaxAwayLoaded; loaded > 0 {
 		idle := max(loaded, maxChangeNotifications/max(1, len(r.state.entries)))
 		if r.now < r.lead.lastDemandAt+noDemandPeriod {
 			idle = loaded
 		}
-		away = min(away, idle)
+		limit = min(limit, idle)
 	}
-	return roles.Bounds{MaxAway: away, MinMixedShare: d.MinMixedShare, ChangeTime: d.ChangeTime}
+	return roles.Bounds{MaxAway: limit, MinMixedShare: d.MinMixedShare, ChangeTime: d.ChangeTime}
 }
 
 // rolePrice returns the price of a change: the average of the profiles' prices, weighted by
--- a/internal/control/reducer.go
+++ b/internal/control/reducer.go
@@ -111,7 +111,7 @@
 	case Call:
 		r.onCall(e)
 	case CallCanceled:
-		r.onCallGone(e.ID)
+		r.onCallCanceled(e.ID)
 	case Announce:
 		r.onAnnounce(e)
 	case Leave:
--- a/internal/control/scale.go
+++ b/internal/control/scale.go
@@ -80,9 +80,9 @@
 }
 
 func (r *Reducer) scaleService(s *declaration.Service) {
-	centres := r.countByDataCentre(s)
+	sizes := r.countByDataCentre(s)
 	var withTarget []autoscaling.DataCentre
-	for _, c := range centres {
+	for _, c := range sizes {
 		key := scaleKey{s.Name, c.Name}
 		target := r.state.scale[key]
 		if target == nil {
--- a/internal/control/scale_test.go
+++ b/internal/control/scale_test.go
@@ -9,7 +9,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// scaledWorld is a leader before engines of a service that may be ordered.
+// newScaleHarness returns a leader with engines of a service that declares autoscaling.
 func newScaleHarness(t *testing.T, engines int, roles declaration.Roles) *harness {
 	h := newHarness(t)
 	h.cfg.Duties = DutiesConfig{OrderServers: true, Lease: 3 * time.Second, Holder: "control-1"}
@@ -39,34 +39,35 @@
 	return list
 }
 
-// Guards against a new leader that takes what a loss has left for the size that is aimed at.
+// Guards against a new leader that takes the servers that remain after a failure for the
+// target size.
 func TestNewLeaderKeepsScaleTarget(t *testing.T) {
 	h := newScaleHarness(t, 10, declaration.Roles{MaxAway: 1})
 	h.advance(4 * time.Second)
 	if n := len(h.Reducer.state.scale); n != 1 {
-		t.Fatalf("%d sizes are known", n)
+		t.Fatalf("%d scale targets, want 1", n)
 	}
 	restored, err := RestoreState(h.Reducer.state.Snapshot())
 	if err != nil || restored.scale[scaleKey{"lm", ""}].GetEngines() != 10 {
 		t.Fatalf("restored %v, %v", restored.scale, err)
 	}
-	h.repeated = h.repeated[:4]
+	h.repeatedAnnouncements = h.repeatedAnnouncements[:4]
 	h.advance(8 * time.Second)
 	h.stepDown(2)
 	h.becomeLeader(3)
-	most := 0
+	ordered := 0
 	for _, o := range h.scaleOrders(6 * time.Second) {
 		if !o.Spot {
-			most = max(most, o.Servers)
+			ordered = max(ordered, o.Servers)
 		}
 	}
-	if most != 10 {
-		t.Errorf("%d servers are ordered in the end, 10 are aimed at", most)
+	if ordered != 10 {
+		t.Errorf("%d servers are ordered at most, want 10", ordered)
 	}
 }
 
-// Guards against a fleet that begins its day in roles by chance since few may change at once,
-// and against half of it being away while callers ask for work.
+// Guards against a fleet that starts the day in arbitrary roles because only few engines
+// may change at once, and against half of the fleet changing while there is demand.
 func TestIdleFleetMayChangeAllRoles(t *testing.T) {
 	for _, loaded := range []bool{false, true} {
 		h := newScaleHarness(t, 12, declaration.Roles{MaxAway: 100, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
@@ -76,15 +77,15 @@
 			}
 			h.advance(500 * time.Millisecond)
 		}
-		away := h.Reducer.state.enginesAway("m")
-		if loaded && away > 2 || !loaded && away != 8 {
-			t.Errorf("loaded %v: %d are away", loaded, away)
+		changing := h.Reducer.state.changingEngines("m")
+		if loaded && changing > 2 || !loaded && changing != 8 {
+			t.Errorf("loaded %v: %d engines change at once", loaded, changing)
 		}
 	}
 }
 
-// Guards against role changes of thousands of engines that are each told to hundreds of entries,
-// before any load, so that control has no time for anything else.
+// Guards against role changes of thousands of engines before any demand, each of which is
+// sent to hundreds of entries and leaves control no time for other work.
 func TestRoleChangesAreBoundedByEntryCount(t *testing.T) {
 	h := newScaleHarness(t, 60, declaration.Roles{MaxAway: 1000, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
 	for i := range 200 {
@@ -92,7 +93,7 @@
 		h.Reducer.state.entries[name] = &entry{info: &pb.EntryInfo{Identity: entryIdentity(name, "1")}}
 	}
 	h.advance(5 * time.Second)
-	if away := h.Reducer.state.enginesAway("m"); away > maxChangeNotifications/200 {
-		t.Errorf("%d engines are away, %d entries are told of each", away, len(h.Reducer.state.entries))
+	if changing := h.Reducer.state.changingEngines("m"); changing > maxChangeNotifications/200 {
+		t.Errorf("%d engines change at once, each is sent to %d entries", changing, len(h.Reducer.state.entries))
 	}
 }
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -78,8 +78,8 @@
 
 // isEarlierIncarnation reports whether an incarnation was replaced by the current one or
 // began before it: a follower that has just become leader may only know the later one.
-func (sv *server) isEarlierIncarnation(inc string) bool {
-	return slices.Contains(sv.pastIncarnations, inc) || incarnation.Before(inc, sv.info.GetIncarnation())
+func (sv *server) isEarlierIncarnation(incarnationID string) bool {
+	return slices.Contains(sv.pastIncarnations, incarnationID) || incarnation.Before(incarnationID, sv.info.GetIncarnation())
 }
 
 // bumpServerVersion marks the server as changed in the version that is being applied.
--- a/internal/control/snapshot_test.go
+++ b/internal/control/snapshot_test.go
@@ -11,7 +11,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// drawCommand draws any command over few names, so that they meet.
+// drawCommand draws any command over a few names, so that commands affect the same objects.
 func drawCommand(rt *rapid.T, nowMS int64) *pb.Command {
 	name := func(label string) string { return label + strconv.Itoa(rapid.IntRange(1, 3).Draw(rt, label)) }
 	c := claimOf(keyAt(nowMS-int64(rapid.IntRange(0, 7_200_000).Draw(rt, "age")), rapid.IntRange(1, 3).Draw(rt, "n")),
@@ -54,9 +54,9 @@
 	return cmd
 }
 
-// A replica restarts from a snapshot in the middle of everything; others go on
-// without. Both must be in the same state ever after, byte for byte, and an
-// entry that follows deltas must see what one sees that asks for all.
+// One replica restarts from snapshots at arbitrary points, another never restarts. Both
+// must stay in the same state, byte for byte, and an entry that applies deltas must see the
+// same as one that requests the full view.
 func TestRestoredReplicaStaysTheSame(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plain, restored := NewState(), NewState()
@@ -94,7 +94,7 @@
 	return s
 }
 
-// follower keeps a view by deltas as an entry does.
+// deltaFollower maintains a view from deltas as an entry does.
 type deltaFollower struct {
 	version uint64
 	items   map[string]string
@@ -124,11 +124,11 @@
 	full := newDeltaFollower()
 	full.put(s.View(0))
 	if len(full.items) != len(f.items) {
-		rt.Fatalf("by deltas %v, as a whole %v", f.items, full.items)
+		rt.Fatalf("by deltas %v, in full %v", f.items, full.items)
 	}
 	for key, content := range full.items {
 		if f.items[key] != content {
-			rt.Fatalf("%s: by deltas %q, as a whole %q", key, f.items[key], content)
+			rt.Fatalf("%s: by deltas %q, in full %q", key, f.items[key], content)
 		}
 	}
 }
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -64,7 +64,8 @@
 
 // leaderUsage is the leader's in-memory state of usage accounting.
 type leaderUsage struct {
-	// firstWindow is the window in which this leadership began.
+	// firstWindow is the window in which this leadership began, or in which members were
+	// first declared.
 	firstWindow int64
 	// counts holds the counts of undecided windows, by the entry's incarnation.
 	counts map[int64]map[string]*pb.UsageWindow
--- a/internal/control/usage_test.go
+++ b/internal/control/usage_test.go
@@ -10,7 +10,7 @@
 
 const usageTestWindow = 5 * time.Second
 
-// usageWorld is a leader that accounts for usage of a declared member.
+// newUsageHarness returns a leader that accounts for the usage of a declared member.
 func newUsageHarness(t *testing.T) *harness {
 	h := newHarness(t)
 	h.cfg.Duties = DutiesConfig{
@@ -26,7 +26,8 @@
 
 func (h *harness) window() int64 { return h.usageWindow(h.wall()) }
 
-// counted reports an entry's counts of a member; complete is the window that it counts in now.
+// reportUsage reports an entry's counts of a member; complete is the window before which
+// its counts are complete.
 func (h *harness) reportUsage(entry string, window int64, requests uint64, complete int64) {
 	h.nextID++
 	h.step(Call{ID: h.nextID, Request: &pb.ReportRequest{
@@ -35,7 +36,7 @@
 	}})
 }
 
-// dutiesFor lets time pass and gives the calls that are made.
+// advanceDuties lets time pass and returns the external calls that are made.
 func (h *harness) advanceDuties(d time.Duration) []DutyCall {
 	var calls []DutyCall
 	for until := h.clock + d; h.clock < until; h.clock += 50 * time.Millisecond {
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// Guards against usage that is counted twice or not at all when reports come again, late, or
-// from several entries.
+// Guards against usage that is counted twice or not at all when reports are repeated, late,
+// or from several entries.
 func TestUsageOfAWindowIsSummedOnce(t *testing.T) {
 	h := newUsageHarness(t)
 	h.advanceDuties(6 * time.Second)
@@ -77,7 +78,8 @@
 	}
 }
 
-// Guards against a window that is reported with two contents, by one leader or by two.
+// Guards against a window that is reported with two different contents, by one leader or by
+// two.
 func TestDecidedUsageNeverChanges(t *testing.T) {
 	h := newUsageHarness(t)
 	h.advanceDuties(6 * time.Second)
@@ -100,15 +102,15 @@
 	}
 }
 
-// Guards against a new holder that calls while a call of the one before may be under way, and
-// against one that calls on once another has a higher token.
+// Guards against a new holder that calls while a call of the previous one may be in flight,
+// and against a holder that continues after another one with a higher token was seen.
 func TestNewDutyHolderWaitsAndFencedOneStops(t *testing.T) {
 	h := newUsageHarness(t)
 	h.advanceDuties(20 * time.Second)
 	h.stepDown(2)
 	h.becomeLeader(3)
 	if calls := h.advanceDuties(2900 * time.Millisecond); len(calls) > 0 {
-		t.Errorf("%d calls within the lease of the holder before", len(calls))
+		t.Errorf("%d calls within the lease of the previous holder", len(calls))
 	}
 	calls := h.advanceDuties(time.Second)
 	if len(calls) == 0 || calls[0].Token != 3 || calls[0].Holder != "control-1" {
@@ -118,22 +120,23 @@
 		h.answerDuty(c, DutyFenced)
 	}
 	if calls := h.advanceDuties(10 * time.Second); len(calls) > 0 {
-		t.Errorf("%d calls after another holder was seen", len(calls))
+		t.Errorf("%d calls after another holder fenced this one", len(calls))
 	}
 }
 
-// Guards against reports that stop, or fill the platform's allowance, while it does not answer.
+// Guards against reports that stop, or that exceed the platform's rate limit, while the
+// platform does not answer.
 func TestUsageIsReportedAfterAnOutage(t *testing.T) {
 	h := newUsageHarness(t)
-	made := 0
+	calls := 0
 	for range 200 {
 		for _, c := range h.advanceDuties(200 * time.Millisecond) {
-			made++
+			calls++
 			h.answerDuty(c, DutyBusy)
 		}
 	}
-	if made > 120 {
-		t.Errorf("%d calls in 40 s of outage", made)
+	if calls > 120 {
+		t.Errorf("%d calls in 40 s of outage", calls)
 	}
 	for range 50 {
 		for _, c := range h.advanceDuties(200 * time.Millisecond) {
@@ -141,12 +144,12 @@
 		}
 	}
 	if n := len(h.Reducer.state.usage.pending); n > 1 {
-		t.Errorf("%d windows are still to be reported", n)
+		t.Errorf("%d windows are still pending", n)
 	}
 }
 
-// Guards against decided usage that is lost, or reported anew, by a replica that starts from a
-// snapshot.
+// Guards against decided usage that is lost, or decided again, by a replica that starts
+// from a snapshot.
 func TestSnapshotKeepsDecidedUsage(t *testing.T) {
 	s := NewState()
 	s.usage.apply(&pb.UsageUpdate{Decided: []*pb.UsageWindow{{Window: 4}, {Window: 5}}, Taken: []int64{4}})
--- a/internal/control/viewcache_test.go
+++ b/internal/control/viewcache_test.go
@@ -6,15 +6,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A list of control replicas that changes without the view changing must reach
-// the entries: with a stale cached answer they would go on asking a replica
-// that was replaced.
+// A change of the list of control replicas must reach the entries even if the view does not
+// change: with a stale cached answer they would keep calling a replica that was replaced.
 func TestCachedViewFollowsVersionAndMembership(t *testing.T) {
 	s := NewState()
 	var c viewCache
 	first := c.get(s, 0, []string{"a"})
 	if c.get(s, 0, []string{"b"}) != first {
-		t.Fatal("the same version was worked out twice")
+		t.Fatal("the same version was computed twice")
 	}
 	c.reset()
 	if got := c.get(s, 0, []string{"b"}).GetControl(); len(got) != 1 || got[0] != "b" {
@@ -36,6 +35,6 @@
 		c.get(s, known, nil)
 	}
 	if len(c.byKnown) > maxCachedViews {
-		t.Fatalf("%d answers kept, at most %d", len(c.byKnown), maxCachedViews)
+		t.Fatalf("%d answers cached, at most %d", len(c.byKnown), maxCachedViews)
 	}
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -220,7 +220,7 @@
 	return true
 }
 
-func (r *Reducer) onCallGone(id uint64) {
+func (r *Reducer) onCallCanceled(id uint64) {
 	if r.lead == nil {
 		return
 	}
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -10,13 +10,14 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// All power was lost and two hundred entries start again within two seconds, each under a new
-// incarnation. Each start is a change of the view; if each change answers the held calls of
-// all the others, the leader gives twenty thousand answers and has no time for first views,
-// while callers wait at entries that have none. News may take a moment, and all must have it.
+// After a power loss, two hundred entries start within two seconds, each under a new
+// incarnation. Each start changes the view. If each change answered the held calls of all
+// other entries, the leader would send twenty thousand answers and have no time for first
+// views, while callers wait at entries without one. Updates may be delayed a little, but
+// all entries must get them.
 func TestManyEntryStartsAreAnsweredInRounds(t *testing.T) {
-	t.Run("polls in any order", func(t *testing.T) { startMany(t, (*harness).poll) })
-	t.Run("the newest polls last", func(t *testing.T) { startMany(t, (*harness).pollInOrder) })
+	t.Run("polls in any order", func(t *testing.T) { startManyEntries(t, (*harness).poll) })
+	t.Run("the newest polls last", func(t *testing.T) { startManyEntries(t, (*harness).pollInOrder) })
 }
 
 // pollInOrder lets the entries poll in order of name.
@@ -26,20 +27,20 @@
 	}
 }
 
-func startMany(t *testing.T, poll func(*harness)) {
-	const entries, over = 200, 2 * time.Second
+func startManyEntries(t *testing.T, poll func(*harness)) {
+	const entries, period = 200, 2 * time.Second
 	h := newHarness(t)
 	for i := range entries {
 		e := h.addEntry(fmt.Sprintf("entry-%d", i))
-		h.clock += over / entries
+		h.clock += period / entries
 		h.tick()
 		poll(h)
 		if e.call != 0 && h.replies[e.call].Response == nil {
-			t.Fatalf("entry %d waits for its first view", i)
+			t.Fatalf("entry %d has no first view", i)
 		}
 	}
-	if most := 25 * entries; h.watchReplies > most {
-		t.Errorf("%d answers for %d starts, at most %d", h.watchReplies, entries, most)
+	if maxAnswers := 25 * entries; h.watchAnswers > maxAnswers {
+		t.Errorf("%d answers for %d starts, at most %d", h.watchAnswers, entries, maxAnswers)
 	}
 	h.advance(time.Second)
 	version := h.Reducer.state.ViewVersion()
@@ -50,13 +51,13 @@
 	}
 }
 
-// A few entries hear of a change in the step that brings it.
+// A few entries must get a change in the step that applies it.
 func TestFewEntriesAreAnsweredAtOnce(t *testing.T) {
 	h := newHarness(t)
 	e := h.addEntry("entry-1")
 	h.advance(time.Second)
 	h.pollOne(h.addEntry("entry-2"))
 	if r, ok := h.replies[e.call]; !ok || r.Response.(*pb.WatchResponse).GetVersion() != h.Reducer.state.ViewVersion() {
-		t.Errorf("entry-1 has not heard of entry-2: %+v", r)
+		t.Errorf("entry-1 got no view with entry-2: %+v", r)
 	}
 }
