--- a/internal/control/runner/disk.go
+++ b/internal/control/runner/disk.go
@@ -6,41 +6,41 @@
 	"goldcrestseam.dev/goldcrestseam/internal/store"
 )
 
-// diskQueue is more than can wait: at most one write of each kind is under way.
-const diskQueue = 16
+// diskQueueLength is more than can wait: at most one write of each kind is pending.
+const diskQueueLength = 16
 
-// diskWork is one write; exactly one field is set.
-type diskWork struct {
+// diskWrite is one write; exactly one field is set.
+type diskWrite struct {
 	persist *consensus.Persist
 	save    *consensus.SnapshotTaken
 	restore *consensus.RestoreSnapshot
 }
 
-// disk does the synced writes in order, off the control goroutine. What arrives
-// while one runs shares the next (the node gathers it).
+// disk performs the synced writes in order, off the control goroutine. While one runs, the
+// consensus node collects further changes into the next one.
 type disk struct {
-	store *store.Store
-	loop  *loop
-	work  chan diskWork
+	store  *store.Store
+	loop   *loop
+	writes chan diskWrite
 }
 
 func newDisk(st *store.Store, l *loop) *disk {
-	return &disk{store: st, loop: l, work: make(chan diskWork, diskQueue)}
+	return &disk{store: st, loop: l, writes: make(chan diskWrite, diskQueueLength)}
 }
 
-func (d *disk) do(w diskWork) {
+func (d *disk) enqueue(write diskWrite) {
 	select {
-	case d.work <- w:
+	case d.writes <- write:
 	case <-d.loop.stop:
 	}
 }
 
 func (d *disk) run() {
-	for w := range d.work {
-		ev, err := d.write(w)
+	for write := range d.writes {
+		ev, err := d.write(write)
 		if err != nil {
-			// What is on the disk is not known any more; answering from memory
-			// could promise what a restart forgets.
+			// The content of the disk is unknown after a failed write. Answering from
+			// memory could promise what is lost at a restart.
 			d.loop.fail(Failed.Wrap(err, "data folder"))
 			return
 		}
@@ -48,14 +48,14 @@
 	}
 }
 
-func (d *disk) write(w diskWork) (consensus.Event, error) {
+func (d *disk) write(write diskWrite) (consensus.Event, error) {
 	switch {
-	case w.persist != nil:
-		return consensus.Persisted{Sequence: w.persist.Sequence}, d.store.Save(*w.persist)
-	case w.save != nil:
-		return *w.save, d.store.SaveSnapshot(w.save.Meta, w.save.Data)
+	case write.persist != nil:
+		return consensus.Persisted{Sequence: write.persist.Sequence}, d.store.Save(*write.persist)
+	case write.save != nil:
+		return *write.save, d.store.SaveSnapshot(write.save.Meta, write.save.Data)
 	default:
-		index := w.restore.Meta.GetIndex()
-		return consensus.SnapshotRestored{Index: index}, d.store.RestoreSnapshot(w.restore.Meta, w.restore.Data)
+		index := write.restore.Meta.GetIndex()
+		return consensus.SnapshotRestored{Index: index}, d.store.RestoreSnapshot(write.restore.Meta, write.restore.Data)
 	}
 }
--- a/internal/control/runner/duties.go
+++ b/internal/control/runner/duties.go
@@ -10,18 +10,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/control"
 )
 
-// maxDutyAnswer bounds the answer to a duty's call.
-const maxDutyAnswer = 16 << 10
+// maxDutyAnswerBytes bounds the answer to an external call.
+const maxDutyAnswerBytes = 16 << 10
 
-// DutyProtocol is how duties are called.
+// DutyProtocol encodes external calls and decodes their answers.
 type DutyProtocol interface {
 	// Write fills the request for a call to that address.
 	Write(req *fasthttp.Request, address string, c control.DutyCall) error
-	// Read tells how it was answered.
+	// Read returns the result that the answer stands for.
 	Read(resp *fasthttp.Response, c control.DutyCall) control.DutyResult
 }
 
-// dutyCaller makes the calls of duties, each once and off the control goroutine.
+// dutyCaller makes external calls, each once and off the control goroutine.
 type dutyCaller struct {
 	loop     *loop
 	address  string
@@ -45,11 +45,11 @@
 	})
 }
 
-// deliver makes one call and gives how it was answered, with the reason for the log.
+// deliver makes one call and returns its result, with the reason for the log.
 func (d *dutyCaller) deliver(c control.DutyCall) (control.DutyResult, string) {
 	var result control.DutyResult
 	var reason string
-	notSent, err := callOnce(leasedCall{address: d.address, until: c.LeaseUntil, timeout: c.Timeout, maxAnswer: maxDutyAnswer},
+	notSent, err := callOnce(leasedCall{address: d.address, leaseUntil: c.LeaseUntil, timeout: c.Timeout, maxAnswerBytes: maxDutyAnswerBytes},
 		func(req *fasthttp.Request) error { return d.protocol.Write(req, d.address, c) },
 		func(resp *fasthttp.Response) error {
 			result, reason = d.protocol.Read(resp, c), http.StatusText(resp.StatusCode())
@@ -65,10 +65,10 @@
 	}
 }
 
-// nativeDuties posts usage as JSON to whoever accounts for it.
+// nativeDuties is the default DutyProtocol. It posts usage as JSON.
 type nativeDuties struct{}
 
-// nativeUsage is a report of one window's usage.
+// nativeUsage is the report of one window's usage.
 type nativeUsage struct {
 	Window   int64             `json:"window"`
 	Holder   string            `json:"holder"`
@@ -76,7 +76,7 @@
 	Requests map[string]uint64 `json:"requests"`
 }
 
-// pathNativeUsage is where such reports go.
+// pathNativeUsage is the path that usage reports are posted to.
 const pathNativeUsage = "/v1/usage"
 
 func (nativeDuties) Write(req *fasthttp.Request, address string, c control.DutyCall) error {
--- a/internal/control/runner/duties_test.go
+++ b/internal/control/runner/duties_test.go
@@ -13,8 +13,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Guards against a call of a replica whose lease has run out, and against one call that a
-// library sends twice.
+// Guards against a call of a replica whose lease has expired, and against a call that the
+// HTTP library sends twice.
 func TestDutyIsCalledOnceAndInsideTheLease(t *testing.T) {
 	var calls atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/control/runner/engines.go
+++ b/internal/control/runner/engines.go
@@ -14,23 +14,22 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// LeaseOver is the type of errors of writes that were held back since this
-// leader's lease had run out.
-var LeaseOver = Namespace.NewType("lease_over")
+// LeaseExpired is the type of errors of writes that were not made because this leader's
+// lease had expired.
+var LeaseExpired = Namespace.NewType("lease_over")
 
-// maxOrderAnswer bounds an engine's answer to an order.
-const maxOrderAnswer = 64 << 10
+// maxOrderAnswerBytes bounds an engine's answer to an order.
+const maxOrderAnswerBytes = 64 << 10
 
-// OrderProtocol is how orders are spoken with engines.
+// OrderProtocol encodes orders to engines and decodes their answers.
 type OrderProtocol interface {
 	// Write fills the request for an order.
 	Write(req *fasthttp.Request, e control.SendOrder) error
-	// Read takes the engine's answer to it. Errors: the answer tells nothing of
-	// the order.
+	// Read decodes the engine's answer. Errors: the answer says nothing about the order.
 	Read(resp *fasthttp.Response, e control.SendOrder) (*engineapi.OrderAnswer, error)
 }
 
-// nativeOrders speaks the system's own protocol with engines.
+// nativeOrders is the default OrderProtocol.
 type nativeOrders struct{}
 
 // engineSender sends orders to engines.
@@ -63,10 +62,10 @@
 	})
 }
 
-// deliver gives the engine's answer, or an error and whether no byte went out.
+// deliver returns the engine's answer, or an error and whether no byte was sent.
 func deliver(p OrderProtocol, e control.SendOrder) (*engineapi.OrderAnswer, bool, error) {
 	var answer *engineapi.OrderAnswer
-	notSent, err := callOnce(leasedCall{address: e.Address, until: e.LeaseUntil, timeout: e.Timeout, maxAnswer: maxOrderAnswer},
+	notSent, err := callOnce(leasedCall{address: e.Address, leaseUntil: e.LeaseUntil, timeout: e.Timeout, maxAnswerBytes: maxOrderAnswerBytes},
 		func(req *fasthttp.Request) error { return p.Write(req, e) },
 		func(resp *fasthttp.Response) (err error) {
 			answer, err = p.Read(resp, e)
@@ -75,23 +74,23 @@
 	return answer, notSent, err
 }
 
-// leasedCall is a call that is made inside a lease or not at all.
+// leasedCall describes a call that is made only while the lease is valid.
 type leasedCall struct {
-	address   string
-	until     time.Duration
-	timeout   time.Duration
-	maxAnswer int
+	address        string
+	leaseUntil     time.Duration
+	timeout        time.Duration
+	maxAnswerBytes int
 }
 
-// callOnce makes a call once and gives whether no byte of it went out, for errors.
+// callOnce makes a call once. On errors it also returns whether no byte was sent.
 //
-// Each call has a connection of its own: none that has gone silent is used, and closing it
-// drops what of the call has not left yet.
+// Each call uses a new connection: a broken idle connection is never reused, and closing
+// the connection drops the bytes of the call that have not been sent yet.
 func callOnce(c leasedCall, write func(*fasthttp.Request) error, read func(*fasthttp.Response) error) (bool, error) {
-	guard := &leaseGuard{until: c.until}
+	guard := &leaseGuard{leaseUntil: c.leaseUntil}
 	client := &fasthttp.HostClient{
 		Addr: c.address, Dial: guard.dialer(c.timeout),
-		MaxIdemponentCallAttempts: 1, RetryIfErr: neverRetry, MaxResponseBodySize: c.maxAnswer,
+		MaxIdemponentCallAttempts: 1, RetryIfErr: neverRetry, MaxResponseBodySize: c.maxAnswerBytes,
 	}
 	defer client.CloseIdleConnections()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -101,7 +100,7 @@
 		return true, err
 	}
 	if err := client.DoTimeout(req, resp, c.timeout); err != nil {
-		return !guard.written(), err
+		return !guard.hasWritten(), err
 	}
 	return false, read(resp)
 }
@@ -118,14 +117,14 @@
 	return nil
 }
 
-// Read takes an answer only if it is about this order.
+// Read accepts only an answer to this order.
 func (nativeOrders) Read(resp *fasthttp.Response, e control.SendOrder) (*engineapi.OrderAnswer, error) {
 	answer := &engineapi.OrderAnswer{}
 	if err := json.Unmarshal(resp.Body(), answer); err != nil {
 		return nil, errorx.Decorate(err, "status %d", resp.StatusCode())
 	}
 	if answer.ID != e.Order.ID || answer.Result == "" {
-		return nil, Failed.New("the answer is about order %q with result %q", answer.ID, answer.Result)
+		return nil, Failed.New("answer does not match the order: id %q, result %q", answer.ID, answer.Result)
 	}
 	return answer, nil
 }
@@ -134,19 +133,19 @@
 
 // leaseGuard checks the lease directly before each write.
 //
-// Failure: the process is stopped, or waits long for a connection, after the
-// reducer gave the order out. When it goes on another leader may have given this
-// engine a newer order; one that ignores fencing tokens would obey the old one.
-// The check is on CLOCK_BOOTTIME, which runs on while a VM is suspended. What
-// remains is a pause between the check and the write itself: for it the
-// successor waits out the stated longest pause.
+// Failure: the process is paused, or waits long for a connection, after the reducer issued
+// the order. When it resumes, another leader may have sent this engine a newer order; an
+// engine that ignores fencing tokens would carry out the old one. The check uses
+// CLOCK_BOOTTIME, which includes the time that a VM is suspended. A pause between the check
+// and the write itself remains possible: for it the successor waits for the longest pause
+// that the settings allow for (order_pause).
 type leaseGuard struct {
-	until time.Duration
-	wrote chan struct{}
+	leaseUntil time.Duration
+	firstWrite chan struct{}
 }
 
 func (g *leaseGuard) dialer(timeout time.Duration) fasthttp.DialFunc {
-	g.wrote = make(chan struct{}, 1)
+	g.firstWrite = make(chan struct{}, 1)
 	return func(address string) (net.Conn, error) {
 		conn, err := net.DialTimeout("tcp", address, timeout)
 		if err != nil {
@@ -156,11 +155,11 @@
 	}
 }
 
-func (g *leaseGuard) written() bool { return len(g.wrote) > 0 }
+func (g *leaseGuard) hasWritten() bool { return len(g.firstWrite) > 0 }
 
-func (g *leaseGuard) noteWrite() {
+func (g *leaseGuard) recordWrite() {
 	select {
-	case g.wrote <- struct{}{}:
+	case g.firstWrite <- struct{}{}:
 	default:
 	}
 }
@@ -170,11 +169,11 @@
 	guard *leaseGuard
 }
 
-// Write writes while the lease lasts. Errors: LeaseOver.
+// Write writes while the lease is valid. Errors: LeaseExpired.
 func (c *guardedConn) Write(p []byte) (int, error) {
-	if clock.Boot() >= c.guard.until {
-		return 0, LeaseOver.New("this leader's lease has run out")
+	if clock.Boot() >= c.guard.leaseUntil {
+		return 0, LeaseExpired.New("this leader's lease has expired")
 	}
-	c.guard.noteWrite()
+	c.guard.recordWrite()
 	return c.Conn.Write(p)
 }
--- a/internal/control/runner/engines_test.go
+++ b/internal/control/runner/engines_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// A leader is stopped after it decided to send an order, and goes on when its
-// lease is over and another one leads. The engine, which ignores fencing tokens,
-// must not get a byte of it, and the reducer must learn that none went out.
+// A leader is paused after it decided to send an order, and resumes when its lease has
+// expired and another replica leads. The engine, which ignores fencing tokens, must not get
+// a byte of the order, and the reducer must learn that none was sent.
 func TestNoOrderIsWrittenAfterTheLease(t *testing.T) {
 	var got atomic.Int32
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// An engine reads an order and breaks the connection without an answer. The
-// order may have been carried out: it is sent once, and said to be unsure.
+// An engine reads an order and closes the connection without an answer. The order may have
+// been carried out: it must be sent only once and reported as possibly sent.
 func TestUnansweredOrderIsNotRepeated(t *testing.T) {
 	var got atomic.Int32
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,26 +58,27 @@
 	if err == nil || notSent || got.Load() != 1 {
 		t.Errorf("not sent %v, error %v, the engine got %d", notSent, err, got.Load())
 	}
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = gone.Close()
+	_ = closed.Close()
 	order := orderTo(engine, clock.Boot()+time.Minute)
-	order.Address = gone.Addr().String()
+	order.Address = closed.Addr().String()
 	if _, notSent, err := deliver(nativeOrders{}, order); err == nil || !notSent {
 		t.Errorf("nobody listens: not sent %v, error %v", notSent, err)
 	}
 }
 
-// Garbage, another order's answer and an empty one are no answer.
+// Malformed answers, another order's answer and an answer without a result must be
+// rejected.
 func TestWrongOrderAnswersAreRefused(t *testing.T) {
 	for _, body := range []string{"", "{", `{"id":"o2","result":"done"}`, `{"id":"o1"}`} {
 		engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(body))
 		}))
 		if answer, _, err := deliver(nativeOrders{}, orderTo(engine, clock.Boot()+time.Minute)); err == nil {
-			t.Errorf("%q was taken as %v", body, answer)
+			t.Errorf("%q was accepted as %v", body, answer)
 		}
 		engine.Close()
 	}
--- a/internal/control/runner/join.go
+++ b/internal/control/runner/join.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// joinEvery is how often a replica that waits asks to be added.
-	joinEvery = 500 * time.Millisecond
-	// joinTry bounds one asking, over all replicas.
-	joinTry = 2 * time.Second
+	// joinInterval is how often a replica that is not a member asks to be added.
+	joinInterval = 500 * time.Millisecond
+	// joinTimeout bounds one attempt, over all replicas.
+	joinTimeout = 2 * time.Second
 )
 
-// join asks the group to add this replica as long as it is not on the member list.
+// join asks the group to add this replica while it is not on the member list.
 func (r *Runner) join(ctx context.Context) {
 	if !r.cfg.GroupFromControl {
 		return
@@ -25,30 +25,30 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(joinEvery):
+		case <-time.After(joinInterval):
 		}
-		if r.listed() {
+		if r.isMember() {
 			continue
 		}
-		if err := r.askToJoin(ctx); err != nil {
-			r.log.Info("not added to the group yet", "error", err.Error())
+		if err := r.requestJoin(ctx); err != nil {
+			r.log.Info("replica not added to the group yet", "error", err.Error())
 		}
 	}
 }
 
-func (r *Runner) listed() bool {
+func (r *Runner) isMember() bool {
 	id := r.store.Identity().GetId()
-	return slices.ContainsFunc(r.loop.view().members.GetMembers(), func(m *pb.ReplicaMember) bool {
+	return slices.ContainsFunc(r.loop.currentGroup().members.GetMembers(), func(m *pb.ReplicaMember) bool {
 		return m.GetIdentity().GetId() == id
 	})
 }
 
-func (r *Runner) askToJoin(ctx context.Context) error {
+func (r *Runner) requestJoin(ctx context.Context) error {
 	others := slices.DeleteFunc(slices.Clone(r.cfg.Control), func(a string) bool { return a == r.cfg.Address })
 	if len(others) == 0 {
 		return Failed.New("no other replica's address is known")
 	}
-	ctx, cancel := context.WithTimeout(ctx, joinTry)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	identity := r.store.Identity()
 	client := ctl.NewClient(r.cfg.Cluster, others, r.auth)
@@ -61,7 +61,7 @@
 	})
 	if err == nil {
 		leader := client.Leader()
-		r.loop.waitsFor.Store(&leader)
+		r.loop.joinLeader.Store(&leader)
 	}
 	return err
 }
--- a/internal/control/runner/loop.go
+++ b/internal/control/runner/loop.go
@@ -19,28 +19,27 @@
 )
 
 const (
-	// tickInterval is how late timers may be noticed: half of the shortest of
-	// them, a heartbeat of 100 ms. Ticks of 20 ms cost an idle replica twice
-	// the processor time.
+	// tickInterval is how late a timer may fire: half of the shortest timer, the 100 ms
+	// heartbeat. Ticks of 20 ms double the processor time of an idle replica.
 	tickInterval = 50 * time.Millisecond
-	// eventQueue is how many events may wait; who posts more waits itself.
-	eventQueue = 1024
-	// gaugeInterval is how often the state's sizes are written to the metrics, and what was
-	// answered to the log.
+	// eventQueueLength is how many events may wait; further posters block.
+	eventQueueLength = 1024
+	// gaugeInterval is how often the sizes of the state are written to the metrics, and the
+	// counts of answered calls to the log.
 	gaugeInterval = 5 * time.Second
-	// callTimeout bounds every call but Watch, whose hold is shorter.
+	// callTimeout bounds every call except Watch, which is answered earlier.
 	callTimeout = 5 * time.Second
 )
 
-// group is what the traffic goroutines read of the control group.
+// group is the state of the control group that the request goroutines read.
 type group struct {
-	// members is the committed list.
-	members *pb.Membership
-	leader  uint64
-	leads   bool
+	// members is the committed member list.
+	members  *pb.Membership
+	leader   uint64
+	isLeader bool
 }
 
-// loop is the control goroutine: it alone steps the reducer.
+// loop is the control goroutine, the only one that steps the reducer.
 type loop struct {
 	reducer *control.Reducer
 	log     *slog.Logger
@@ -50,8 +49,8 @@
 	engines *engineSender
 	duties  *dutyCaller
 
-	// answered counts the calls of other processes.
-	answered *rpc.CallCounters
+	// callCounters counts the calls of other processes.
+	callCounters *rpc.CallCounters
 
 	events chan control.Event
 	stop   chan struct{}
@@ -59,31 +58,31 @@
 	done   chan struct{}
 	failed chan error
 	group  atomic.Pointer[group]
-	// waitsFor is the address of the leader that this replica has asked to be added;
-	// nil if none.
-	waitsFor atomic.Pointer[string]
+	// joinLeader is the address of the leader that this replica has asked to be added; nil
+	// if none.
+	joinLeader atomic.Pointer[string]
 
-	nextCall atomic.Uint64
-	mu       sync.Mutex
-	calls    map[uint64]chan control.Reply
+	lastCallID   atomic.Uint64
+	mu           sync.Mutex
+	pendingCalls map[uint64]chan control.Reply
 }
 
 func newLoop(reducer *control.Reducer, log *slog.Logger, scope tally.Scope) *loop {
 	l := &loop{
-		reducer: reducer, log: log, scope: scope, answered: rpc.NewCallCounters(scope),
-		events: make(chan control.Event, eventQueue),
-		stop:   make(chan struct{}),
-		done:   make(chan struct{}),
-		failed: make(chan error, 1),
-		calls:  make(map[uint64]chan control.Reply),
+		reducer: reducer, log: log, scope: scope, callCounters: rpc.NewCallCounters(scope),
+		events:       make(chan control.Event, eventQueueLength),
+		stop:         make(chan struct{}),
+		done:         make(chan struct{}),
+		failed:       make(chan error, 1),
+		pendingCalls: make(map[uint64]chan control.Reply),
 	}
 	l.group.Store(&group{members: &pb.Membership{}})
 	return l
 }
 
-func (l *loop) view() *group { return l.group.Load() }
+func (l *loop) currentGroup() *group { return l.group.Load() }
 
-// post hands an event to the control goroutine; after its end it does nothing.
+// post hands an event to the control goroutine; after that has ended, it does nothing.
 func (l *loop) post(ev control.Event) {
 	select {
 	case l.events <- ev:
@@ -107,15 +106,15 @@
 			l.step(control.Tick{WallMS: time.Now().UnixMilli()})
 		case <-gauges.C:
 			l.updateGauges()
-			l.logAnswered()
+			l.logCallCounts()
 		}
 	}
 }
 
-// logAnswered tells how many calls were answered since the last line, with their bytes.
-func (l *loop) logAnswered() {
+// logCallCounts logs the number of answered calls since the last line, with their bytes.
+func (l *loop) logCallCounts() {
 	var calls []any
-	for _, t := range l.answered.Take() {
+	for _, t := range l.callCounters.Take() {
 		calls = append(calls, slog.Group(t.Call, "calls", t.Calls, "bytes_sent", t.Sent, "bytes_received", t.Received))
 	}
 	l.log.Info("calls answered", slog.Group("by_call", calls...), "over_ms", gaugeInterval.Milliseconds())
@@ -139,16 +138,16 @@
 
 func (l *loop) step(ev control.Event) {
 	for _, eff := range l.reducer.Step(clock.Boot(), ev) {
-		l.carryOut(eff)
+		l.perform(eff)
 	}
 }
 
-func (l *loop) carryOut(eff control.Effect) {
+func (l *loop) perform(eff control.Effect) {
 	switch e := eff.(type) {
 	case control.ConsensusEffect:
-		l.carryOutConsensus(e.Effect)
+		l.performConsensus(e.Effect)
 	case control.SaveSnapshot:
-		l.disk.do(diskWork{save: &e.Snapshot})
+		l.disk.enqueue(diskWrite{save: &e.Snapshot})
 	case control.Reply:
 		l.reply(e)
 	case control.SendOrder:
@@ -156,7 +155,7 @@
 	case control.DutyCall:
 		l.duties.call(e)
 	case control.Members:
-		l.group.Store(&group{members: e.Committed, leader: e.Leader, leads: e.IsLeader})
+		l.group.Store(&group{members: e.Committed, leader: e.Leader, isLeader: e.IsLeader})
 		l.net.setMembers(e.Membership)
 		l.scope.Gauge("leads").Update(boolGauge(e.IsLeader))
 	case control.Fatal:
@@ -166,14 +165,14 @@
 	}
 }
 
-func (l *loop) carryOutConsensus(eff consensus.Effect) {
+func (l *loop) performConsensus(eff consensus.Effect) {
 	switch e := eff.(type) {
 	case consensus.Send:
 		l.net.send(e.Message)
 	case consensus.Persist:
-		l.disk.do(diskWork{persist: &e})
+		l.disk.enqueue(diskWrite{persist: &e})
 	case consensus.RestoreSnapshot:
-		l.disk.do(diskWork{restore: &e})
+		l.disk.enqueue(diskWrite{restore: &e})
 	case consensus.Removed:
 		l.fail(Removed.New("the group has removed this replica; its data folder must not be used again"))
 	}
@@ -196,8 +195,8 @@
 
 func (l *loop) reply(e control.Reply) {
 	l.mu.Lock()
-	ch := l.calls[e.ID]
-	delete(l.calls, e.ID)
+	ch := l.pendingCalls[e.ID]
+	delete(l.pendingCalls, e.ID)
 	l.mu.Unlock()
 	if ch != nil {
 		ch <- e
@@ -206,16 +205,16 @@
 
 // call posts a request and waits for its answer.
 func (l *loop) call(ctx context.Context, req proto.Message) (proto.Message, error) {
-	return l.ask(ctx, func(id uint64) control.Event { return control.Call{ID: id, Request: req} })
+	return l.postAndWait(ctx, func(id uint64) control.Event { return control.Call{ID: id, Request: req} })
 }
 
-func (l *loop) ask(ctx context.Context, event func(id uint64) control.Event) (proto.Message, error) {
+func (l *loop) postAndWait(ctx context.Context, event func(id uint64) control.Event) (proto.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	id := l.nextCall.Add(1)
+	id := l.lastCallID.Add(1)
 	ch := make(chan control.Reply, 1)
 	l.mu.Lock()
-	l.calls[id] = ch
+	l.pendingCalls[id] = ch
 	l.mu.Unlock()
 	l.post(event(id))
 	select {
@@ -225,7 +224,7 @@
 	case <-l.stop:
 	}
 	l.mu.Lock()
-	delete(l.calls, id)
+	delete(l.pendingCalls, id)
 	l.mu.Unlock()
 	l.post(control.CallCanceled{ID: id})
 	return nil, twirp.NewError(twirp.DeadlineExceeded, "no answer in time; it may come about")
--- a/internal/control/runner/packing.go
+++ b/internal/control/runner/packing.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	// packFrom is from how many records on an answer is packed.
-	packFrom = 16
-	// maxPackings bounds the packed answers that are kept.
-	maxPackings  = 64
-	fieldObjects = protoreflect.Name("objects")
+	// minPackedRecords is the number of records from which an answer is packed.
+	minPackedRecords = 16
+	// maxPackedParts bounds the packed answers that are cached, and the packed objects.
+	maxPackedParts = 64
+	fieldObjects   = protoreflect.Name("objects")
 )
 
-// viewPacker compresses the answers that many entries get, each one once. It does so on the
-// calls' goroutines: the control goroutine has heartbeats to send meanwhile.
+// viewPacker compresses each answer once for all entries that get it. It runs on the
+// goroutines of the calls, so that the control goroutine can send its heartbeats.
 //
-// Failure: a change of thousands of routes, or a view of thousands of servers, was encoded
-// anew for each of hundreds of entries and sent as it was. The leader's processor and link
-// took seconds for it, in which it lost its leadership and the entries their leases.
+// Failure: a change of thousands of routes, or a view of thousands of servers, is encoded
+// separately for each of hundreds of entries and sent uncompressed. This takes the leader's
+// processor and network link seconds, in which it loses its leadership and the entries lose
+// their leases.
 type viewPacker struct {
 	mu      sync.Mutex
 	version uint64
-	views   map[*pb.WatchResponse]*packing
-	// objects holds the packed objects of one revision, by how many they are: of what
-	// entries lack of a revision, one answer's objects include the next one's.
+	views   map[*pb.WatchResponse]*packedPart
+	// objects holds the packed objects of one revision by their number. Within a revision
+	// the object lists of any two answers are nested, so that lists of equal length are
+	// equal.
 	revision uint64
-	objects  map[int]*packing
+	objects  map[int]*packedPart
 }
 
-// packing is something that is packed by the first who needs it.
-type packing struct {
+// packedPart is data that is packed by the first goroutine that needs it.
+type packedPart struct {
 	once sync.Once
 	data []byte
 	err  error
 }
 
 func newViewPacker() *viewPacker {
-	return &viewPacker{views: make(map[*pb.WatchResponse]*packing), objects: make(map[int]*packing)}
+	return &viewPacker{views: make(map[*pb.WatchResponse]*packedPart), objects: make(map[int]*packedPart)}
 }
 
-// answer gives the answer to a call packed, or as it is where that is not worth it or the
-// entry is of a release that reads no packed ones. Errors: those of encoding.
-func (p *viewPacker) answer(q *pb.WatchRequest, resp *pb.WatchResponse) (*pb.WatchResponse, error) {
+// pack returns the packed answer. It returns the answer unchanged if it is small or if the
+// entry runs an earlier release that can't unpack it. Errors: those of encoding.
+func (p *viewPacker) pack(q *pb.WatchRequest, resp *pb.WatchResponse) (*pb.WatchResponse, error) {
 	records := len(resp.GetObjects()) + len(resp.GetServers()) + len(resp.GetEntries())
-	if !q.GetTakesPacked() || records < packFrom {
+	if !q.GetTakesPacked() || records < minPackedRecords {
 		return resp, nil
 	}
-	view := p.view(resp)
+	view := p.packedView(resp)
 	view.once.Do(func() { view.data, view.err = p.packParts(resp) })
 	if view.err != nil {
 		return nil, view.err
@@ -60,52 +62,54 @@
 	return &pb.WatchResponse{Packed: view.data}, nil
 }
 
-// view finds or makes the packing of an answer. Those of other versions of the view are let go.
-func (p *viewPacker) view(resp *pb.WatchResponse) *packing {
+// packedView returns or adds the packed form of an answer. Those of other view versions are
+// dropped.
+func (p *viewPacker) packedView(resp *pb.WatchResponse) *packedPart {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if resp.GetVersion() != p.version || len(p.views) >= maxPackings {
+	if resp.GetVersion() != p.version || len(p.views) >= maxPackedParts {
 		p.version = resp.GetVersion()
 		clear(p.views)
 	}
 	if p.views[resp] == nil {
-		p.views[resp] = &packing{}
+		p.views[resp] = &packedPart{}
 	}
 	return p.views[resp]
 }
 
-// packParts packs the objects apart from the rest: entries come and go while the declaration
-// stays as it is.
+// packParts packs the objects separately from the rest: entries start and stop often while
+// the declaration stays the same.
 func (p *viewPacker) packParts(resp *pb.WatchResponse) ([]byte, error) {
-	objects, rest := split(resp)
-	known := p.objectsOf(resp)
-	known.once.Do(func() { known.data, known.err = rpc.PackPart(objects) })
-	if known.err != nil {
-		return nil, known.err
+	objects, rest := splitObjects(resp)
+	packedObjects := p.packedObjects(resp)
+	packedObjects.once.Do(func() { packedObjects.data, packedObjects.err = rpc.PackPart(objects) })
+	if packedObjects.err != nil {
+		return nil, packedObjects.err
 	}
-	packed, err := rpc.PackPart(rest)
+	packedRest, err := rpc.PackPart(rest)
 	if err != nil {
 		return nil, err
 	}
-	return bytes.Join([][]byte{known.data, packed}, nil), nil
+	return bytes.Join([][]byte{packedObjects.data, packedRest}, nil), nil
 }
 
-func (p *viewPacker) objectsOf(resp *pb.WatchResponse) *packing {
+func (p *viewPacker) packedObjects(resp *pb.WatchResponse) *packedPart {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if resp.GetRevision() != p.revision || len(p.objects) >= maxPackings {
+	if resp.GetRevision() != p.revision || len(p.objects) >= maxPackedParts {
 		p.revision = resp.GetRevision()
 		clear(p.objects)
 	}
 	count := len(resp.GetObjects())
 	if p.objects[count] == nil {
-		p.objects[count] = &packing{}
+		p.objects[count] = &packedPart{}
 	}
 	return p.objects[count]
 }
 
-// split gives an answer's objects and all else; both share what they hold with it.
-func split(resp *pb.WatchResponse) (objects, rest *pb.WatchResponse) {
+// splitObjects returns an answer's objects and the rest; both share their content with the
+// answer.
+func splitObjects(resp *pb.WatchResponse) (objects, rest *pb.WatchResponse) {
 	objects, rest = &pb.WatchResponse{}, &pb.WatchResponse{}
 	resp.ProtoReflect().Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		if field.Name() == fieldObjects {
--- a/internal/control/runner/port.go
+++ b/internal/control/runner/port.go
@@ -10,93 +10,93 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// callersWait bounds what servers and operators wait for: they ask another replica after a
-// second, but for large bodies.
-const callersWait = 900 * time.Millisecond
+// callerTimeout bounds the calls of servers and operators. They ask another replica after
+// one second, except for calls with large bodies.
+const callerTimeout = 900 * time.Millisecond
 
-// Driver serves another protocol for backend servers and operators on listeners
-// of its own. It only translates: what it takes goes to the Port.
+// Driver serves another protocol for backend servers and operators on listeners of its own.
+// It only translates between that protocol and the Port.
 type Driver interface {
 	// Serve serves until Shutdown; its error ends the process.
 	Serve(port *Port) error
 	Shutdown(ctx context.Context) error
 }
 
-// Drivers are the other protocols of a replica; the zero value has none.
+// Drivers are the additional protocols of a replica; the zero value has none.
 type Drivers struct {
 	// Calls serve backend servers and operators.
 	Calls []Driver
-	// Orders speaks with engines; nil: the system's own protocol.
+	// Orders is the protocol for orders to engines; nil: the default protocol.
 	Orders OrderProtocol
-	// Duties speaks with those outside whom the deployment reports to; nil: the system's
-	// own protocol.
+	// Duties is the protocol of the calls to external services; nil: the default protocol.
 	Duties DutyProtocol
 }
 
-// Port is what a Driver may ask of this replica. Errors are twirp errors: a
-// replica that does not lead answers unavailable; see Leader.
+// Port is the interface of this replica for a Driver. Errors are twirp errors: a replica
+// that does not lead answers unavailable; see Leader.
 type Port struct {
 	cluster string
 	loop    *loop
-	// words passes on what servers tell a replica that does not lead.
-	words *wordRelay
+	// relay forwards servers' announcements at a replica that does not lead.
+	relay *announcementRelay
 }
 
-// Announce tells a backend server's own word; see control.Announce.
+// Announce passes on an announcement that a backend server sent itself; see
+// control.Announce.
 func (p *Port) Announce(ctx context.Context, a *pb.Announcement, sequence uint64) error {
 	if leader, self := p.Leader(); !self && leader != "" {
-		return p.words.announce(ctx, leader, a, sequence)
+		return p.relay.announce(ctx, leader, a, sequence)
 	}
-	ctx, cancel := context.WithTimeout(ctx, callersWait)
+	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	_, err := p.loop.ask(ctx, func(id uint64) control.Event {
+	_, err := p.loop.postAndWait(ctx, func(id uint64) control.Event {
 		return control.Announce{ID: id, Announcement: a, Sequence: sequence}
 	})
 	return err
 }
 
-// Leave tells that one life of a backend server ends; see control.Leave.
+// Leave reports that one incarnation of a backend server ends; see control.Leave.
 func (p *Port) Leave(ctx context.Context, incarnation string) error {
-	ctx, cancel := context.WithTimeout(ctx, callersWait)
+	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	_, err := p.loop.ask(ctx, func(id uint64) control.Event {
+	_, err := p.loop.postAndWait(ctx, func(id uint64) control.Event {
 		return control.Leave{ID: id, Incarnation: incarnation}
 	})
 	return err
 }
 
-// ApplyNewest puts a declaration in force unless a newer one is.
+// ApplyNewest puts a declaration into force unless a newer one is in force.
 func (p *Port) ApplyNewest(ctx context.Context, d *pb.Declaration) (*pb.ApplyResponse, error) {
 	req := &pb.ApplyRequest{ClusterId: p.cluster, Declaration: proto.CloneOf(d), NewestWins: true}
-	return answer[*pb.ApplyResponse](p.loop.call(ctx, req))
+	return typedAnswer[*pb.ApplyResponse](p.loop.call(ctx, req))
 }
 
-// Declaration gives the declaration in force, confirmed by a quorum.
+// Declaration returns the declaration in force, confirmed by a quorum.
 func (p *Port) Declaration(ctx context.Context) (*pb.Declaration, error) {
-	ctx, cancel := context.WithTimeout(ctx, callersWait)
+	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	resp, err := answer[*pb.GetDeclarationResponse](
+	resp, err := typedAnswer[*pb.GetDeclarationResponse](
 		p.loop.call(ctx, &pb.GetDeclarationRequest{ClusterId: p.cluster}))
 	return resp.GetDeclaration(), err
 }
 
-// Leader gives the address of the replica that leads as far as this one knows,
-// empty if it knows none, and whether that is this one.
+// Leader returns the address of the leader that this replica knows, empty if it knows none,
+// and whether this replica is the leader.
 func (p *Port) Leader() (address string, self bool) {
-	g := p.loop.view()
+	g := p.loop.currentGroup()
 	if address = addressOf(g.members, g.leader); address != "" {
-		return address, g.leads
+		return address, g.isLeader
 	}
-	if asked := p.loop.waitsFor.Load(); asked != nil {
-		return *asked, false
+	if joinLeader := p.loop.joinLeader.Load(); joinLeader != nil {
+		return *joinLeader, false
 	}
 	return "", false
 }
 
-// ReplicaFor gives the address of the replica that is to take a server's next words, and
-// whether that is this one.
+// ReplicaFor returns the address of the replica that should take a server's next
+// announcements, and whether it is this one.
 func (p *Port) ReplicaFor(server string) (address string, self bool) {
-	_, leads := p.Leader()
-	address = p.words.replicaFor(server, leads)
-	return address, address == p.words.address
+	_, isLeader := p.Leader()
+	address = p.relay.replicaFor(server, isLeader)
+	return address, address == p.relay.address
 }
--- a/internal/control/runner/runner.go
+++ b/internal/control/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner carries out what control's reducer asks for: it owns the data
-// folder, the listener, the connections to the other replicas and the orders to
-// engines. One goroutine steps the reducer; all others post events to it.
+// Package runner performs the effects of the control reducer: it owns the data folder, the
+// listener, the connections to the other replicas and the calls to engines. One goroutine
+// steps the reducer; all others post events to it.
 package runner
 
 import (
@@ -30,20 +30,20 @@
 var (
 	// Failed is the type of errors that end the process.
 	Failed = Namespace.NewType("failed")
-	// Removed: the group has removed this replica.
+	// Removed is the type of errors that report that the group has removed this replica.
 	Removed = Namespace.NewType("removed")
 )
 
 const (
-	// handOverTimeout bounds how long a planned stop waits for another leader:
-	// a hand-over needs the lease to run out and one election.
-	handOverTimeout = 3 * time.Second
+	// leadershipTransferTimeout bounds how long a planned stop waits for another leader: a
+	// transfer takes the rest of the lease and one election.
+	leadershipTransferTimeout = 3 * time.Second
 	// shutdownTimeout bounds how long open calls may take after that.
 	shutdownTimeout = 2 * time.Second
 	metricsPrefix   = "goldcrest_control"
 )
 
-// Runner is one control replica's process.
+// Runner is the process of one control replica.
 type Runner struct {
 	cfg     *settings.Control
 	log     *slog.Logger
@@ -54,18 +54,18 @@
 	net     *transport
 	engines *engineSender
 	server  *http.Server
-	words   *wordRelay
+	relay   *announcementRelay
 	drivers Drivers
 }
 
-// New opens the data folder and puts the state back. The drivers serve other
-// protocols beside the system's own. Errors: those of store and rpc, BadSnapshot.
+// New opens the data folder and restores the state. The drivers serve additional protocols.
+// Errors: those of store and rpc, BadSnapshot.
 func New(cfg *settings.Control, log *slog.Logger, drivers Drivers) (*Runner, error) {
 	auth, err := rpc.LoadAuth(cfg.Auth)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	st, recovered, err := open(cfg, log)
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 		}
 	}
 	log.Info("recovered", "snapshot_index", recovered.Initial.Snapshot.GetIndex(),
-		"entries", len(recovered.Initial.Entries), "took_ms", time.Since(began).Milliseconds())
+		"entries", len(recovered.Initial.Entries), "took_ms", time.Since(startedAt).Milliseconds())
 	id := st.Identity().GetId()
 	node := consensus.NewNode(nodeConfig(id, cfg), recovered.Initial)
 	r := &Runner{
@@ -92,7 +92,7 @@
 		Duties:       dutiesConfig(cfg),
 	}, node, state)
 	r.loop = newLoop(reducer, log, r.metrics.Scope)
-	r.words = newWordRelay(cfg, auth, log)
+	r.relay = newAnnouncementRelay(cfg, auth, log)
 	r.net = newTransport(cfg, auth, st, r.loop)
 	r.engines = newEngineSender(r.loop, drivers.Orders)
 	r.loop.duties = newDutyCaller(r.loop, cfg.Duties.Address, drivers.Duties)
@@ -100,7 +100,8 @@
 	return r, nil
 }
 
-// dutiesConfig gives the duties that the settings name; without an address there are none.
+// dutiesConfig returns the duties that the settings enable; without an address there are
+// none.
 func dutiesConfig(cfg *settings.Control) control.DutiesConfig {
 	d := cfg.Duties
 	if d.Address == "" {
@@ -116,14 +117,15 @@
 	return consensus.Config{
 		ID: id, ElectionTimeout: cfg.ElectionTimeout,
 		SnapshotEntries: uint64(cfg.SnapshotEntries),
-		// Drawn from the clock so that replicas don't wait alike.
+		// The seed is taken from the clock so that replicas draw different election
+		// timeouts.
 		Seed: uint64(time.Now().UnixNano()),
 	}
 }
 
-// open opens the data folder. One that is damaged is set aside and the replica
-// comes back empty, under a new incarnation, to be added again: answering from a
-// damaged log could undo what was committed.
+// open opens the data folder. A damaged one is moved aside and the replica starts empty,
+// under a new incarnation, to be added again: answering from a damaged log could undo
+// committed changes.
 func open(cfg *settings.Control, log *slog.Logger) (*store.Store, *store.Recovered, error) {
 	o := store.Options{
 		Dir: cfg.DataDir, Cluster: cfg.Cluster, ReplicaID: cfg.ReplicaID,
@@ -133,12 +135,12 @@
 	if !errorx.IsOfType(err, store.Corrupt) {
 		return st, recovered, err
 	}
-	aside, asideErr := store.SetAside(cfg.DataDir)
-	if asideErr != nil {
-		return nil, nil, asideErr
+	movedTo, moveErr := store.SetAside(cfg.DataDir)
+	if moveErr != nil {
+		return nil, nil, moveErr
 	}
-	log.Error("the data folder is damaged; it is set aside and this replica waits to be added again",
-		"cause", err.Error(), "aside", aside)
+	log.Error("data folder is damaged: moved aside, replica waits to be added again",
+		"cause", err.Error(), "aside", movedTo)
 	o.Join = true
 	return store.Open(o)
 }
@@ -154,8 +156,7 @@
 	return m
 }
 
-// Run serves until ctx ends, then hands leadership on and stops. Errors: Failed,
-// Removed.
+// Run serves until ctx ends, then transfers leadership and stops. Errors: Failed, Removed.
 func (r *Runner) Run(ctx context.Context) error {
 	listener, err := r.auth.Listen(ctx, cmp.Or(r.cfg.ListenAddress, r.cfg.Address))
 	if err != nil {
@@ -179,10 +180,10 @@
 	if r.cfg.MetricsAddress != "" {
 		wg.Go(func() { r.metrics.Serve(serving, r.cfg.MetricsAddress, r.log) })
 	}
-	port := &Port{cluster: r.cfg.Cluster, loop: r.loop, words: r.words}
+	port := &Port{cluster: r.cfg.Cluster, loop: r.loop, relay: r.relay}
 	if len(r.drivers.Calls) > 0 {
-		wg.Go(func() { r.words.run(serving, port.Leader) })
-		wg.Go(func() { r.words.sendWords(serving) })
+		wg.Go(func() { r.relay.runReports(serving, port.Leader) })
+		wg.Go(func() { r.relay.sendAnnouncements(serving) })
 	}
 	for _, d := range r.drivers.Calls {
 		wg.Go(func() {
@@ -200,8 +201,8 @@
 	return err
 }
 
-// wait returns when the process must end: on a failure, or once a planned stop
-// has handed leadership on.
+// wait returns when the process must end: on a failure, or once a planned stop has
+// transferred leadership.
 func (r *Runner) wait(ctx context.Context) error {
 	select {
 	case err := <-r.loop.failed:
@@ -210,7 +211,7 @@
 	}
 	r.log.Info("stopping")
 	r.loop.post(control.Stop{})
-	timeout := time.NewTimer(handOverTimeout)
+	timeout := time.NewTimer(leadershipTransferTimeout)
 	defer timeout.Stop()
 	for {
 		select {
@@ -219,7 +220,7 @@
 		case <-timeout.C:
 			return nil
 		case <-time.After(tickInterval):
-			if !r.loop.view().leads {
+			if !r.loop.currentGroup().isLeader {
 				return nil
 			}
 		}
@@ -231,20 +232,20 @@
 	defer cancel()
 	for _, d := range r.drivers.Calls {
 		if err := d.Shutdown(ctx); err != nil {
-			r.log.Warn("a driver did not stop in time", "error", err.Error())
+			r.log.Warn("driver did not stop in time", "error", err.Error())
 		}
 	}
-	// Open calls are answered by the loop or run into their own timeout.
+	// Open calls are answered by the loop or end at their own timeout.
 	if err := r.server.Shutdown(ctx); err != nil {
 		_ = r.server.Close()
 	}
 	r.engines.wait()
 	r.loop.duties.wait()
 	close(r.loop.stop)
-	// Only the control goroutine gives the disk work, so its end comes first.
+	// Only the control goroutine enqueues disk writes, so it must end first.
 	<-r.loop.done
 	r.net.close()
-	close(r.loop.disk.work)
+	close(r.loop.disk.writes)
 	if err := r.store.Close(); err != nil {
 		r.log.Error("close", "error", err.Error())
 	}
--- a/internal/control/runner/server.go
+++ b/internal/control/runner/server.go
@@ -18,15 +18,15 @@
 	"goldcrestseam.dev/goldcrestseam/internal/store"
 )
 
-// maxCallBytes bounds a request: the largest is a declaration or a batch of
-// append messages.
+// maxCallBytes bounds a request: the largest is a declaration or a batch of append
+// messages.
 const maxCallBytes = 16 << 20
 
-// handler serves all of a replica's services on one listener. Metrics and health
-// need no key: they tell nothing that can change the system.
+// handler serves all of a replica's services on one listener. Metrics and health need no
+// key: they can't change the system.
 func (r *Runner) handler() http.Handler {
-	s := &services{cluster: r.cfg.Cluster, loop: r.loop, store: r.store, net: r.net, words: r.words, views: newViewPacker()}
-	s.refusals = rate.Sometimes{First: refusalsFirst, Interval: refusalsEvery}
+	s := &services{cluster: r.cfg.Cluster, loop: r.loop, store: r.store, net: r.net, relay: r.relay, views: newViewPacker()}
+	s.refusalLog = rate.Sometimes{First: refusalLogBurst, Interval: refusalLogInterval}
 	protected := http.NewServeMux()
 	replica := pb.NewReplicaServer(s)
 	control := pb.NewControlServer(s)
@@ -37,7 +37,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", r.metrics.Handler)
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	mux.Handle("/", r.auth.Require(r.loop.answered.Count(http.MaxBytesHandler(protected, maxCallBytes))))
+	mux.Handle("/", r.auth.Require(r.loop.callCounters.Count(http.MaxBytesHandler(protected, maxCallBytes))))
 	return mux
 }
 
@@ -47,19 +47,19 @@
 	loop    *loop
 	store   *store.Store
 	net     *transport
-	words   *wordRelay
+	relay   *announcementRelay
 	views   *viewPacker
-	// refusals thins the log lines of refused replica messages: a replica that
-	// lost its disk sends ten a second until it is added again.
-	refusals rate.Sometimes
+	// refusalLog limits the log lines of refused replica messages: a replica that lost its
+	// disk sends ten messages a second until it is added again.
+	refusalLog rate.Sometimes
 }
 
 const (
-	refusalsFirst = 10
-	refusalsEvery = 5 * time.Second
+	refusalLogBurst    = 10
+	refusalLogInterval = 5 * time.Second
 )
 
-// Step takes messages of another replica once it is known who sends them.
+// Step accepts messages of another replica after it has verified the sender.
 func (s *services) Step(ctx context.Context, req *pb.StepRequest) (*pb.StepResponse, error) {
 	if req.GetClusterId() != s.cluster {
 		return nil, s.refuse(req, "the cluster id is not "+s.cluster)
@@ -67,16 +67,16 @@
 	if err := s.store.Addressed(req.GetTo()); err != nil {
 		return nil, s.refuse(req, err.Error())
 	}
-	err := s.store.Admit(req, s.loop.view().members)
+	err := s.store.Admit(req, s.loop.currentGroup().members)
 	if errorx.IsOfType(err, consensus.RemovedIdentity) {
-		return answer[*pb.StepResponse](s.loop.ask(ctx, func(id uint64) control.Event {
+		return typedAnswer[*pb.StepResponse](s.loop.postAndWait(ctx, func(id uint64) control.Event {
 			return control.QueryRemoved{ID: id, Identity: req.GetFrom()}
 		}))
 	}
 	if err != nil {
 		return nil, s.refuse(req, err.Error())
 	}
-	s.net.learn(req.GetFrom().GetId(), req.GetFromAddress())
+	s.net.learnAddress(req.GetFrom().GetId(), req.GetFromAddress())
 	for _, m := range req.GetMessages() {
 		if m.GetFrom() != req.GetFrom().GetId() {
 			return nil, s.refuse(req, "a message is of another sender")
@@ -88,42 +88,42 @@
 	return &pb.StepResponse{}, nil
 }
 
-func (s *services) refuse(req *pb.StepRequest, why string) error {
+func (s *services) refuse(req *pb.StepRequest, reason string) error {
 	s.loop.scope.Counter("replica_refused").Inc(1)
-	s.refusals.Do(func() {
+	s.refusalLog.Do(func() {
 		s.loop.log.Warn("replica message refused", "cluster", req.GetClusterId(),
-			"replica", req.GetFrom().GetId(), "incarnation", req.GetFrom().GetIncarnation(), "why", why)
+			"replica", req.GetFrom().GetId(), "incarnation", req.GetFrom().GetIncarnation(), "why", reason)
 	})
-	return twirp.NewError(twirp.FailedPrecondition, why)
+	return twirp.NewError(twirp.FailedPrecondition, reason)
 }
 
-// answer gives the reducer's answer its type.
-func answer[T proto.Message](m proto.Message, err error) (T, error) {
-	var none T
+// typedAnswer converts the reducer's answer to its type.
+func typedAnswer[T proto.Message](m proto.Message, err error) (T, error) {
+	var zero T
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	resp, ok := m.(T)
 	if !ok {
-		return none, twirp.InternalError("the answer is of another type")
+		return zero, twirp.InternalError("the answer is of another type")
 	}
 	return resp, nil
 }
 
 // Watch implements pb.Control.
 func (s *services) Watch(ctx context.Context, q *pb.WatchRequest) (*pb.WatchResponse, error) {
-	resp, err := answer[*pb.WatchResponse](s.loop.call(ctx, q))
+	resp, err := typedAnswer[*pb.WatchResponse](s.loop.call(ctx, q))
 	if err != nil {
 		return nil, err
 	}
-	return s.views.answer(q, resp)
+	return s.views.pack(q, resp)
 }
 
 // Report implements pb.Control.
 func (s *services) Report(ctx context.Context, q *pb.ReportRequest) (*pb.ReportResponse, error) {
-	resp, err := answer[*pb.ReportResponse](s.loop.call(ctx, q))
+	resp, err := typedAnswer[*pb.ReportResponse](s.loop.call(ctx, q))
 	if err == nil {
-		s.words.noteReporter(q.GetReplica())
+		s.relay.recordReporter(q.GetReplica())
 	}
 	return resp, err
 }
@@ -133,21 +133,21 @@
 	if q.GetClusterId() != s.cluster {
 		return nil, twirp.InvalidArgumentError("cluster_id", "is not "+s.cluster)
 	}
-	if !s.loop.view().leads {
+	if !s.loop.currentGroup().isLeader {
 		return nil, twirp.Unavailable.Error("this replica does not lead")
 	}
 	resp := &pb.AnnounceResponse{Failed: make(map[string]string)}
 	var mu sync.Mutex
 	var wg conc.WaitGroup
-	for _, word := range q.GetWords() {
+	for _, announced := range q.GetWords() {
 		wg.Go(func() {
-			_, err := s.loop.ask(ctx, func(id uint64) control.Event {
-				return control.Announce{ID: id, Announcement: word.GetAnnouncement(), Sequence: word.GetSequence()}
+			_, err := s.loop.postAndWait(ctx, func(id uint64) control.Event {
+				return control.Announce{ID: id, Announcement: announced.GetAnnouncement(), Sequence: announced.GetSequence()}
 			})
 			if err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				resp.Failed[word.GetAnnouncement().GetServer().GetId()] = err.Error()
+				resp.Failed[announced.GetAnnouncement().GetServer().GetId()] = err.Error()
 			}
 		})
 	}
@@ -157,52 +157,52 @@
 
 // Claim implements pb.Control.
 func (s *services) Claim(ctx context.Context, q *pb.ClaimRequest) (*pb.ClaimResponse, error) {
-	return answer[*pb.ClaimResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.ClaimResponse](s.loop.call(ctx, q))
 }
 
 // Settle implements pb.Control.
 func (s *services) Settle(ctx context.Context, q *pb.SettleRequest) (*pb.SettleResponse, error) {
-	return answer[*pb.SettleResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.SettleResponse](s.loop.call(ctx, q))
 }
 
 // Apply implements pb.Operator.
 func (s *services) Apply(ctx context.Context, q *pb.ApplyRequest) (*pb.ApplyResponse, error) {
-	return answer[*pb.ApplyResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.ApplyResponse](s.loop.call(ctx, q))
 }
 
 // GetDeclaration implements pb.Operator.
 func (s *services) GetDeclaration(
 	ctx context.Context, q *pb.GetDeclarationRequest,
 ) (*pb.GetDeclarationResponse, error) {
-	return answer[*pb.GetDeclarationResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.GetDeclarationResponse](s.loop.call(ctx, q))
 }
 
 // Status implements pb.Operator.
 func (s *services) Status(ctx context.Context, q *pb.StatusRequest) (*pb.StatusResponse, error) {
-	return answer[*pb.StatusResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.StatusResponse](s.loop.call(ctx, q))
 }
 
 // Drain implements pb.Operator.
 func (s *services) Drain(ctx context.Context, q *pb.DrainRequest) (*pb.DrainResponse, error) {
-	return answer[*pb.DrainResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.DrainResponse](s.loop.call(ctx, q))
 }
 
 // ChangeRole implements pb.Operator.
 func (s *services) ChangeRole(ctx context.Context, q *pb.ChangeRoleRequest) (*pb.ChangeRoleResponse, error) {
-	return answer[*pb.ChangeRoleResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.ChangeRoleResponse](s.loop.call(ctx, q))
 }
 
 // ListReplicas implements pb.Operator.
 func (s *services) ListReplicas(ctx context.Context, q *pb.ListReplicasRequest) (*pb.ListReplicasResponse, error) {
-	return answer[*pb.ListReplicasResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.ListReplicasResponse](s.loop.call(ctx, q))
 }
 
 // Join implements pb.Operator.
 func (s *services) Join(ctx context.Context, q *pb.JoinRequest) (*pb.JoinResponse, error) {
-	return answer[*pb.JoinResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.JoinResponse](s.loop.call(ctx, q))
 }
 
 // ChangeReplica implements pb.Operator.
 func (s *services) ChangeReplica(ctx context.Context, q *pb.ChangeReplicaRequest) (*pb.ChangeReplicaResponse, error) {
-	return answer[*pb.ChangeReplicaResponse](s.loop.call(ctx, q))
+	return typedAnswer[*pb.ChangeReplicaResponse](s.loop.call(ctx, q))
 }
--- a/internal/control/runner/transport.go
+++ b/internal/control/runner/transport.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// laneQueue is how many messages may wait for one peer; what is over it is
-	// dropped, as a network may. Consensus sends again.
-	laneQueue = 256
-	// batchMessages bounds one Step call.
-	batchMessages = 64
+	// sendQueueLength is how many messages may wait for one peer. Further messages are
+	// dropped, as a network may do; consensus sends them again.
+	sendQueueLength = 256
+	// maxBatchMessages bounds the messages of one Step call.
+	maxBatchMessages = 64
 	// bulkTimeout bounds a call that carries log entries or snapshot chunks.
 	bulkTimeout = time.Second
 )
@@ -35,30 +35,30 @@
 
 	mu      sync.Mutex
 	members *pb.Membership
-	// learned holds the addresses that senders named, for a replica that joins
+	// learnedAddresses holds the addresses that senders reported, for a replica that joins
 	// and has no member list yet.
-	learned map[uint64]string
-	lanes   map[laneKey]*lane
-	closed  bool
-	wg      conc.WaitGroup
+	learnedAddresses map[uint64]string
+	queues           map[queueKey]*sendQueue
+	closed           bool
+	wg               conc.WaitGroup
 }
 
-// laneKey names a lane. Heartbeats and votes have their own, so that a snapshot
-// on its way does not cost the leader its lease.
-type laneKey struct {
+// queueKey identifies a send queue. Heartbeats and votes have their own queue, so that a
+// snapshot transfer does not cost the leader its lease.
+type queueKey struct {
 	peer uint64
 	bulk bool
 }
 
-type lane struct {
-	key   laneKey
-	queue chan *pb.Message
+type sendQueue struct {
+	key      queueKey
+	messages chan *pb.Message
 }
 
 func newTransport(cfg *settings.Control, auth *rpc.Auth, st *store.Store, l *loop) *transport {
 	return &transport{
 		cfg: cfg, auth: auth, store: st, loop: l,
-		members: &pb.Membership{}, learned: make(map[uint64]string), lanes: make(map[laneKey]*lane),
+		members: &pb.Membership{}, learnedAddresses: make(map[uint64]string), queues: make(map[queueKey]*sendQueue),
 	}
 }
 
@@ -68,22 +68,22 @@
 	t.members = m
 }
 
-// send queues a message or drops it.
+// send queues a message, or drops it if the queue is full.
 func (t *transport) send(m *pb.Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
 		return
 	}
-	key := laneKey{peer: m.GetTo(), bulk: isBulk(m.GetKind())}
-	ln := t.lanes[key]
-	if ln == nil {
-		ln = &lane{key: key, queue: make(chan *pb.Message, laneQueue)}
-		t.lanes[key] = ln
-		t.wg.Go(func() { t.runLane(ln) })
+	key := queueKey{peer: m.GetTo(), bulk: isBulk(m.GetKind())}
+	q := t.queues[key]
+	if q == nil {
+		q = &sendQueue{key: key, messages: make(chan *pb.Message, sendQueueLength)}
+		t.queues[key] = q
+		t.wg.Go(func() { t.sendLoop(q) })
 	}
 	select {
-	case ln.queue <- m:
+	case q.messages <- m:
 	default:
 	}
 }
@@ -95,33 +95,33 @@
 func (t *transport) close() {
 	t.mu.Lock()
 	t.closed = true
-	for _, ln := range t.lanes {
-		close(ln.queue)
+	for _, q := range t.queues {
+		close(q.messages)
 	}
 	t.mu.Unlock()
 	t.wg.Wait()
 }
 
-// runLane sends batches one after the other.
+// sendLoop sends batches one after the other.
 //
-// Failure: a connection goes silent for good while new ones work. Each call has
-// a deadline shorter than an election timeout, and after a missed one the lane
-// goes on with a new client, which has no old connections.
-func (t *transport) runLane(ln *lane) {
+// Failure: an existing connection is permanently broken without an error while new ones
+// work. Each call has a deadline shorter than an election timeout, and after a failed call
+// the loop continues with a new client, which has no old connections.
+func (t *transport) sendLoop(q *sendQueue) {
 	client := t.auth.Client()
-	for first := range ln.queue {
-		batch := drain(first, ln.queue)
-		if err := t.step(client, ln.key, batch); err != nil {
+	for first := range q.messages {
+		batch := takeBatch(first, q.messages)
+		if err := t.step(client, q.key, batch); err != nil {
 			t.loop.scope.Counter("replica_send_failed").Inc(1)
 			client = t.auth.Client()
 		}
 	}
 }
 
-// drain takes what waits along with the first message.
-func drain(first *pb.Message, queue <-chan *pb.Message) []*pb.Message {
+// takeBatch takes the waiting messages along with the first one.
+func takeBatch(first *pb.Message, queue <-chan *pb.Message) []*pb.Message {
 	batch := []*pb.Message{first}
-	for len(batch) < batchMessages {
+	for len(batch) < maxBatchMessages {
 		select {
 		case m, ok := <-queue:
 			if !ok {
@@ -135,7 +135,7 @@
 	return batch
 }
 
-func (t *transport) step(client *http.Client, key laneKey, batch []*pb.Message) error {
+func (t *transport) step(client *http.Client, key queueKey, batch []*pb.Message) error {
 	members, address := t.target(key.peer)
 	if address == "" {
 		return nil
@@ -147,7 +147,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	resp, err := pb.NewReplicaProtobufClient(t.auth.URL(address), client).Step(ctx, &pb.StepRequest{
-		ClusterId: t.cfg.Cluster, From: t.sender(batch),
+		ClusterId: t.cfg.Cluster, From: t.senderIdentity(batch),
 		To: t.store.Target(key.peer, members), Messages: batch, FromAddress: t.cfg.Address,
 	})
 	if err != nil {
@@ -159,8 +159,9 @@
 	return nil
 }
 
-// sender is the own identity, with the history of boots where a peer may need it.
-func (t *transport) sender(batch []*pb.Message) *pb.ReplicaIdentity {
+// senderIdentity returns this replica's identity, with the history of boots if a peer may
+// need it.
+func (t *transport) senderIdentity(batch []*pb.Message) *pb.ReplicaIdentity {
 	for _, m := range batch {
 		switch m.GetKind() {
 		case pb.MessageKind_MESSAGE_KIND_HELLO, pb.MessageKind_MESSAGE_KIND_HELLO_RESPONSE:
@@ -170,24 +171,24 @@
 	return t.store.Identity()
 }
 
-// learn remembers where an admitted sender listens.
-func (t *transport) learn(id uint64, address string) {
+// learnAddress remembers the address of an admitted sender.
+func (t *transport) learnAddress(id uint64, address string) {
 	if address == "" {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.learned[id] = address
+	t.learnedAddresses[id] = address
 }
 
-// target gives the member list and where the peer listens, "" if unknown.
+// target returns the member list and the address of the peer, "" if unknown.
 func (t *transport) target(peer uint64) (*pb.Membership, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if address := addressOf(t.members, peer); address != "" {
 		return t.members, address
 	}
-	return t.members, t.learned[peer]
+	return t.members, t.learnedAddresses[peer]
 }
 
 func addressOf(members *pb.Membership, id uint64) string {
