--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -5,8 +5,11 @@
 //
 // An entry is a routing front end that callers connect to. The view is the routing state
 // that entries get from the leader: the declaration's objects, the backend servers, the
-// other entries and the quarantined requests. An order tells a backend server to change its
-// role, model version or adapters; it is committed as an intent before it is sent.
+// other entries and the quarantined requests. An incarnation is one run of a server, entry
+// or replica, from its start to its end. An order tells a backend server to change its
+// role, model version or adapters; it is committed as an intent before it is sent. A claim
+// is the right of one entry to send a call that must run at most once. A duty is a kind of
+// call to an external service that only the leader makes.
 //
 // The package does no I/O and reads no clock. One goroutine owns the Reducer, and a runner
 // carries out the effects.
