--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -10,53 +10,54 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// All power was lost and two hundred entries start again within two seconds, each under a new
-// incarnation. Each start is a change of the view; if each change answers the held calls of
-// all the others, the leader gives twenty thousand answers and has no time for first views,
-// while callers wait at entries that have none. News may take a moment, and all must have it.
-func TestManyStartsAreToldInRounds(t *testing.T) {
-	t.Run("polls in any order", func(t *testing.T) { startMany(t, (*world).poll) })
-	t.Run("the newest polls last", func(t *testing.T) { startMany(t, (*world).pollInOrder) })
+// After a power loss, two hundred entries start within two seconds, each under a new
+// incarnation. Each start changes the view. If each change answered the held calls of all
+// other entries, the leader would send twenty thousand answers and have no time for first
+// views, while callers wait at entries without one. Updates may be delayed a little, but
+// all entries must get them.
+func TestManyEntryStartsAreAnsweredInRounds(t *testing.T) {
+	t.Run("polls in any order", func(t *testing.T) { startManyEntries(t, (*harness).poll) })
+	t.Run("the newest polls last", func(t *testing.T) { startManyEntries(t, (*harness).pollInOrder) })
 }
 
 // pollInOrder lets the entries poll in order of name.
-func (w *world) pollInOrder() {
-	for _, name := range slices.Sorted(maps.Keys(w.entries)) {
-		w.pollOne(w.entries[name])
+func (h *harness) pollInOrder() {
+	for _, name := range slices.Sorted(maps.Keys(h.entries)) {
+		h.pollOne(h.entries[name])
 	}
 }
 
-func startMany(t *testing.T, poll func(*world)) {
-	const entries, over = 200, 2 * time.Second
-	w := newWorld(t)
+func startManyEntries(t *testing.T, poll func(*harness)) {
+	const entries, period = 200, 2 * time.Second
+	h := newHarness(t)
 	for i := range entries {
-		e := w.addEntry(fmt.Sprintf("entry-%d", i))
-		w.clock += over / entries
-		w.tick()
-		poll(w)
-		if e.call != 0 && w.replies[e.call].Response == nil {
-			t.Fatalf("entry %d waits for its first view", i)
+		e := h.addEntry(fmt.Sprintf("entry-%d", i))
+		h.clock += period / entries
+		h.tick()
+		poll(h)
+		if e.call != 0 && h.replies[e.call].Response == nil {
+			t.Fatalf("entry %d has no first view", i)
 		}
 	}
-	if most := 25 * entries; w.watched > most {
-		t.Errorf("%d answers for %d starts, at most %d", w.watched, entries, most)
+	if maxAnswers := 25 * entries; h.watchAnswers > maxAnswers {
+		t.Errorf("%d answers for %d starts, at most %d", h.watchAnswers, entries, maxAnswers)
 	}
-	w.advance(time.Second)
-	version := w.Reducer.state.ViewVersion()
-	for name, e := range w.entries {
+	h.advance(time.Second)
+	version := h.Reducer.state.ViewVersion()
+	for name, e := range h.entries {
 		if e.known != version {
 			t.Errorf("%s knows version %d of %d", name, e.known, version)
 		}
 	}
 }
 
-// A few entries hear of a change in the step that brings it.
-func TestFewEntriesHearAtOnce(t *testing.T) {
-	w := newWorld(t)
-	e := w.addEntry("entry-1")
-	w.advance(time.Second)
-	w.pollOne(w.addEntry("entry-2"))
-	if r, ok := w.replies[e.call]; !ok || r.Response.(*pb.WatchResponse).GetVersion() != w.Reducer.state.ViewVersion() {
-		t.Errorf("entry-1 has not heard of entry-2: %+v", r)
+// A few entries must get a change in the step that applies it.
+func TestFewEntriesAreAnsweredAtOnce(t *testing.T) {
+	h := newHarness(t)
+	e := h.addEntry("entry-1")
+	h.advance(time.Second)
+	h.pollOne(h.addEntry("entry-2"))
+	if r, ok := h.replies[e.call]; !ok || r.Response.(*pb.WatchResponse).GetVersion() != h.Reducer.state.ViewVersion() {
+		t.Errorf("entry-1 got no view with entry-2: %+v", r)
 	}
 }
