--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -27,7 +27,7 @@
 	membership := &pb.Membership{Members: []*pb.ReplicaMember{{
 		Identity: identity, Role: pb.ReplicaRole_REPLICA_ROLE_VOTER, Address: "10.2.0.1:7000",
 	}}}
-	node := consensus.NewNode(consensus.Config{ID: 1, Seed: 1}, consensus.Initial{
+	node := consensus.NewNode(consensus.Config{ID: 1, Seed: 1}, consensus.InitialState{
 		Identity: identity, Membership: membership,
 	})
 	b := &controlBench{
--- a/internal/consensus/bench_test.go
+++ b/internal/consensus/bench_test.go
@@ -36,7 +36,7 @@
 			case Persist:
 				queue = append(queue, pending{at.id, Persisted{Sequence: e.Sequence}})
 			case TakeSnapshot:
-				SealSnapshot(e.Meta, nil)
+				SetSnapshotChecksum(e.Meta, nil)
 				queue = append(queue, pending{at.id, SnapshotTaken{Meta: e.Meta}})
 			}
 		}
@@ -50,7 +50,7 @@
 	}
 	boot := newCluster(1, 3).hosts[1].disk.bootstrap
 	for id := uint64(1); id <= 3; id++ {
-		g.nodes[id] = NewNode(Config{ID: id, Seed: id}, Initial{
+		g.nodes[id] = NewNode(Config{ID: id, Seed: id}, InitialState{
 			Identity:   &pb.ReplicaIdentity{Id: id, Incarnation: fmt.Sprint(id), BootNonce: id},
 			HardState:  &pb.HardState{Formed: true},
 			Membership: boot,
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -37,9 +37,9 @@
 	// SnapshotEntries is how many entries are applied between snapshots.
 	// Default 2000.
 	SnapshotEntries uint64
-	// TailEntries is how many entries before a snapshot stay in the log, so that
+	// TrailingEntries is how many entries before a snapshot stay in the log, so that
 	// a replica that is a little behind needs no snapshot. Default 500.
-	TailEntries uint64
+	TrailingEntries uint64
 	// Seed draws the election waits.
 	Seed uint64
 }
@@ -63,7 +63,7 @@
 	setDefault(&c.MaxUncommittedBytes, defaultMaxUncommittedBytes)
 	setDefault(&c.SnapshotChunkBytes, defaultSnapshotChunkBytes)
 	setDefault(&c.SnapshotEntries, defaultSnapshotEntries)
-	setDefault(&c.TailEntries, defaultTailEntries)
+	setDefault(&c.TrailingEntries, defaultTailEntries)
 	return c
 }
 
@@ -74,9 +74,9 @@
 	}
 }
 
-// Initial is what a Node starts from: what the store recovered, or the members
+// InitialState is what a Node starts from: what the store recovered, or the members
 // of a new cluster.
-type Initial struct {
+type InitialState struct {
 	// Identity is this replica's, as the data folder has it.
 	Identity *pb.ReplicaIdentity
 	// HardState is nil in a new data folder.
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -18,7 +18,7 @@
 //     must be synced first has been. Batch per target.
 //   - Persist: Store.Save in the background, then step Persisted. There is one at
 //     a time, so a goroutine that does one write after the other is enough.
-//   - TakeSnapshot: fill in SealSnapshot(Meta, data) for the state as the Apply
+//   - TakeSnapshot: fill in SetSnapshotChecksum(Meta, data) for the state as the Apply
 //     effects up to here have built it, Store.SaveSnapshot in the background,
 //     then step SnapshotTaken.
 //   - RestoreSnapshot: Store.RestoreSnapshot, put the state back from Data, then
@@ -27,12 +27,12 @@
 //     begins a term. After a restart the entries after the snapshot come again.
 //   - A store error ends the process: what is on the disk is not known then.
 //
-// For each StepRequest the host checks the cluster id, Store.Addressed(to) and
+// For each StepRequest the host checks the cluster id, Store.CheckAddressee(to) and
 // Store.Admit(req, MembershipChanged.Committed), in this order, and refuses the whole
 // request if one fails. It answers removed if Node.IsRemoved(from); a sender that
 // reads removed steps RemovedByPeer. It steps Receive with the sender's
-// incarnation. A request is addressed to Store.Target (given
-// MembershipChanged.Membership) and comes from Store.Identity, or from Store.Introduction
+// incarnation. A request is addressed to Store.TargetIdentity (given
+// MembershipChanged.Membership) and comes from Store.Identity, or from Store.HelloIdentity
 // if it holds a HELLO or HELLO_RESPONSE. Addresses come from MembershipChanged, or from the bootstrap
 // settings of a replica that no member list names yet.
 //
--- a/internal/consensus/effect.go
+++ b/internal/consensus/effect.go
@@ -62,9 +62,9 @@
 type LeaderChanged struct {
 	Term   uint64
 	Leader uint64
-	// Leads is true once this replica leads and has committed an entry of its
+	// LeaderReady is true once this replica leads and has committed an entry of its
 	// own term.
-	Leads bool
+	LeaderReady bool
 }
 
 // MembershipChanged tells the member list now in force, by which messages are
--- a/internal/consensus/event.go
+++ b/internal/consensus/event.go
@@ -41,7 +41,7 @@
 type Applied struct{ Index uint64 }
 
 // SnapshotTaken hands over a snapshot of the state at Meta.Index, Meta being what
-// TakeSnapshot gave, sealed by SealSnapshot. It is synced already; the log before
+// TakeSnapshot gave, sealed by SetSnapshotChecksum. It is synced already; the log before
 // it may be cut.
 type SnapshotTaken struct {
 	Meta *pb.SnapshotMeta
--- a/internal/consensus/formation.go
+++ b/internal/consensus/formation.go
@@ -36,7 +36,7 @@
 	token uint64
 }
 
-func newFormation(init Initial) formation {
+func newFormation(init InitialState) formation {
 	joins := len(init.Membership.GetMembers()) == 0
 	return formation{
 		formed: init.HardState.GetFormed() || joins,
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -10,13 +10,13 @@
 var Namespace = errorx.NewNamespace("consensus")
 
 var (
-	// WrongIdentity: a replica is not who the group knows under its id.
-	WrongIdentity = Namespace.NewType("wrong_identity")
+	// IdentityMismatch: a replica is not who the group knows under its id.
+	IdentityMismatch = Namespace.NewType("wrong_identity")
 	// RolledBack: a replica's folder is older than what that replica has said.
 	RolledBack = Namespace.NewType("rolled_back")
-	// Unintroduced: a replica speaks in a boot that is not known here yet. Its
+	// UnknownBoot: a replica speaks in a boot that is not known here yet. Its
 	// HELLO is on its way; until then its messages count as lost.
-	Unintroduced = Namespace.NewType("unintroduced")
+	UnknownBoot = Namespace.NewType("unintroduced")
 	// RemovedIdentity: the group has removed the replica.
 	RemovedIdentity = Namespace.NewType("removed_identity")
 )
@@ -24,8 +24,8 @@
 // CheckPeer decides whether messages of from may be taken, given the latest life
 // and boot of that id that the host has synced (nil if none) and the committed
 // member list. If the answer is nil and from is news, the host syncs it before
-// it steps on the messages. Errors: WrongIdentity, RolledBack, Unintroduced,
-// RemovedIdentity. Messages of a leader need CheckLeader only; see FromLeader.
+// it steps on the messages. Errors: IdentityMismatch, RolledBack, UnknownBoot,
+// RemovedIdentity. Messages of a leader need CheckLeader only; see AllLeaderMessages.
 //
 // It guards against a replica that has forgotten what it promised: a wiped or
 // foreign folder speaks under another incarnation, and a folder put back from an
@@ -37,14 +37,14 @@
 // nothing would ever replace the entry.
 func CheckPeer(from, known *pb.ReplicaIdentity, committed *pb.Membership) error {
 	if from.GetId() == 0 || from.Incarnation == "" || from.Boot == 0 || from.BootNonce == 0 {
-		return WrongIdentity.New("the identity is not complete")
+		return IdentityMismatch.New("the identity is not complete")
 	}
 	if wasRemoved(committed, from) {
 		return RemovedIdentity.New("replica %d (%s) was removed", from.Id, from.Incarnation)
 	}
 	member := findMember(committed, from.Id)
 	if bound := member.GetIdentity().GetIncarnation(); bound != "" && bound != from.Incarnation {
-		return WrongIdentity.New("replica %d is %s, not %s", from.Id, bound, from.Incarnation)
+		return IdentityMismatch.New("replica %d is %s, not %s", from.Id, bound, from.Incarnation)
 	}
 	if known == nil || known.Incarnation != from.Incarnation && takesOver(from, known, committed) {
 		return nil
@@ -75,12 +75,12 @@
 	return nil
 }
 
-// FromLeader tells whether all the messages are such as only the leader of a term
+// AllLeaderMessages tells whether all the messages are such as only the leader of a term
 // sends. They are taken whoever the sender is: a life that the group does not
 // count never wins an election. And they must be taken: a replica that has missed
 // a replacement under an old id would refuse that id's new life, and would never
 // catch up while that life leads.
-func FromLeader(messages []*pb.Message) bool {
+func AllLeaderMessages(messages []*pb.Message) bool {
 	for _, m := range messages {
 		switch m.GetKind() {
 		case pb.MessageKind_MESSAGE_KIND_APPEND,
@@ -95,13 +95,13 @@
 
 func checkLife(from, known *pb.ReplicaIdentity) error {
 	if from.Incarnation != known.Incarnation {
-		return WrongIdentity.New("replica %d is %s, not %s", from.Id, known.Incarnation, from.Incarnation)
+		return IdentityMismatch.New("replica %d is %s, not %s", from.Id, known.Incarnation, from.Incarnation)
 	}
 	if from.Boot == known.Boot && from.BootNonce == known.BootNonce {
 		return nil
 	}
 	if from.Boot > known.Boot && len(from.PastNonces) == 0 {
-		return Unintroduced.New("replica %d speaks in boot %d before its HELLO", from.Id, from.Boot)
+		return UnknownBoot.New("replica %d speaks in boot %d before its HELLO", from.Id, from.Boot)
 	}
 	if from.Boot <= known.Boot || !follows(from, known) {
 		return RolledBack.New("replica %d comes with boot %d, which does not follow boot %d as known here",
@@ -110,23 +110,23 @@
 	return nil
 }
 
-// KeptNonces is how many past nonces a folder keeps.
-const KeptNonces = 64
+// MaxPastNonces is how many past nonces a folder keeps.
+const MaxPastNonces = 64
 
 // follows tells whether a boot's history holds the one that is known. The number
 // alone would not do: a folder put back and started often enough passes it. A
-// peer that has missed more than KeptNonces boots can't tell and takes its word.
+// peer that has missed more than MaxPastNonces boots can't tell and takes its word.
 func follows(from, known *pb.ReplicaIdentity) bool {
 	missed := from.Boot - known.Boot - 1
 	return missed >= uint64(len(from.PastNonces)) || from.PastNonces[missed] == known.BootNonce
 }
 
-// NextBoot makes the identity that of the next boot; the host syncs it before
+// AdvanceBoot makes the identity that of the next boot; the host syncs it before
 // the replica speaks under it. The first boot has a past nonce too, since an
 // introduction is known by it.
-func NextBoot(id *pb.ReplicaIdentity, nonce uint64) {
+func AdvanceBoot(id *pb.ReplicaIdentity, nonce uint64) {
 	past := append([]uint64{id.BootNonce}, id.PastNonces...)
-	id.PastNonces = past[:min(len(past), KeptNonces)]
+	id.PastNonces = past[:min(len(past), MaxPastNonces)]
 	id.Boot++
 	id.BootNonce = max(nonce, 1)
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -23,7 +23,7 @@
 
 // newEntryLog rebuilds the log after a restart. With a snapshot, the first entry
 // at or before its index becomes the base, since its predecessor's term is gone.
-func newEntryLog(init Initial) *entryLog {
+func newEntryLog(init InitialState) *entryLog {
 	l := &entryLog{entries: init.Entries}
 	if snap := init.Snapshot; snap != nil {
 		l.baseIndex, l.baseTerm = snap.Index, snap.Term
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -22,7 +22,7 @@
 	membership *pb.Membership
 }
 
-func newMemberHistory(init Initial) memberHistory {
+func newMemberHistory(init InitialState) memberHistory {
 	base := memberList{membership: cloneMembership(init.Membership)}
 	if init.Snapshot != nil {
 		base = memberList{index: init.Snapshot.Index, membership: cloneMembership(init.Snapshot.Membership)}
@@ -52,7 +52,7 @@
 func checkMembers(m *pb.Membership) error {
 	for _, member := range m.GetMembers() {
 		if member.GetIdentity().GetId() == 0 {
-			return WrongIdentity.New("a member has no id")
+			return IdentityMismatch.New("a member has no id")
 		}
 	}
 	return nil
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -80,7 +80,7 @@
 }
 
 // NewNode rebuilds a replica from what its store recovered.
-func NewNode(cfg Config, init Initial) *Node {
+func NewNode(cfg Config, init InitialState) *Node {
 	cfg = cfg.withDefaults()
 	n := &Node{
 		cfg: cfg, identity: init.Identity,
@@ -237,7 +237,7 @@
 	if n.members.at(n.log.commit).index != n.announcedList {
 		n.emitMembers()
 	}
-	now := LeaderChanged{Term: n.term, Leader: n.leader, Leads: n.ready()}
+	now := LeaderChanged{Term: n.term, Leader: n.leader, LeaderReady: n.ready()}
 	if now != n.announced {
 		n.announced = now
 		n.emit(now)
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -86,7 +86,7 @@
 
 func newCluster(seed uint64, size int) *cluster {
 	c := &cluster{
-		cfg:     Config{SnapshotEntries: 12, TailEntries: 4, SnapshotChunkBytes: 7, MaxAppendBytes: 60, MaxInflight: 3, Seed: seed},
+		cfg:     Config{SnapshotEntries: 12, TrailingEntries: 4, SnapshotChunkBytes: 7, MaxAppendBytes: 60, MaxInflight: 3, Seed: seed},
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		now:     time.Second,
 		hosts:   map[uint64]*host{},
@@ -144,7 +144,7 @@
 		return
 	}
 	d := h.disk
-	NextBoot(d.folder, c.random.Uint64())
+	AdvanceBoot(d.folder, c.random.Uint64())
 	cfg := c.cfg
 	cfg.ID = h.id
 	cfg.Seed += d.folder.Boot
@@ -153,7 +153,7 @@
 	if d.meta != nil {
 		h.applied, h.state = d.meta.Index, binary.BigEndian.Uint64(d.data)
 	}
-	h.node = NewNode(cfg, Initial{
+	h.node = NewNode(cfg, InitialState{
 		Identity: proto.Clone(d.folder).(*pb.ReplicaIdentity), HardState: d.hard, Snapshot: d.meta,
 		SnapshotData: d.data, Entries: slices.Clone(d.entries), Membership: d.bootstrap,
 	})
@@ -185,7 +185,7 @@
 		data := make([]byte, 8, 40)
 		binary.BigEndian.PutUint64(data, h.state)
 		data = append(data, make([]byte, h.applied%32)...)
-		SealSnapshot(e.Meta, data)
+		SetSnapshotChecksum(e.Meta, data)
 		if e.Meta.Index != h.applied {
 			c.fault("replica %d: snapshot asked for %d at %d", h.id, e.Meta.Index, h.applied)
 		}
@@ -265,7 +265,7 @@
 		}
 		return
 	}
-	if FromLeader([]*pb.Message{p.m}) {
+	if AllLeaderMessages([]*pb.Message{p.m}) {
 		h.leads[p.from.Id] = p.from.Incarnation
 		c.step(h, Receive{Message: p.m, Incarnation: p.from.Incarnation})
 		return
@@ -288,12 +288,12 @@
 	case takenEffect:
 		if e.Meta.Index > h.disk.meta.GetIndex() {
 			h.disk.meta, h.disk.data = e.Meta, e.Data
-			NextBoot(h.disk.folder, c.random.Uint64())
+			AdvanceBoot(h.disk.folder, c.random.Uint64())
 		}
 		c.step(h, e.SnapshotTaken)
 	case RestoreSnapshot:
 		h.disk.meta, h.disk.data, h.disk.entries = e.Meta, e.Data, nil
-		NextBoot(h.disk.folder, c.random.Uint64())
+		AdvanceBoot(h.disk.folder, c.random.Uint64())
 		h.applied, h.state = e.Meta.Index, binary.BigEndian.Uint64(e.Data)
 		c.checkState(h)
 		c.step(h, SnapshotRestored{Index: e.Meta.Index})
--- a/internal/consensus/simdisk_test.go
+++ b/internal/consensus/simdisk_test.go
@@ -29,7 +29,7 @@
 
 // lastList gives the latest member list that is synced.
 func (d *disk) lastList() *pb.Membership {
-	h := newMemberHistory(Initial{Snapshot: d.meta, Entries: d.entries, Membership: d.bootstrap})
+	h := newMemberHistory(InitialState{Snapshot: d.meta, Entries: d.entries, Membership: d.bootstrap})
 	return h.current()
 }
 
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -11,14 +11,14 @@
 // its memory. The state is meant to stay under a quarter of it.
 const maxSnapshotBytes = 256 << 20
 
-// SealSnapshot sets size and checksum of a snapshot's meta.
-func SealSnapshot(meta *pb.SnapshotMeta, data []byte) {
+// SetSnapshotChecksum sets size and checksum of a snapshot's meta.
+func SetSnapshotChecksum(meta *pb.SnapshotMeta, data []byte) {
 	meta.Size = uint64(len(data))
 	meta.Checksum = xxhash.Sum64(data)
 }
 
-// SnapshotIntact tells whether data is what the meta was sealed for.
-func SnapshotIntact(meta *pb.SnapshotMeta, data []byte) bool {
+// SnapshotChecksumMatches tells whether data is what the meta was sealed for.
+func SnapshotChecksumMatches(meta *pb.SnapshotMeta, data []byte) bool {
 	return meta.GetSize() == uint64(len(data)) && meta.GetChecksum() == xxhash.Sum64(data)
 }
 
@@ -59,10 +59,10 @@
 		return
 	}
 	n.snapshot, n.snapshotData = e.Meta, e.Data
-	if index <= n.cfg.TailEntries {
+	if index <= n.cfg.TrailingEntries {
 		return
 	}
-	first := index - n.cfg.TailEntries
+	first := index - n.cfg.TrailingEntries
 	if first <= n.log.baseIndex {
 		return
 	}
@@ -146,7 +146,7 @@
 	}
 	r := &n.incoming
 	if r.take(m) && r.full() {
-		if SnapshotIntact(r.meta, r.data) {
+		if SnapshotChecksumMatches(r.meta, r.data) {
 			r.complete = true
 			n.startRestore()
 		} else {
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -32,12 +32,12 @@
 	Match uint64
 	// Active is true if it was heard within an ElectionTimeout.
 	Active bool
-	// SilentFor is how long it has not been heard; zero for itself.
-	SilentFor time.Duration
+	// SinceLastContact is how long it has not been heard; zero for itself.
+	SinceLastContact time.Duration
 }
 
-// Leads tells whether the replica leads its term.
-func (s Status) Leads() bool { return s.Role == leader }
+// IsLeader tells whether the replica leads its term.
+func (s Status) IsLeader() bool { return s.Role == leader }
 
 // Status gives a copy; the Membership must not be changed.
 func (n *Node) Status() Status {
@@ -62,7 +62,7 @@
 	}
 	if pr := n.lead.progress[m.Identity.Id]; pr != nil {
 		s.Match = pr.match
-		s.SilentFor = n.now - pr.activeAt
+		s.SinceLastContact = n.now - pr.activeAt
 		s.Active = pr.active(n.now, n.cfg.ElectionTimeout)
 	}
 	return s
--- a/internal/control/mending.go
+++ b/internal/control/mending.go
@@ -79,7 +79,7 @@
 	g := replicas.Group{TargetVoters: r.cfg.TargetVoters}
 	silent := make(map[uint64]time.Duration)
 	for _, s := range r.node.Status().Replicas {
-		silent[s.ID] = s.SilentFor
+		silent[s.ID] = s.SinceLastContact
 	}
 	for _, m := range r.members.GetMembers() {
 		id := m.GetIdentity().GetId()
--- a/internal/control/mending_test.go
+++ b/internal/control/mending_test.go
@@ -23,7 +23,7 @@
 	list := &pb.Membership{Members: []*pb.ReplicaMember{
 		replicaAt(1, "10.0.0.1:1", "a"), replicaAt(2, "10.0.0.2:1", "b"), replicaAt(3, "10.0.0.3:1", "c"),
 	}}
-	w.node.replicas = []consensus.ReplicaStatus{{ID: 1}, {ID: 2}, {ID: 3, SilentFor: time.Minute}}
+	w.node.replicas = []consensus.ReplicaStatus{{ID: 1}, {ID: 2}, {ID: 3, SinceLastContact: time.Minute}}
 	w.tell(consensus.MembershipChanged{Membership: list, Committed: list})
 	return w
 }
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -145,7 +145,7 @@
 		for _, p := range st.Replicas {
 			if p.ID == id {
 				rs.MatchIndex, rs.RecentlyActive = p.Match, p.Active
-				rs.SilentMs = uint32(p.SilentFor.Milliseconds())
+				rs.SilentMs = uint32(p.SinceLastContact.Milliseconds())
 			}
 		}
 		resp.Replicas = append(resp.Replicas, rs)
--- a/internal/control/reducer.go
+++ b/internal/control/reducer.go
@@ -203,7 +203,7 @@
 
 func (r *Reducer) onTakeSnapshot(e consensus.TakeSnapshot) {
 	data := r.state.Snapshot()
-	consensus.SealSnapshot(e.Meta, data)
+	consensus.SetSnapshotChecksum(e.Meta, data)
 	r.emit(SaveSnapshot{Snapshot: consensus.SnapshotTaken{Meta: e.Meta, Data: data}})
 }
 
@@ -220,11 +220,11 @@
 func (r *Reducer) onLeaderChanged(e consensus.LeaderChanged) {
 	r.term, r.leader = e.Term, e.Leader
 	r.log(slog.LevelInfo, "leader changed",
-		Field{"term", e.Term}, Field{"leader", e.Leader}, Field{"leads", e.Leads})
+		Field{"term", e.Term}, Field{"leader", e.Leader}, Field{"leads", e.LeaderReady})
 	if r.lead != nil {
 		r.endLeadership()
 	}
-	if e.Leads {
+	if e.LeaderReady {
 		r.lead = newLeadership(r.now, r.state)
 	}
 	r.emitMembers()
--- a/internal/control/runner/runner.go
+++ b/internal/control/runner/runner.go
@@ -133,7 +133,7 @@
 	if !errorx.IsOfType(err, store.Corrupt) {
 		return st, recovered, err
 	}
-	aside, asideErr := store.SetAside(cfg.DataDir)
+	aside, asideErr := store.ArchiveDamaged(cfg.DataDir)
 	if asideErr != nil {
 		return nil, nil, asideErr
 	}
--- a/internal/control/runner/server.go
+++ b/internal/control/runner/server.go
@@ -64,7 +64,7 @@
 	if req.GetClusterId() != s.cluster {
 		return nil, s.refuse(req, "the cluster id is not "+s.cluster)
 	}
-	if err := s.store.Addressed(req.GetTo()); err != nil {
+	if err := s.store.CheckAddressee(req.GetTo()); err != nil {
 		return nil, s.refuse(req, err.Error())
 	}
 	err := s.store.Admit(req, s.loop.view().members)
--- a/internal/control/runner/transport.go
+++ b/internal/control/runner/transport.go
@@ -148,7 +148,7 @@
 	defer cancel()
 	resp, err := pb.NewReplicaProtobufClient(t.auth.URL(address), client).Step(ctx, &pb.StepRequest{
 		ClusterId: t.cfg.Cluster, From: t.sender(batch),
-		To: t.store.Target(key.peer, members), Messages: batch, FromAddress: t.cfg.Address,
+		To: t.store.TargetIdentity(key.peer, members), Messages: batch, FromAddress: t.cfg.Address,
 	})
 	if err != nil {
 		return err
@@ -164,7 +164,7 @@
 	for _, m := range batch {
 		switch m.GetKind() {
 		case pb.MessageKind_MESSAGE_KIND_HELLO, pb.MessageKind_MESSAGE_KIND_HELLO_RESPONSE:
-			return t.store.Introduction()
+			return t.store.HelloIdentity()
 		}
 	}
 	return t.store.Identity()
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -124,7 +124,7 @@
 func (w *world) lead(term uint64) {
 	w.node.term, w.node.leads = term, true
 	w.node.leaseUntil = w.clock + time.Hour
-	w.tell(consensus.LeaderChanged{Term: term, Leader: 1, Leads: true})
+	w.tell(consensus.LeaderChanged{Term: term, Leader: 1, LeaderReady: true})
 }
 
 // follow takes leadership away.
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -11,8 +11,8 @@
 	Failed = Namespace.NewType("failed")
 	// Corrupt: the folder's content is not what was written.
 	Corrupt = Namespace.NewType("corrupt")
-	// Foreign: the folder belongs to another cluster or replica.
-	Foreign = Namespace.NewType("foreign")
+	// WrongOwner: the folder belongs to another cluster or replica.
+	WrongOwner = Namespace.NewType("foreign")
 	// Locked: another process has the folder open.
 	Locked = Namespace.NewType("locked")
 )
--- a/internal/store/peers.go
+++ b/internal/store/peers.go
@@ -15,7 +15,7 @@
 	from := req.GetFrom()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if consensus.FromLeader(req.Messages) {
+	if consensus.AllLeaderMessages(req.Messages) {
 		if err := consensus.CheckLeader(from, committed); err != nil {
 			return err
 		}
@@ -38,20 +38,20 @@
 	return err
 }
 
-// Addressed tells whether messages to that identity are for this replica; an
+// CheckAddressee tells whether messages to that identity are for this replica; an
 // empty incarnation is one that the sender does not know yet. Errors:
-// consensus.WrongIdentity.
-func (s *Store) Addressed(to *pb.ReplicaIdentity) error {
+// consensus.IdentityMismatch.
+func (s *Store) CheckAddressee(to *pb.ReplicaIdentity) error {
 	own := s.folder.Identity
 	if to.GetId() != own.Id || to.Incarnation != "" && to.Incarnation != own.Incarnation {
-		return consensus.WrongIdentity.New("this is replica %d (%s), not %d (%s)",
+		return consensus.IdentityMismatch.New("this is replica %d (%s), not %d (%s)",
 			own.Id, own.Incarnation, to.GetId(), to.GetIncarnation())
 	}
 	return nil
 }
 
-// Target is the identity under which to address a replica.
-func (s *Store) Target(id uint64, members *pb.Membership) *pb.ReplicaIdentity {
+// TargetIdentity is the identity under which to address a replica.
+func (s *Store) TargetIdentity(id uint64, members *pb.Membership) *pb.ReplicaIdentity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return consensus.TargetIdentity(id, s.leads[id], s.peers[id], members)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -13,7 +13,7 @@
 // Recovered is what the folder held. Initial goes to consensus.NewNode as it is;
 // the host first puts its state back from Initial.SnapshotData, if there is any.
 type Recovered struct {
-	Initial consensus.Initial
+	Initial consensus.InitialState
 	// Joined is true if the replica waits, or waited, to be added.
 	Joined bool
 }
@@ -96,7 +96,7 @@
 
 // checkLog makes sure that no entry is missing: at the ends by the bounds, which
 // each transaction writes along, and between by the indexes.
-func checkLog(bounds *pb.LogBounds, init consensus.Initial) error {
+func checkLog(bounds *pb.LogBounds, init consensus.InitialState) error {
 	entries := init.Entries
 	if len(entries) == 0 {
 		if bounds.Last != 0 {
--- a/internal/store/setaside.go
+++ b/internal/store/setaside.go
@@ -6,12 +6,12 @@
 	"path/filepath"
 )
 
-// SetAside moves a Corrupt folder's files into a new folder below it, where an
+// ArchiveDamaged moves a Corrupt folder's files into a new folder below it, where an
 // operator may look at them, and returns its path. The next Open must say Join:
 // the replica comes back under a new incarnation, which peers refuse until the
 // operator has replaced the old one by it, under the same id or a new one.
 // Errors: Failed.
-func SetAside(dir string) (string, error) {
+func ArchiveDamaged(dir string) (string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return "", Failed.Wrap(err, "data folder")
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -37,7 +37,7 @@
 func (s *Store) saveSnapshot(meta *pb.SnapshotMeta, data []byte, dropLog bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !consensus.SnapshotIntact(meta, data) {
+	if !consensus.SnapshotChecksumMatches(meta, data) {
 		return Failed.New("snapshot at %d does not match its checksum", meta.Index)
 	}
 	if meta.Index < s.snapshot.GetIndex() {
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, Corrupt.Wrap(err, "snapshot at %d", meta.Index)
 	}
-	if !consensus.SnapshotIntact(meta, data) {
+	if !consensus.SnapshotChecksumMatches(meta, data) {
 		return nil, Corrupt.New("snapshot at %d does not match its checksum", meta.Index)
 	}
 	return data, nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -68,7 +68,7 @@
 }
 
 // Open reads and checks a data folder, creates it if it is empty, and counts the
-// boot. Errors: Corrupt, Foreign, Locked, Failed.
+// boot. Errors: Corrupt, WrongOwner, Locked, Failed.
 func Open(o Options) (*Store, *Recovered, error) {
 	if err := prepare(o); err != nil {
 		return nil, nil, err
@@ -95,14 +95,14 @@
 
 // Identity is this replica's, with this boot, without the history of boots.
 func (s *Store) Identity() *pb.ReplicaIdentity {
-	id := s.Introduction()
+	id := s.HelloIdentity()
 	id.PastNonces = nil
 	return id
 }
 
-// Introduction is Identity with the history of boots, for requests that hold a
+// HelloIdentity is Identity with the history of boots, for requests that hold a
 // HELLO or HELLO_RESPONSE.
-func (s *Store) Introduction() *pb.ReplicaIdentity {
+func (s *Store) HelloIdentity() *pb.ReplicaIdentity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return cloneOf(s.folder.Identity)
@@ -256,7 +256,7 @@
 	s.takeNewID(o, r)
 	id := s.folder.Identity
 	if s.folder.ClusterId != o.Cluster || o.ReplicaID != 0 && id.GetId() != o.ReplicaID {
-		return nil, Foreign.New("the folder belongs to replica %d of cluster %q", id.GetId(), s.folder.ClusterId)
+		return nil, WrongOwner.New("the folder belongs to replica %d of cluster %q", id.GetId(), s.folder.ClusterId)
 	}
 	if err := s.removeStrays(); err != nil {
 		return nil, err
@@ -287,7 +287,7 @@
 // that a copy taken since the last start is noticed once a snapshot follows.
 func (s *Store) countBoot(tx *bolt.Tx) (*pb.FolderIdentity, error) {
 	next := cloneOf(s.folder)
-	consensus.NextBoot(next.Identity, rand.Uint64())
+	consensus.AdvanceBoot(next.Identity, rand.Uint64())
 	return next, put(tx, bucketMeta, keyFolder, next)
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -52,7 +52,7 @@
 	mustSave(t, s, consensus.Persist{Entries: entries(1, 9, 2)})
 	mustSave(t, s, consensus.Persist{TruncateFrom: 6, Entries: entries(6, 8, 3), HardState: hard})
 	meta := &pb.SnapshotMeta{Index: 5, Term: 2}
-	consensus.SealSnapshot(meta, []byte("state"))
+	consensus.SetSnapshotChecksum(meta, []byte("state"))
 	if err := s.SaveSnapshot(meta, []byte("state")); err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	s, _ := mustOpen(t, o)
 	mustSave(t, s, consensus.Persist{Entries: entries(1, 40, 2), HardState: &pb.HardState{Term: 2, Vote: 1, Commit: 40}})
 	meta := &pb.SnapshotMeta{Index: 20, Term: 2}
-	consensus.SealSnapshot(meta, []byte("state"))
+	consensus.SetSnapshotChecksum(meta, []byte("state"))
 	if err := s.SaveSnapshot(meta, []byte("state")); err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-func contents(t *testing.T, o Options) consensus.Initial {
+func contents(t *testing.T, o Options) consensus.InitialState {
 	t.Helper()
 	s, r := mustOpen(t, o)
 	if err := s.Close(); err != nil {
@@ -208,10 +208,10 @@
 	o := saved(t)
 	other := o
 	other.ReplicaID = 2
-	mustFail(t, other, Foreign)
+	mustFail(t, other, WrongOwner)
 	other = o
 	other.Cluster = "d"
-	mustFail(t, other, Foreign)
+	mustFail(t, other, WrongOwner)
 	mustOpen(t, o)
 	mustFail(t, o, Locked)
 }
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	mustFail(t, o, Corrupt)
-	if _, err := SetAside(o.Dir); err != nil {
+	if _, err := ArchiveDamaged(o.Dir); err != nil {
 		t.Fatal(err)
 	}
 	o.Join, o.ReplicaID = true, 7
@@ -270,7 +270,7 @@
 		defer func() { _ = s.Close() }()
 		p, _ := mustOpen(t, peer)
 		defer func() { _ = p.Close() }()
-		return p.Admit(&pb.StepRequest{From: s.Introduction(), Messages: []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_HELLO}}}, nil)
+		return p.Admit(&pb.StepRequest{From: s.HelloIdentity(), Messages: []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_HELLO}}}, nil)
 	}
 	for range 2 {
 		if err := admit(); err != nil {
@@ -296,7 +296,7 @@
 	p, _ := mustOpen(t, peer)
 	admit := func(members *pb.Membership) (*pb.ReplicaIdentity, error) {
 		s, _ := mustOpen(t, options(t.TempDir()))
-		id := s.Introduction()
+		id := s.HelloIdentity()
 		return id, p.Admit(&pb.StepRequest{From: id, Messages: []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_HELLO}}}, members)
 	}
 	members := options("").Bootstrap
@@ -304,7 +304,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := admit(members); !errorx.IsOfType(err, consensus.WrongIdentity) {
+	if _, err := admit(members); !errorx.IsOfType(err, consensus.IdentityMismatch) {
 		t.Errorf("the emptied folder is admitted: %v", err)
 	}
 	without := &pb.Membership{Removed: []*pb.ReplicaIdentity{first}}
