--- a/internal/consensus/bench_test.go
+++ b/internal/consensus/bench_test.go
@@ -10,15 +10,16 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// directGroup delivers messages and syncs at once, so that only Step is measured.
-type directGroup struct {
-	nodes map[uint64]*Node
-	now   time.Duration
-	bytes map[pb.MessageKind]int
-	sent  map[pb.MessageKind]int
+// instantCluster delivers messages and syncs without delay, so that only Step is
+// measured.
+type instantCluster struct {
+	nodes    map[uint64]*Node
+	now      time.Duration
+	bytes    map[pb.MessageKind]int
+	messages map[pb.MessageKind]int
 }
 
-func (g *directGroup) step(id uint64, ev Event) {
+func (g *instantCluster) step(id uint64, ev Event) {
 	type pending struct {
 		id uint64
 		ev Event
@@ -31,7 +32,7 @@
 			switch e := e.(type) {
 			case Send:
 				g.bytes[e.Message.Kind] += proto.Size(e.Message)
-				g.sent[e.Message.Kind]++
+				g.messages[e.Message.Kind]++
 				queue = append(queue, pending{e.Message.To, Receive{Message: e.Message}})
 			case Persist:
 				queue = append(queue, pending{at.id, Persisted{Sequence: e.Sequence}})
@@ -43,17 +44,17 @@
 	}
 }
 
-func newDirectGroup(b *testing.B) *directGroup {
-	g := &directGroup{
+func newInstantCluster(b *testing.B) *instantCluster {
+	g := &instantCluster{
 		nodes: map[uint64]*Node{}, now: time.Second,
-		bytes: map[pb.MessageKind]int{}, sent: map[pb.MessageKind]int{},
+		bytes: map[pb.MessageKind]int{}, messages: map[pb.MessageKind]int{},
 	}
-	boot := newCluster(1, 3).hosts[1].disk.bootstrap
+	bootstrap := newCluster(1, 3).hosts[1].disk.bootstrap
 	for id := uint64(1); id <= 3; id++ {
 		g.nodes[id] = NewNode(Config{ID: id, Seed: id}, InitialState{
 			Identity:   &pb.ReplicaIdentity{Id: id, Incarnation: fmt.Sprint(id), BootNonce: id},
 			HardState:  &pb.HardState{Formed: true},
-			Membership: boot,
+			Membership: bootstrap,
 		})
 	}
 	for g.nodes[1].role != leader {
@@ -64,25 +65,25 @@
 }
 
 // BenchmarkPropose measures one committed proposal of 200 bytes: the Steps of all
-// three replicas, and the bytes of an append on the wire.
+// three replicas, and the encoded size of an append message.
 func BenchmarkPropose(b *testing.B) {
-	g := newDirectGroup(b)
+	g := newInstantCluster(b)
 	data := make([]byte, 200)
 	clear(g.bytes)
-	clear(g.sent)
+	clear(g.messages)
 	b.ReportAllocs()
 	for b.Loop() {
 		g.step(1, Propose{Data: data})
 	}
 	kind := pb.MessageKind_MESSAGE_KIND_APPEND
-	b.ReportMetric(float64(g.bytes[kind])/float64(g.sent[kind]), "B/append")
+	b.ReportMetric(float64(g.bytes[kind])/float64(g.messages[kind]), "B/append")
 }
 
 // BenchmarkHeartbeat measures one heartbeat round of an idle group.
 func BenchmarkHeartbeat(b *testing.B) {
-	g := newDirectGroup(b)
+	g := newInstantCluster(b)
 	clear(g.bytes)
-	clear(g.sent)
+	clear(g.messages)
 	b.ReportAllocs()
 	for b.Loop() {
 		g.now += g.nodes[1].cfg.HeartbeatInterval
@@ -92,6 +93,6 @@
 		pb.MessageKind_MESSAGE_KIND_HEARTBEAT:          "B/heartbeat",
 		pb.MessageKind_MESSAGE_KIND_HEARTBEAT_RESPONSE: "B/answer",
 	} {
-		b.ReportMetric(float64(g.bytes[kind])/float64(g.sent[kind]), name)
+		b.ReportMetric(float64(g.bytes[kind])/float64(g.messages[kind]), name)
 	}
 }
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -6,41 +6,46 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Config sets up a Node. Durations are exact; the host's ticks only bound how
-// late they are noticed. Zero fields take their defaults.
+// Config configures a Node. Deadlines are computed exactly; the interval of the
+// host's ticks only adds to how late they are acted on. Zero fields take their
+// defaults.
 type Config struct {
-	// ID is this replica; it must equal the identity in the data folder.
+	// ID is the id of this replica. It must equal the id in the data folder.
 	ID uint64
-	// ElectionTimeout is how long a follower waits for a leader: the real wait
-	// is drawn between one and two times it. Default 400 ms.
+	// ElectionTimeout is the shortest time without contact from a leader after
+	// which a follower starts an election. The actual timeout is drawn between
+	// one and two times this value. Default 400 ms.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is how often a leader sends heartbeats. Default a
-	// quarter of ElectionTimeout, so that two lost in a row end nothing.
+	// HeartbeatInterval is the interval between a leader's heartbeats. Default
+	// a quarter of ElectionTimeout, so that losing two in a row causes no
+	// election.
 	HeartbeatInterval time.Duration
-	// LeaseDuration is how long a quorum's heartbeat answers let a leader
-	// believe that no other leads, from when the heartbeat was sent. It must be
-	// shorter than ElectionTimeout by the clock drift allowed. Default three
-	// quarters of ElectionTimeout, so clocks may drift by a third.
+	// LeaseDuration is the length of the leader lease, counted from when a
+	// heartbeat that a quorum answered was sent. It must be shorter than
+	// ElectionTimeout by the allowed clock drift. Default three quarters of
+	// ElectionTimeout, so clocks may drift by a third.
 	LeaseDuration time.Duration
-	// MaxAppendBytes bounds the entries of one append message; a single larger
-	// entry still goes. Default 256 KiB: some milliseconds of a link.
+	// MaxAppendBytes bounds the entries in one append message; a single larger
+	// entry is still sent. Default 256 KiB, which takes a link a few
+	// milliseconds.
 	MaxAppendBytes int
-	// MaxInflight bounds unanswered append messages to one replica. Default 8:
-	// with MaxAppendBytes it bounds what waits for a slow replica to 2 MiB, and
-	// proposals beyond it share the next append.
+	// MaxInflight bounds the unanswered append messages to one replica. Default
+	// 8: with MaxAppendBytes it limits what is in flight to a slow replica to 2
+	// MiB, and further proposals are batched into the next append.
 	MaxInflight int
-	// MaxUncommittedBytes bounds the entries that wait for a quorum; proposals
-	// beyond it are refused as Overloaded. Default 16 MiB.
+	// MaxUncommittedBytes bounds the entries that are appended but not
+	// committed; further proposals are refused as Overloaded. Default 16 MiB.
 	MaxUncommittedBytes int
 	// SnapshotChunkBytes bounds one chunk of a snapshot. Default 256 KiB.
 	SnapshotChunkBytes int
-	// SnapshotEntries is how many entries are applied between snapshots.
+	// SnapshotEntries is the number of entries applied between snapshots.
 	// Default 2000.
 	SnapshotEntries uint64
-	// TrailingEntries is how many entries before a snapshot stay in the log, so that
-	// a replica that is a little behind needs no snapshot. Default 500.
+	// TrailingEntries is the number of entries before a snapshot that stay in
+	// the log, so that a replica that is slightly behind needs no snapshot.
+	// Default 500.
 	TrailingEntries uint64
-	// Seed draws the election waits.
+	// Seed seeds the random part of election timeouts.
 	Seed uint64
 }
 
@@ -74,21 +79,21 @@
 	}
 }
 
-// InitialState is what a Node starts from: what the store recovered, or the members
-// of a new cluster.
+// InitialState is what a Node starts from: the state that the store recovered, or
+// the members of a new cluster.
 type InitialState struct {
-	// Identity is this replica's, as the data folder has it.
+	// Identity is this replica's identity as stored in the data folder.
 	Identity *pb.ReplicaIdentity
 	// HardState is nil in a new data folder.
 	HardState *pb.HardState
-	// Snapshot and SnapshotData are the latest snapshot, nil if none. The host
-	// has put its state back from it.
+	// Snapshot and SnapshotData are the latest snapshot, nil if there is none.
+	// The host has restored its state from it.
 	Snapshot     *pb.SnapshotMeta
 	SnapshotData []byte
-	// Entries are the log's, without gaps; the first may lie before the
-	// snapshot's index, at most one after it.
+	// Entries are the log's entries without gaps. The first index is at most
+	// one after the snapshot's.
 	Entries []*pb.LogEntry
-	// Membership is the bootstrap list, the same at every replica; nil for a
-	// replica that joins. A snapshot's membership takes its place.
+	// Membership is the bootstrap member list, the same at every replica, and
+	// nil for a replica that joins. A snapshot's membership replaces it.
 	Membership *pb.Membership
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -11,53 +11,55 @@
 	n.electionDeadline = n.now + wait + time.Duration(n.random.Int64N(int64(wait)))
 }
 
-// mayCampaign tells whether this replica can stand for election: it is a voter, or
-// its removal is not committed yet. Such a replica may be the only one with a log
-// complete enough to lead; it needs the votes of those that stay, and its own does
-// not count. Once it has committed its removal it steps down.
-func (n *Node) mayCampaign() bool {
+// canCampaign reports whether this replica may start an election: it is a voter, or
+// its removal is not committed yet. In the latter case it may be the only one whose
+// log is complete enough to lead; it then needs the votes of the remaining voters,
+// and its own does not count. It steps down once it has committed its removal.
+func (n *Node) canCampaign() bool {
 	voter := isVoter(n.members.current(), n.cfg.ID) || isVoter(n.CommittedMembership(), n.cfg.ID)
-	return voter && n.mayVote()
+	return voter && n.canVote()
 }
 
-// sticky tells whether this replica must help no other to lead yet.
+// leaderMayBeActive reports whether this replica must refuse votes because a leader
+// may hold a lease.
 //
-// It guards the leader lease and keeps replicas that were cut off from unseating
-// a leader that a quorum hears. A leader counts its lease from when it sent the
-// heartbeats that a quorum answered; each of that quorum refuses votes for an
-// ElectionTimeout from when it heard them, which is later, and LeaseDuration is
-// shorter. The leader itself, one of the quorum, refuses while it leads, and
-// after stepping down until the last lease that it gave out has passed.
-func (n *Node) sticky() bool {
+// This protects the leader lease and keeps replicas that were partitioned from
+// deposing a leader that has a quorum. A leader counts its lease from when it sent
+// the heartbeats that a quorum answered. Each replica of that quorum refuses votes
+// for an ElectionTimeout from when it received them, which is later, and
+// LeaseDuration is shorter. The leader itself, one of the quorum, refuses votes
+// while it leads, and after stepping down until the last lease that it reported has
+// expired.
+func (n *Node) leaderMayBeActive() bool {
 	if n.role == leader {
 		return true
 	}
-	return n.now < n.heardAt+n.cfg.ElectionTimeout || n.now < n.lead.leaseGiven
+	return n.now < n.lastLeaderContact+n.cfg.ElectionTimeout || n.now < n.leaderState.reportedLeaseEnd
 }
 
 // startPreVote asks the voters whether they would vote for this replica, without
-// raising the term. A replica that comes back from a partition thus disturbs
-// nobody: its term has not grown.
+// raising the term. A replica that returns from a partition thus disturbs no
+// leader, since its term has not grown.
 func (n *Node) startPreVote() {
 	n.resetElectionDeadline()
-	if !n.mayCampaign() {
+	if !n.canCampaign() {
 		return
 	}
 	n.role, n.leader = preCandidate, 0
 	n.votes = map[uint64]bool{n.cfg.ID: true}
-	if n.wonVotes() {
+	if n.wonElection() {
 		n.startElection(false)
 		return
 	}
 	n.requestVotes(pb.MessageKind_MESSAGE_KIND_PRE_VOTE, n.term+1, false)
 }
 
-// startElection raises the term and asks for votes. The own vote counts, and the
-// requests go out, only once the new term and vote are synced.
+// startElection raises the term and requests votes. The requests are sent, and the
+// replica's own vote counts, only after the new term and vote are synced.
 func (n *Node) startElection(force bool) {
 	n.term++
-	n.vote = n.cfg.ID
-	n.persist.hardDirty = true
+	n.votedFor = n.cfg.ID
+	n.persist.hardStateDirty = true
 	n.role, n.leader = candidate, 0
 	n.votes = map[uint64]bool{}
 	n.resetElectionDeadline()
@@ -73,29 +75,30 @@
 		m.Term, m.Force = term, force
 		m.Index, m.LogTerm = n.log.lastIndex(), n.log.lastTerm()
 		if kind == pb.MessageKind_MESSAGE_KIND_VOTE {
-			n.sendSynced(m)
+			n.sendAfterSync(m)
 		} else {
 			n.send(m)
 		}
 	}
 }
 
-// onHigherTerm handles the term of a message from a later one; false if the
-// message is done with.
+// onHigherTerm handles a message of a later term. It returns false if the message
+// needs no further handling.
 func (n *Node) onHigherTerm(m *pb.Message) bool {
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE:
 		return true
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE:
 		if !m.Reject {
-			// A grant carries the term that this replica would campaign in.
+			// A granted pre-vote carries the term that this replica would
+			// campaign in.
 			return true
 		}
 		n.becomeFollower(m.Term, 0)
 		return false
 	case pb.MessageKind_MESSAGE_KIND_VOTE:
-		if n.sticky() && !m.Force {
-			n.answerVote(m, false)
+		if n.leaderMayBeActive() && !m.Force {
+			n.sendVoteResponse(m, false)
 			return false
 		}
 		n.becomeFollower(m.Term, 0)
@@ -110,49 +113,50 @@
 	return true
 }
 
-// onLowerTerm answers a message of an earlier term where its sender must learn
-// of this one: a leader that was cut off, or a replica that asks for votes.
+// onLowerTerm answers a message of an earlier term whose sender must learn the
+// current term: a leader that was partitioned, or a candidate.
 func (n *Node) onLowerTerm(m *pb.Message) {
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_APPEND,
 		pb.MessageKind_MESSAGE_KIND_HEARTBEAT,
 		pb.MessageKind_MESSAGE_KIND_SNAPSHOT:
-		answer := n.message(pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, m.From)
-		answer.Reject, answer.Index = true, m.Index
-		n.sendSynced(answer)
+		resp := n.message(pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, m.From)
+		resp.Reject, resp.Index = true, m.Index
+		n.sendAfterSync(resp)
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE:
-		n.answerPreVote(m, false)
+		n.sendPreVoteResponse(m, false)
 	case pb.MessageKind_MESSAGE_KIND_VOTE:
-		n.answerVote(m, false)
+		n.sendVoteResponse(m, false)
 	}
 }
 
-// mayVote tells whether this replica's word counts at all. One with an empty data
-// folder never votes: it knows no member list, or its group has not formed.
-func (n *Node) mayVote() bool {
-	own := findMember(n.members.current(), n.cfg.ID)
-	if own == nil {
-		own = findMember(n.CommittedMembership(), n.cfg.ID)
+// canVote reports whether this replica's vote may count. A replica with an empty
+// data folder never votes: it has no member list, or its bootstrap handshake is not
+// complete.
+func (n *Node) canVote() bool {
+	self := findMember(n.members.current(), n.cfg.ID)
+	if self == nil {
+		self = findMember(n.CommittedMembership(), n.cfg.ID)
 	}
-	bound := own.GetIdentity().GetIncarnation()
-	listed := own != nil && (bound == "" || bound == n.identity.GetIncarnation())
-	return listed && n.formation.formed && !n.incoming.restoring()
+	expected := self.GetIdentity().GetIncarnation()
+	listed := self != nil && (expected == "" || expected == n.identity.GetIncarnation())
+	return listed && n.handshake.formed && !n.incomingSnapshot.restoring()
 }
 
 func (n *Node) onPreVote(m *pb.Message) {
-	granted := n.mayVote() && m.Term > n.term && (!n.sticky() || m.Force) &&
+	granted := n.canVote() && m.Term > n.term && (!n.leaderMayBeActive() || m.Force) &&
 		n.log.upToDate(m.Index, m.LogTerm)
-	n.answerPreVote(m, granted)
+	n.sendPreVoteResponse(m, granted)
 }
 
-// answerPreVote needs no sync: a pre-vote binds to nothing.
-func (n *Node) answerPreVote(m *pb.Message, granted bool) {
-	answer := n.message(pb.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE, m.From)
-	answer.Reject = !granted
+// sendPreVoteResponse needs no sync, since a pre-vote is no commitment.
+func (n *Node) sendPreVoteResponse(m *pb.Message, granted bool) {
+	resp := n.message(pb.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE, m.From)
+	resp.Reject = !granted
 	if granted {
-		answer.Term = m.Term
+		resp.Term = m.Term
 	}
-	n.send(answer)
+	n.send(resp)
 }
 
 func (n *Node) onPreVoteResponse(m *pb.Message) {
@@ -160,30 +164,31 @@
 		return
 	}
 	n.votes[m.From] = true
-	if n.wonVotes() {
+	if n.wonElection() {
 		n.startElection(false)
 	}
 }
 
-// onVote votes once a term, for a log at least as complete as the own one.
+// onVote grants at most one vote a term, and only to a candidate whose log is at
+// least as complete as the local one.
 func (n *Node) onVote(m *pb.Message) {
-	free := n.vote == m.From || n.vote == 0 && n.leader == 0
-	if !n.mayVote() || !free || !n.log.upToDate(m.Index, m.LogTerm) {
-		n.answerVote(m, false)
+	voteAvailable := n.votedFor == m.From || n.votedFor == 0 && n.leader == 0
+	if !n.canVote() || !voteAvailable || !n.log.upToDate(m.Index, m.LogTerm) {
+		n.sendVoteResponse(m, false)
 		return
 	}
-	if n.vote != m.From {
-		n.vote = m.From
-		n.persist.hardDirty = true
+	if n.votedFor != m.From {
+		n.votedFor = m.From
+		n.persist.hardStateDirty = true
 	}
 	n.resetElectionDeadline()
-	n.answerVote(m, true)
+	n.sendVoteResponse(m, true)
 }
 
-func (n *Node) answerVote(m *pb.Message, granted bool) {
-	answer := n.message(pb.MessageKind_MESSAGE_KIND_VOTE_RESPONSE, m.From)
-	answer.Reject = !granted
-	n.sendSynced(answer)
+func (n *Node) sendVoteResponse(m *pb.Message, granted bool) {
+	resp := n.message(pb.MessageKind_MESSAGE_KIND_VOTE_RESPONSE, m.From)
+	resp.Reject = !granted
+	n.sendAfterSync(resp)
 }
 
 func (n *Node) onVoteResponse(m *pb.Message) {
@@ -192,14 +197,14 @@
 	}
 }
 
-func (n *Node) recordVote(from uint64, granted bool) {
-	n.votes[from] = granted
-	if n.wonVotes() {
+func (n *Node) recordVote(voter uint64, granted bool) {
+	n.votes[voter] = granted
+	if n.wonElection() {
 		n.becomeLeader()
 	}
 }
 
-func (n *Node) wonVotes() bool {
+func (n *Node) wonElection() bool {
 	voters := voterIDs(n.members.current())
 	granted := 0
 	for _, id := range voters {
--- a/internal/consensus/formation.go
+++ b/internal/consensus/formation.go
@@ -6,95 +6,100 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// maxHelloPause is the longest pause between HELLOs, in ElectionTimeouts. The
-// pause grows from a HeartbeatInterval on: a peer that does not answer may be
-// gone for long.
-const maxHelloPause = 4
+// maxHelloBackoff is the longest interval between HELLOs, in ElectionTimeouts. The
+// interval doubles from one HeartbeatInterval, since a peer that does not answer
+// may be down for long.
+const maxHelloBackoff = 4
 
-// formation is how replicas get to know each other's lives.
+// handshake is how replicas learn each other's incarnation and boot.
 //
-// A bootstrap list names ids and addresses, but no incarnations. Without this a
-// replica could vote, lose its disk, come back empty under its id, and vote
-// another way with a peer that had never heard its first life. So each replica
-// says HELLO until every other one has answered; the host of each remembers the
-// sender's life, synced, before it steps on the HELLO. From then on an emptied
-// folder meets a peer that refuses it, and never gets all answers, wherever it
-// asks. The price: a new group starts once all its replicas have met.
+// A bootstrap list names ids and addresses, but no incarnations. Without the
+// handshake a replica could vote, lose its disk, restart empty under its id, and
+// vote differently together with a peer that never learned its first incarnation.
+// So each replica sends HELLO until every other one has answered; then it is formed
+// and may vote. The host of the receiver records the sender's incarnation, synced,
+// before it steps on the HELLO. From then on a replica with an emptied folder meets
+// a peer that refuses it, and never gets all answers. The cost: a new group can
+// elect a leader only once all its replicas have been in contact.
 //
-// A formed replica says HELLO as well, at each start, after each snapshot and to
-// each new member, but waits for nobody: so peers learn its boot that never hear
-// it otherwise, and notice a folder put back from an older copy.
-type formation struct {
-	// formed is true once this replica's word may count; see HardState.formed.
+// A formed replica also sends HELLO, at each start, after each snapshot and to each
+// new member, but waits for no answer. Thus peers that receive nothing else from it
+// learn its boot, and detect a folder that was restored from an older copy.
+type handshake struct {
+	// formed is true once this replica may vote; see HardState.formed.
 	formed bool
-	// met lists the peers that have answered in this boot.
-	met map[uint64]bool
-	// askAt is when HELLO is said again, pause how long to wait after that.
-	askAt time.Duration
-	pause time.Duration
-	// token tells the answers to this boot's HELLO from those to earlier ones.
+	// answered lists the peers that have answered in this boot.
+	answered map[uint64]bool
+	// nextHelloAt is when HELLO is sent again; helloBackoff is the interval
+	// after that.
+	nextHelloAt  time.Duration
+	helloBackoff time.Duration
+	// token distinguishes answers to this boot's HELLO from those to earlier
+	// ones.
 	token uint64
 }
 
-func newFormation(init InitialState) formation {
-	joins := len(init.Membership.GetMembers()) == 0
-	return formation{
-		formed: init.HardState.GetFormed() || joins,
-		met:    map[uint64]bool{},
-		token:  init.Identity.GetBootNonce(),
+func newHandshake(init InitialState) handshake {
+	joining := len(init.Membership.GetMembers()) == 0
+	return handshake{
+		formed:   init.HardState.GetFormed() || joining,
+		answered: map[uint64]bool{},
+		token:    init.Identity.GetBootNonce(),
 	}
 }
 
-// unmet lists the members that have not answered, in the order of the list, and
-// the leader that a replica hears before it has any list: a learner that restarts
-// then must be introduced too, or its answers would be refused for good. An
-// unformed replica goes by the committed list: a change that is undone later
-// must not spare it a member.
-func (n *Node) unmet() []uint64 {
+// unansweredPeers lists the members that have not answered, in member list order,
+// and a leader that is not in the list: a learner that restarts before it has any
+// list must send its HELLO to the leader, or its responses would be refused
+// forever. An unformed replica uses the committed list, since a pending change that
+// removes a member may be undone and must not exempt the replica from waiting for
+// that member.
+func (n *Node) unansweredPeers() []uint64 {
 	members := n.members.current()
-	if !n.formation.formed {
+	if !n.handshake.formed {
 		members = n.CommittedMembership()
 	}
 	var ids []uint64
 	for _, m := range members.Members {
-		if id := m.Identity.Id; id != n.cfg.ID && !n.formation.met[id] {
+		if id := m.Identity.Id; id != n.cfg.ID && !n.handshake.answered[id] {
 			ids = append(ids, id)
 		}
 	}
 	unlisted := n.leader != n.cfg.ID && findMember(members, n.leader) == nil
-	if n.leader != 0 && unlisted && !n.formation.met[n.leader] {
+	if n.leader != 0 && unlisted && !n.handshake.answered[n.leader] {
 		ids = append(ids, n.leader)
 	}
 	return ids
 }
 
-func (n *Node) driveFormation() {
-	f := &n.formation
-	waiting := n.unmet()
-	if len(waiting) == 0 {
-		n.setFormed()
+func (n *Node) continueHandshake() {
+	h := &n.handshake
+	unanswered := n.unansweredPeers()
+	if len(unanswered) == 0 {
+		n.markFormed()
 		return
 	}
-	if n.now < f.askAt {
+	if n.now < h.nextHelloAt {
 		return
 	}
-	f.pause = max(n.cfg.HeartbeatInterval, min(2*f.pause, maxHelloPause*n.cfg.ElectionTimeout))
-	f.askAt = n.now + f.pause
-	for _, id := range waiting {
+	h.helloBackoff = max(n.cfg.HeartbeatInterval, min(2*h.helloBackoff, maxHelloBackoff*n.cfg.ElectionTimeout))
+	h.nextHelloAt = n.now + h.helloBackoff
+	for _, id := range unanswered {
 		m := n.message(pb.MessageKind_MESSAGE_KIND_HELLO, id)
-		m.Context = f.token
+		m.Context = h.token
 		n.send(m)
 	}
 }
 
-// onHello handles both kinds; true if m is one. They carry no news of a term.
+// onHello handles HELLO and HELLO_RESPONSE, and returns true if m is one of them.
+// Their terms are ignored.
 func (n *Node) onHello(m *pb.Message, incarnation string) bool {
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_HELLO:
-		answer := n.message(pb.MessageKind_MESSAGE_KIND_HELLO_RESPONSE, m.From)
-		answer.Context = m.Context
-		answer.Reject = !n.vouchesFor(m.From, incarnation)
-		n.send(answer)
+		resp := n.message(pb.MessageKind_MESSAGE_KIND_HELLO_RESPONSE, m.From)
+		resp.Context = m.Context
+		resp.Reject = !n.isExpectedVoter(m.From, incarnation)
+		n.send(resp)
 	case pb.MessageKind_MESSAGE_KIND_HELLO_RESPONSE:
 		n.onHelloResponse(m)
 	default:
@@ -103,69 +108,71 @@
 	return true
 }
 
-// vouchesFor tells whether an unformed replica may count this answer: only if it is
-// a voter by the committed list, under that life as far as it is named.
+// isExpectedVoter reports whether an unformed replica may count this answer: only
+// if the sender of the HELLO is a voter of the committed list, with the listed
+// incarnation if there is one.
 //
-// An id that was removed may speak again under a new life. If that counted, two
-// replicas that were emptied and replaced, but start with their first settings,
-// would vouch for each other, be vouched for by the rest, and elect a leader of
-// their own.
-func (n *Node) vouchesFor(id uint64, incarnation string) bool {
+// A removed id may return with a new incarnation. If such a replica counted, two
+// replicas that were emptied and replaced, but restart with their original
+// bootstrap settings, would confirm each other, be confirmed by the remaining ones,
+// and elect a leader of their own.
+func (n *Node) isExpectedVoter(id uint64, incarnation string) bool {
 	member := findMember(n.CommittedMembership(), id)
-	bound := member.GetIdentity().GetIncarnation()
+	expected := member.GetIdentity().GetIncarnation()
 	voter := member.GetRole() == pb.ReplicaRole_REPLICA_ROLE_VOTER
-	return voter && (bound == "" || bound == incarnation)
+	return voter && (expected == "" || expected == incarnation)
 }
 
 func (n *Node) onHelloResponse(m *pb.Message) {
-	if m.Context != n.formation.token {
-		// It answers an earlier boot's.
+	if m.Context != n.handshake.token {
+		// The answer belongs to an earlier boot.
 		return
 	}
-	if m.Reject && !n.formation.formed {
+	if m.Reject && !n.handshake.formed {
 		return
 	}
-	n.formation.met[m.From] = true
-	if len(n.unmet()) == 0 {
-		n.setFormed()
+	n.handshake.answered[m.From] = true
+	if len(n.unansweredPeers()) == 0 {
+		n.markFormed()
 	}
 }
 
-// forgetLeft makes a replica that comes back under its id count as new, and has
-// new members asked at the next tick.
-func (f *formation) forgetLeft(m *pb.Membership) {
-	met := map[uint64]bool{}
+// restrictToMembers forgets the answers of replicas that are not members, so that
+// one that returns under its id counts as new. The next tick sends HELLO to new
+// members.
+func (h *handshake) restrictToMembers(m *pb.Membership) {
+	answered := map[uint64]bool{}
 	if len(m.Members) == 0 {
-		met = f.met
+		answered = h.answered
 	}
 	for _, member := range m.Members {
 		id := member.Identity.Id
-		met[id] = f.met[id]
+		answered[id] = h.answered[id]
 	}
-	f.met, f.askAt, f.pause = met, 0, 0
+	h.answered, h.nextHelloAt, h.helloBackoff = answered, 0, 0
 }
 
-// introduceAgain tells every peer of a new boot.
-func (n *Node) introduceAgain() {
-	f := &n.formation
-	*f = formation{formed: f.formed, met: map[uint64]bool{}, token: f.token + 1}
-	n.driveFormation()
+// restartHandshake sends HELLO to every peer for a new boot.
+func (n *Node) restartHandshake() {
+	h := &n.handshake
+	*h = handshake{formed: h.formed, answered: map[uint64]bool{}, token: h.token + 1}
+	n.continueHandshake()
 }
 
-func (n *Node) setFormed() {
-	if n.formation.formed {
+func (n *Node) markFormed() {
+	if n.handshake.formed {
 		return
 	}
-	n.formation.formed = true
-	n.persist.hardDirty = true
+	n.handshake.formed = true
+	n.persist.hardStateDirty = true
 }
 
-// noteBound ends the formation also when a committed member list names this
-// replica's incarnation: then every later leader knows it. That helps a replica
-// whose peer was lost for good before it had answered.
-func (n *Node) noteBound(m *pb.Membership) {
-	bound := findMember(m, n.cfg.ID).GetIdentity().GetIncarnation()
-	if bound != "" && bound == n.identity.GetIncarnation() {
-		n.setFormed()
+// markFormedIfListed also completes the handshake when a committed member list
+// names this replica's incarnation: then every later leader knows it. This helps a
+// replica that has a peer which was lost permanently before it answered.
+func (n *Node) markFormedIfListed(m *pb.Membership) {
+	expected := findMember(m, n.cfg.ID).GetIdentity().GetIncarnation()
+	if expected != "" && expected == n.identity.GetIncarnation() {
+		n.markFormed()
 	}
 }
--- a/internal/consensus/formation_test.go
+++ b/internal/consensus/formation_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// A user sees two leaders of one term in a new group. The third VM was not up yet
-// when two replicas elected a leader; then that leader was cut off and the other lost
-// its disk, and what it had promised. It came back empty, met the third, which had
-// never heard its first life, and the two elected another leader.
+// Guards against two leaders in one term of a new group. Two replicas elect a
+// leader before the third VM is up. Then the leader is partitioned, and the other
+// replica loses its disk and with it its vote. It restarts empty, and the third
+// replica, which never learned its first incarnation, helps it elect another
+// leader.
 func TestNewGroupWaitsForAllItsReplicas(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		c := newCluster(seed, 3)
@@ -20,13 +21,13 @@
 			l = c.hosts[1]
 		}
 		other := c.hosts[3-l.id]
-		c.cut(l.id, true)
+		c.setIsolated(l.id, true)
 		c.wipe(other, other.disk.bootstrap)
 		c.start(other)
 		c.start(third)
 		c.run(5 * time.Second)
-		if len(c.faults) > 0 || c.leader() != nil {
-			t.Errorf("seed %d: leader %v, faults %v", seed, c.leader(), c.faults)
+		if len(c.violations) > 0 || c.leader() != nil {
+			t.Errorf("seed %d: leader %v, violations %v", seed, c.leader(), c.violations)
 		}
 	}
 }
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -10,31 +10,35 @@
 var Namespace = errorx.NewNamespace("consensus")
 
 var (
-	// IdentityMismatch: a replica is not who the group knows under its id.
+	// IdentityMismatch: a replica's identity is not the one that the group
+	// knows for its id.
 	IdentityMismatch = Namespace.NewType("wrong_identity")
-	// RolledBack: a replica's folder is older than what that replica has said.
+	// RolledBack: a replica's data folder is older than one that the replica
+	// has already sent messages from.
 	RolledBack = Namespace.NewType("rolled_back")
-	// UnknownBoot: a replica speaks in a boot that is not known here yet. Its
-	// HELLO is on its way; until then its messages count as lost.
+	// UnknownBoot: a replica sends messages in a boot that is not known here
+	// yet. Its HELLO is on its way; until it arrives the messages count as
+	// lost.
 	UnknownBoot = Namespace.NewType("unintroduced")
 	// RemovedIdentity: the group has removed the replica.
 	RemovedIdentity = Namespace.NewType("removed_identity")
 )
 
-// CheckPeer decides whether messages of from may be taken, given the latest life
-// and boot of that id that the host has synced (nil if none) and the committed
-// member list. If the answer is nil and from is news, the host syncs it before
-// it steps on the messages. Errors: IdentityMismatch, RolledBack, UnknownBoot,
-// RemovedIdentity. Messages of a leader need CheckLeader only; see AllLeaderMessages.
+// CheckPeer decides whether messages of from may be accepted, given the latest
+// incarnation and boot of that id that the host has synced (nil if none) and the
+// committed member list. If the result is nil and from differs from known, the host
+// syncs it before it steps on the messages. Errors: IdentityMismatch, RolledBack,
+// UnknownBoot, RemovedIdentity. Messages of a leader need only CheckLeader; see
+// AllLeaderMessages.
 //
-// It guards against a replica that has forgotten what it promised: a wiped or
-// foreign folder speaks under another incarnation, and a folder put back from an
-// older copy under a boot that was seen already. Either could vote twice or help
-// commit without entries that it once acknowledged.
+// It guards against a replica that has lost votes or acknowledgements. A wiped
+// folder, or that of another replica, has another incarnation; a folder restored
+// from an older copy has a boot that was already used. Either could vote twice in a
+// term, or help commit entries without holding ones that it acknowledged earlier.
 //
-// The list is the committed one: a replica that holds the removal of its leader
-// as an entry that was never committed must go on hearing that leader, else
-// nothing would ever replace the entry.
+// The committed list is used because a replica may hold an uncommitted entry that
+// removes its leader. It must still accept that leader's messages, or nothing would
+// ever replace the entry.
 func CheckPeer(from, known *pb.ReplicaIdentity, committed *pb.Membership) error {
 	if from.GetId() == 0 || from.Incarnation == "" || from.Boot == 0 || from.BootNonce == 0 {
 		return IdentityMismatch.New("the identity is not complete")
@@ -43,31 +47,32 @@
 		return RemovedIdentity.New("replica %d (%s) was removed", from.Id, from.Incarnation)
 	}
 	member := findMember(committed, from.Id)
-	if bound := member.GetIdentity().GetIncarnation(); bound != "" && bound != from.Incarnation {
-		return IdentityMismatch.New("replica %d is %s, not %s", from.Id, bound, from.Incarnation)
+	if expected := member.GetIdentity().GetIncarnation(); expected != "" && expected != from.Incarnation {
+		return IdentityMismatch.New("replica %d is %s, not %s", from.Id, expected, from.Incarnation)
 	}
-	if known == nil || known.Incarnation != from.Incarnation && takesOver(from, known, committed) {
+	if known == nil || known.Incarnation != from.Incarnation && mayReuseID(from, known, committed) {
 		return nil
 	}
-	return checkLife(from, known)
+	return checkKnownIncarnation(from, known)
 }
 
-// takesOver tells whether another life may speak under an id: the member list
-// names it, or the known one was removed, or its word counts nowhere yet, since
-// the id is no member's or that of a learner whose life is still to be named.
-func takesOver(from, known *pb.ReplicaIdentity, committed *pb.Membership) bool {
+// mayReuseID reports whether another incarnation may use an id: the member list
+// names it, or the known one was removed, or its votes and acknowledgements count
+// nowhere yet, since the id is not a member's or is that of a learner without a
+// listed incarnation.
+func mayReuseID(from, known *pb.ReplicaIdentity, committed *pb.Membership) bool {
 	member := findMember(committed, from.Id)
-	named := member != nil && member.Identity.Incarnation == from.Incarnation
-	return member == nil || named || wasRemoved(committed, known) || unnamedLearner(member)
+	listed := member != nil && member.Identity.Incarnation == from.Incarnation
+	return member == nil || listed || wasRemoved(committed, known) || isUnboundLearner(member)
 }
 
-func unnamedLearner(m *pb.ReplicaMember) bool {
+func isUnboundLearner(m *pb.ReplicaMember) bool {
 	return m.GetRole() == pb.ReplicaRole_REPLICA_ROLE_LEARNER && m.Identity.Incarnation == ""
 }
 
-// CheckLeader decides whether a leader's messages may be taken: a life that the
-// group has removed can't lead any more. It is told so and stops. Errors:
-// RemovedIdentity.
+// CheckLeader decides whether a leader's messages may be accepted: an incarnation
+// that the group has removed can no longer lead. It learns of the removal from the
+// answer and stops. Errors: RemovedIdentity.
 func CheckLeader(from *pb.ReplicaIdentity, committed *pb.Membership) error {
 	if wasRemoved(committed, from) {
 		return RemovedIdentity.New("replica %d (%s) was removed", from.GetId(), from.GetIncarnation())
@@ -75,11 +80,11 @@
 	return nil
 }
 
-// AllLeaderMessages tells whether all the messages are such as only the leader of a term
-// sends. They are taken whoever the sender is: a life that the group does not
-// count never wins an election. And they must be taken: a replica that has missed
-// a replacement under an old id would refuse that id's new life, and would never
-// catch up while that life leads.
+// AllLeaderMessages reports whether all messages are of kinds that only the leader
+// of a term sends. They are accepted from any incarnation that was not removed,
+// since one that the group does not count never wins an election. They must be
+// accepted: a replica that has missed a replacement under an existing id would
+// otherwise refuse the new incarnation, and never catch up while that one leads.
 func AllLeaderMessages(messages []*pb.Message) bool {
 	for _, m := range messages {
 		switch m.GetKind() {
@@ -93,7 +98,7 @@
 	return len(messages) > 0
 }
 
-func checkLife(from, known *pb.ReplicaIdentity) error {
+func checkKnownIncarnation(from, known *pb.ReplicaIdentity) error {
 	if from.Incarnation != known.Incarnation {
 		return IdentityMismatch.New("replica %d is %s, not %s", from.Id, known.Incarnation, from.Incarnation)
 	}
@@ -103,27 +108,28 @@
 	if from.Boot > known.Boot && len(from.PastNonces) == 0 {
 		return UnknownBoot.New("replica %d speaks in boot %d before its HELLO", from.Id, from.Boot)
 	}
-	if from.Boot <= known.Boot || !follows(from, known) {
+	if from.Boot <= known.Boot || !continuesBootHistory(from, known) {
 		return RolledBack.New("replica %d comes with boot %d, which does not follow boot %d as known here",
 			from.Id, from.Boot, known.Boot)
 	}
 	return nil
 }
 
-// MaxPastNonces is how many past nonces a folder keeps.
+// MaxPastNonces is the number of past boot nonces that a data folder keeps.
 const MaxPastNonces = 64
 
-// follows tells whether a boot's history holds the one that is known. The number
-// alone would not do: a folder put back and started often enough passes it. A
-// peer that has missed more than MaxPastNonces boots can't tell and takes its word.
-func follows(from, known *pb.ReplicaIdentity) bool {
+// continuesBootHistory reports whether a boot's history contains the known boot.
+// Comparing boot numbers is not enough: an old folder that is started often enough
+// reaches a higher one. A peer that has missed more than MaxPastNonces boots can't
+// check and accepts the boot.
+func continuesBootHistory(from, known *pb.ReplicaIdentity) bool {
 	missed := from.Boot - known.Boot - 1
 	return missed >= uint64(len(from.PastNonces)) || from.PastNonces[missed] == known.BootNonce
 }
 
-// AdvanceBoot makes the identity that of the next boot; the host syncs it before
-// the replica speaks under it. The first boot has a past nonce too, since an
-// introduction is known by it.
+// AdvanceBoot changes the identity to that of the next boot; the host syncs it
+// before the replica sends messages with it. The first boot also gets a past nonce,
+// since a non-empty history marks the identity as one from a HELLO.
 func AdvanceBoot(id *pb.ReplicaIdentity, nonce uint64) {
 	past := append([]uint64{id.BootNonce}, id.PastNonces...)
 	id.PastNonces = past[:min(len(past), MaxPastNonces)]
@@ -131,19 +137,21 @@
 	id.BootNonce = max(nonce, 1)
 }
 
-// TargetIdentity is the identity under which to address a replica: the life that
-// leads under that id (empty if none was heard), the member list's, the life that
-// spoke last (nil if none), or just the id. A learner whose life is still to be
-// named is addressed by its id: an earlier life may have spoken under it.
-func TargetIdentity(id uint64, leads string, known *pb.ReplicaIdentity, members *pb.Membership) *pb.ReplicaIdentity {
+// TargetIdentity returns the identity to address a replica by. It takes the first
+// incarnation that is known and not removed of: the one that was last seen as
+// leader under that id (empty if none), the member list's, and the latest one that
+// sent other messages (nil if none). Otherwise it is the id alone. A learner
+// without a listed incarnation is addressed by its id, since the known incarnation
+// may be an earlier one.
+func TargetIdentity(id uint64, leaderIncarnation string, known *pb.ReplicaIdentity, members *pb.Membership) *pb.ReplicaIdentity {
 	member := findMember(members, id)
-	lives := []string{leads, member.GetIdentity().GetIncarnation(), known.GetIncarnation()}
-	if unnamedLearner(member) {
-		lives = nil
+	incarnations := []string{leaderIncarnation, member.GetIdentity().GetIncarnation(), known.GetIncarnation()}
+	if isUnboundLearner(member) {
+		incarnations = nil
 	}
-	for _, life := range lives {
-		to := &pb.ReplicaIdentity{Id: id, Incarnation: life}
-		if life != "" && !wasRemoved(members, to) {
+	for _, incarnation := range incarnations {
+		to := &pb.ReplicaIdentity{Id: id, Incarnation: incarnation}
+		if incarnation != "" && !wasRemoved(members, to) {
 			return to
 		}
 	}
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// keptRounds is how many heartbeat rounds can be told apart. An answer to an
-// older one is at least as many steps late and renews nothing.
-const keptRounds = 64
+// maxTrackedRounds is the number of recent heartbeat rounds whose send time is
+// kept. A response to an older one is ignored.
+const maxTrackedRounds = 64
 
-// heartbeatRounds remembers when each recent round was sent.
+// heartbeatRounds records when each recent round was sent.
 type heartbeatRounds struct {
 	last   uint64
-	sentAt [keptRounds]time.Duration
+	sentAt [maxTrackedRounds]time.Duration
 }
 
 func (r *heartbeatRounds) begin(now time.Duration) uint64 {
 	r.last++
-	r.sentAt[r.last%keptRounds] = now
+	r.sentAt[r.last%maxTrackedRounds] = now
 	return r.last
 }
 
-// sent tells when a round was sent; false if it is unknown or too old.
-func (r *heartbeatRounds) sent(round uint64) (time.Duration, bool) {
-	if round == 0 || round > r.last || round+keptRounds <= r.last {
+// sendTime returns when a round was sent; false if it is unknown or too old.
+func (r *heartbeatRounds) sendTime(round uint64) (time.Duration, bool) {
+	if round == 0 || round > r.last || round+maxTrackedRounds <= r.last {
 		return 0, false
 	}
-	return r.sentAt[round%keptRounds], true
+	return r.sentAt[round%maxTrackedRounds], true
 }
 
-// leaseEnd is when the lease ends: LeaseDuration after the send time of the
-// latest round that a quorum has answered. It counts from the send, since the
-// answer may have been long on its way while the follower's own wait ran.
+// leaseEnd is LeaseDuration after the send time of the latest round that a quorum
+// has answered. It counts from the send time because the response may have been
+// delayed while the follower's election timeout was already running.
 func (n *Node) leaseEnd() time.Duration {
-	if n.role != leader || n.lead.transferTo != 0 || !n.ready() {
+	if n.role != leader || n.leaderState.transferTo != 0 || !n.ready() {
 		return 0
 	}
 	voters := voterIDs(n.members.current())
@@ -38,7 +38,7 @@
 	for _, id := range voters {
 		at := n.now
 		if id != n.cfg.ID {
-			at = n.lead.progress[id].ackedSentAt
+			at = n.leaderState.progress[id].ackedSentAt
 		}
 		sent = append(sent, at)
 	}
@@ -49,11 +49,12 @@
 	return base + n.cfg.LeaseDuration
 }
 
-// LeaseUntil tells until when no other replica can lead, by the boot clock; zero
-// if this replica does not lead, has not committed an entry of its term, or is
-// handing over. It holds even if this replica steps down meanwhile.
+// LeaseUntil returns the time, by the boot clock, until which no other replica can
+// lead. It is zero if this replica is not the leader, has not committed an entry of
+// its term, or is transferring leadership. The lease stays valid even if this
+// replica steps down meanwhile.
 func (n *Node) LeaseUntil() time.Duration {
 	end := n.leaseEnd()
-	n.lead.leaseGiven = max(n.lead.leaseGiven, end)
+	n.leaderState.reportedLeaseEnd = max(n.leaderState.reportedLeaseEnd, end)
 	return end
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -6,8 +6,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// entryLog is the log in memory: entries after base, how far they are synced,
-// committed and applied.
+// entryLog is the log in memory: the entries after base, and how far they are
+// synced, committed and applied.
 //
 // Invariants: baseIndex <= applied <= commit <= lastIndex; applied <= stable;
 // entries[i].Index == baseIndex+1+i. Entries up to commit never change.
@@ -21,8 +21,9 @@
 	applied uint64
 }
 
-// newEntryLog rebuilds the log after a restart. With a snapshot, the first entry
-// at or before its index becomes the base, since its predecessor's term is gone.
+// newEntryLog rebuilds the log after a restart. With a snapshot, a first entry at
+// or before the snapshot's index becomes the base, since the term of its
+// predecessor is unknown.
 func newEntryLog(init InitialState) *entryLog {
 	l := &entryLog{entries: init.Entries}
 	if snap := init.Snapshot; snap != nil {
@@ -47,7 +48,7 @@
 	return term
 }
 
-// term gives the term at index; false if it is compacted away or not there yet.
+// term returns the term at index; false if it is compacted or beyond the end.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.baseIndex:
@@ -58,17 +59,18 @@
 	return l.entry(index).Term, true
 }
 
-// entry gives the entry at index, which must lie after base.
+// entry returns the entry at index, which must lie after base.
 func (l *entryLog) entry(index uint64) *pb.LogEntry { return l.entries[index-l.baseIndex-1] }
 
-// matches tells whether the log has an entry of that index and term.
+// matches reports whether the log has an entry of that index and term.
 func (l *entryLog) matches(index, term uint64) bool {
-	own, ok := l.term(index)
-	return ok && own == term
+	localTerm, ok := l.term(index)
+	return ok && localTerm == term
 }
 
-// upToDate tells whether a log that ends at index and term is at least as
-// complete as this one: the check that keeps committed entries through elections.
+// upToDate reports whether a log that ends at index and term is at least as
+// complete as this one. This check of Raft keeps committed entries across
+// elections.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -76,7 +78,8 @@
 	return index >= l.lastIndex()
 }
 
-// slice gives entries from first on, up to last and about maxBytes, at least one.
+// slice returns the entries from first to last, limited to maxBytes but at least
+// one.
 func (l *entryLog) slice(first, last uint64, maxBytes int) []*pb.LogEntry {
 	if first > last {
 		return nil
@@ -92,8 +95,8 @@
 	return all[:len(all):len(all)]
 }
 
-// truncate drops the entries from index on. Committed entries are never dropped:
-// an append that would do so comes from a leader that lacks a committed entry,
+// truncate drops the entries from index on. It panics on a committed entry: an
+// append that would replace one comes from a leader that lacks a committed entry,
 // which the election rule excludes.
 func (l *entryLog) truncate(from uint64) {
 	if from <= l.commit {
@@ -106,7 +109,7 @@
 
 func (l *entryLog) append(entries ...*pb.LogEntry) { l.entries = append(l.entries, entries...) }
 
-// compact makes index the base. It must be applied.
+// compact makes index the base. The entry at index must be applied.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.baseIndex || index > l.applied {
 		return
@@ -122,17 +125,17 @@
 	*l = entryLog{baseIndex: index, baseTerm: term, stable: index, commit: index, applied: index}
 }
 
-// hintBelow finds where a log whose entry at index has the given term, and terms
-// never grow backwards, may first agree with this one: the last index at most
-// index whose term here is at most term.
-func (l *entryLog) hintBelow(index, term uint64) (uint64, uint64) {
+// conflictHint finds where this log may first agree with one whose entry at index
+// has the given term: the last index at or before index whose term here is at most
+// term. It relies on terms never decreasing along a log.
+func (l *entryLog) conflictHint(index, term uint64) (uint64, uint64) {
 	for index = min(index, l.lastIndex()); ; index-- {
-		own, ok := l.term(index)
-		if !ok || own <= term {
-			return index, own
+		localTerm, ok := l.term(index)
+		if !ok || localTerm <= term {
+			return index, localTerm
 		}
 	}
 }
 
-// entryBytes is an entry's size on the wire.
+// entryBytes is an entry's encoded size.
 func entryBytes(e *pb.LogEntry) int { return proto.Size(e) }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -8,13 +8,13 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// maxRemoved bounds the list of removed identities. One that has dropped off it is still
-// no member, so no quorum counts it; it is just not told to stop.
+// maxRemoved bounds the list of removed identities. An identity that drops off the
+// list is still no member, so no quorum counts it; it only isn't told to stop.
 const maxRemoved = 64
 
-// memberHistory holds the member lists that the log brings into force. A list
-// counts from when it is appended, committed or not: a quorum of the old list
-// and one of the new share a replica, since they differ by one.
+// memberHistory holds the member lists that the log contains. A list takes effect
+// when it is appended, committed or not: consecutive lists differ by one member, so
+// a quorum of the old and one of the new share a replica.
 type memberHistory struct{ lists []memberList }
 
 type memberList struct {
@@ -36,7 +36,7 @@
 	return h
 }
 
-// decodeMembership reads a membership entry; nil for other kinds.
+// decodeMembership decodes a membership entry; nil for other kinds.
 func decodeMembership(e *pb.LogEntry) (*pb.Membership, error) {
 	if e.GetKind() != pb.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP {
 		return nil, nil
@@ -45,11 +45,12 @@
 	if err := proto.Unmarshal(e.Data, m); err != nil {
 		return nil, err
 	}
-	return m, checkMembers(m)
+	return m, validateMembers(m)
 }
 
-// checkMembers tells whether a list that comes from elsewhere can be used.
-func checkMembers(m *pb.Membership) error {
+// validateMembers returns an error if a received list contains a member without an
+// id.
+func validateMembers(m *pb.Membership) error {
 	for _, member := range m.GetMembers() {
 		if member.GetIdentity().GetId() == 0 {
 			return IdentityMismatch.New("a member has no id")
@@ -62,7 +63,7 @@
 
 func (h *memberHistory) current() *pb.Membership { return h.last().membership }
 
-// at gives the list in force at a log index.
+// at returns the list in force at a log index.
 func (h *memberHistory) at(index uint64) memberList {
 	for i := len(h.lists) - 1; i > 0; i-- {
 		if h.lists[i].index <= index {
@@ -76,7 +77,7 @@
 	h.lists = append(h.lists, memberList{index: index, membership: m})
 }
 
-// truncate drops the lists from a log index on; true if there were any.
+// truncate drops the lists from a log index on, and returns true if there were any.
 func (h *memberHistory) truncate(from uint64) bool {
 	kept := len(h.lists)
 	for kept > 1 && h.lists[kept-1].index >= from {
@@ -87,23 +88,23 @@
 	return changed
 }
 
-// compact drops the lists that no index from the given one on needs.
+// compact drops the lists that are not in force at the given index or later.
 func (h *memberHistory) compact(index uint64) {
 	for len(h.lists) > 1 && h.lists[1].index <= index {
 		h.lists = h.lists[1:]
 	}
 }
 
-// pending tells whether the latest list is not committed yet.
+// pending reports whether the latest list is not committed yet.
 func (h *memberHistory) pending(commit uint64) bool { return h.last().index > commit }
 
 func (n *Node) onProposeMembership(e ProposeMembership) {
-	if reason := n.refuseChange(); reason != 0 {
+	if reason := n.membershipChangeRefusal(); reason != 0 {
 		n.emit(ProposalRefused{ID: e.ID, Reason: reason})
 		return
 	}
 	next := cloneMembership(n.members.current())
-	if reason := n.change(next, e.Change); reason != 0 {
+	if reason := n.applyChange(next, e.Change); reason != 0 {
 		n.emit(ProposalRefused{ID: e.ID, Reason: reason})
 		return
 	}
@@ -112,14 +113,15 @@
 	n.replicateAll()
 }
 
-// refuseChange keeps changes one at a time and after an own entry's commit.
+// membershipChangeRefusal allows one change at a time, and only once the leader has
+// committed an entry of its own term.
 //
-// Two changes under way can leave two disjoint quorums. So can one of a leader
-// that has not committed in its term: a change of an earlier term that it does
-// not know may be on a quorum of its own.
-func (n *Node) refuseChange() RefusalReason {
+// Two pending changes can lead to two disjoint quorums. So can a single change by a
+// leader that has not committed in its term: an earlier leader's change, unknown to
+// it, may be on a quorum of its own.
+func (n *Node) membershipChangeRefusal() RefusalReason {
 	switch {
-	case n.role != leader || n.handingOver():
+	case n.role != leader || n.transferLeaseExpired():
 		return NotLeader
 	case !n.log.matches(n.log.commit, n.term):
 		return NotReady
@@ -129,8 +131,8 @@
 	return 0
 }
 
-// change edits a member list, or says why the change is refused.
-func (n *Node) change(m *pb.Membership, c MembershipChange) RefusalReason {
+// applyChange edits a member list, or returns why the change is refused.
+func (n *Node) applyChange(m *pb.Membership, c MembershipChange) RefusalReason {
 	if c.Add != nil {
 		return addLearner(m, c.Add)
 	}
@@ -148,28 +150,29 @@
 	return 0
 }
 
-// removeMember takes a member off the list. It refuses a removal after which the
-// voters that answer now are no quorum: with one replica lost, removing a sound
-// one by mistake would end the group for good.
+// removeMember removes a member from the list. It refuses a removal after which the
+// responsive voters would be no quorum: with one replica lost, removing a healthy
+// one by mistake would leave the group permanently without a quorum.
 func (n *Node) removeMember(m *pb.Membership, id uint64) RefusalReason {
 	member := findMember(m, id)
 	if member == nil {
 		return InvalidChange
 	}
-	gone := &pb.ReplicaIdentity{Id: id, Incarnation: n.incarnationOf(member)}
-	m.Removed = append(m.Removed, gone)
+	removed := &pb.ReplicaIdentity{Id: id, Incarnation: n.incarnationOf(member)}
+	m.Removed = append(m.Removed, removed)
 	m.Removed = m.Removed[max(0, len(m.Removed)-maxRemoved):]
 	m.Members = slices.DeleteFunc(m.Members, func(other *pb.ReplicaMember) bool { return other == member })
 	voters := voterIDs(m)
-	if len(voters) == 0 || n.activeAmong(voters) < quorumSize(len(voters)) {
+	if len(voters) == 0 || n.countActive(voters) < quorumSize(len(voters)) {
 		return QuorumAtRisk
 	}
 	return 0
 }
 
-// incarnationOf is the member's incarnation as far as it is known here.
+// incarnationOf returns the member's incarnation if the list or this leader knows
+// it.
 func (n *Node) incarnationOf(member *pb.ReplicaMember) string {
-	switch pr := n.lead.progress[member.Identity.Id]; {
+	switch pr := n.leaderState.progress[member.Identity.Id]; {
 	case member.Identity.Incarnation != "":
 		return member.Identity.Incarnation
 	case member.Identity.Id == n.cfg.ID:
@@ -180,22 +183,22 @@
 	return ""
 }
 
-// wasRemoved tells whether the group has removed that identity. One that was
-// removed before its incarnation was known stands for all of its id.
+// wasRemoved reports whether the group has removed that identity. A removed entry
+// without an incarnation covers every incarnation of its id.
 func wasRemoved(m *pb.Membership, id *pb.ReplicaIdentity) bool {
-	for _, gone := range m.GetRemoved() {
-		if gone.Id == id.GetId() && (gone.Incarnation == "" || gone.Incarnation == id.GetIncarnation()) {
+	for _, removed := range m.GetRemoved() {
+		if removed.Id == id.GetId() && (removed.Incarnation == "" || removed.Incarnation == id.GetIncarnation()) {
 			return true
 		}
 	}
 	return false
 }
 
-// CommittedMembership is the latest member list that is known to be committed.
+// CommittedMembership returns the latest member list known to be committed.
 func (n *Node) CommittedMembership() *pb.Membership { return n.members.at(n.log.commit).membership }
 
-// IsRemoved tells whether the committed member list has removed that identity;
-// the host then answers it with StepResponse.removed.
+// IsRemoved reports whether the committed member list has removed that identity;
+// the host then sets StepResponse.removed.
 func (n *Node) IsRemoved(id *pb.ReplicaIdentity) bool {
 	return wasRemoved(n.CommittedMembership(), id)
 }
@@ -203,17 +206,18 @@
 func (n *Node) appendMembership(m *pb.Membership) *pb.LogEntry {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		// Marshal fails on invalid UTF-8 only, which settings and proto refuse.
+		// Marshal fails only on invalid UTF-8, which settings and proto
+		// decoding refuse.
 		panic("consensus: membership: " + err.Error())
 	}
-	entry := n.appendOwn(pb.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP, data)
+	entry := n.appendEntry(pb.LogEntryKind_LOG_ENTRY_KIND_MEMBERSHIP, data)
 	n.members.add(entry.Index, m)
-	n.membersChanged()
+	n.onMembershipChanged()
 	return entry
 }
 
-// takeMembers brings the member lists among newly appended entries into force.
-func (n *Node) takeMembers(entries []*pb.LogEntry) {
+// adoptMemberships puts the member lists among newly appended entries into force.
+func (n *Node) adoptMemberships(entries []*pb.LogEntry) {
 	changed := false
 	for _, e := range entries {
 		if m, err := decodeMembership(e); err == nil && m != nil {
@@ -222,42 +226,43 @@
 		}
 	}
 	if changed {
-		n.membersChanged()
+		n.onMembershipChanged()
 	}
 }
 
-func (n *Node) truncateMembers(from uint64) {
+func (n *Node) truncateMemberships(from uint64) {
 	if n.members.truncate(from) {
-		n.membersChanged()
+		n.onMembershipChanged()
 	}
 }
 
-func (n *Node) membersChanged() {
-	n.formation.forgetLeft(n.members.current())
+func (n *Node) onMembershipChanged() {
+	n.handshake.restrictToMembers(n.members.current())
 	if n.role == leader {
-		n.syncProgress()
+		n.rebuildProgress()
 	}
-	n.emitMembers()
+	n.emitMembershipChanged()
 }
 
-func (n *Node) emitMembers() {
-	n.announcedList = n.members.at(n.log.commit).index
+func (n *Node) emitMembershipChanged() {
+	n.emittedMembershipIndex = n.members.at(n.log.commit).index
 	n.emit(MembershipChanged{Membership: n.members.current(), Committed: n.CommittedMembership()})
 }
 
-// settleMembers names the lives of members where the list lacks them, and makes a
-// learner a voter once it has synced everything that is committed now.
+// advanceMembership records members' incarnations that the list lacks, or promotes
+// a learner to a voter once it has synced everything that is committed.
 //
-// Promoted earlier, a learner would enlarge the quorum while it holds nothing:
-// with a second replica lost right after, what is committed would lie on one disk,
-// and nothing could be committed until the learner had caught up. Its life is named
-// in a change before, so that no other life can be taken for the new voter.
-func (n *Node) settleMembers() {
-	if n.role != leader || n.refuseChange() != 0 {
+// Promoted earlier, a learner would enlarge the quorum while it holds nothing: if a
+// second replica were lost right after, committed entries would lie on one disk,
+// and nothing could be committed until the learner had caught up. The incarnation
+// is recorded in a separate change before, so that no other incarnation can be
+// taken for the new voter.
+func (n *Node) advanceMembership() {
+	if n.role != leader || n.membershipChangeRefusal() != 0 {
 		return
 	}
 	next := cloneMembership(n.members.current())
-	if n.bindIncarnations(next) || n.promoteLearner(next) {
+	if n.recordIncarnations(next) || n.promoteLearner(next) {
 		n.appendMembership(next)
 		n.replicateAll()
 	}
@@ -273,11 +278,11 @@
 	return false
 }
 
-// bindIncarnations names the lives of voters, and of learners that have caught up.
-// What answers earlier under a learner's id may be a late message of an earlier
-// life: were that one named, the life that runs would be refused, and the learner
-// would stay behind until the operator removed it.
-func (n *Node) bindIncarnations(m *pb.Membership) bool {
+// recordIncarnations records the incarnations of voters, and of learners that have
+// caught up. An earlier response under a learner's id may be a delayed message of a
+// previous incarnation. If that one were recorded, the running one would be
+// refused, and the learner could not catch up until the operator removed it.
+func (n *Node) recordIncarnations(m *pb.Membership) bool {
 	changed := false
 	for _, member := range m.Members {
 		if member.Role == pb.ReplicaRole_REPLICA_ROLE_LEARNER && !n.caughtUp(member) {
@@ -291,21 +296,21 @@
 	return changed
 }
 
-// caughtUp tells whether a learner may vote: it has everything committed, and
-// answers now, so that the larger quorum can be met.
+// caughtUp reports whether a learner may be promoted: it has everything that is
+// committed, and has answered recently, so that the larger quorum can be met.
 func (n *Node) caughtUp(member *pb.ReplicaMember) bool {
-	pr := n.lead.progress[member.Identity.Id]
+	pr := n.leaderState.progress[member.Identity.Id]
 	return pr != nil && pr.active(n.now, n.cfg.ElectionTimeout) && pr.match >= n.log.commit
 }
 
-// onAppliedMembership notices the own removal once it is committed.
+// onAppliedMembership detects the removal of this replica once it is committed.
 func (n *Node) onAppliedMembership(entries []*pb.LogEntry) {
 	for _, e := range entries {
 		m, err := decodeMembership(e)
 		if err != nil || m == nil {
 			continue
 		}
-		n.noteBound(m)
+		n.markFormedIfListed(m)
 		if wasRemoved(m, n.identity) {
 			n.onRemoved()
 			return
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -11,18 +11,19 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Role is what a replica is in its term.
+// Role is a replica's role in its term.
 type Role int
 
 const (
 	follower Role = iota
-	// preCandidate asks whether it could win before it raises its term.
+	// preCandidate asks whether it could win an election before it raises its
+	// term.
 	preCandidate
 	candidate
 	leader
 )
 
-// String gives the role's name for logs.
+// String returns the role's name for logs.
 func (r Role) String() string {
 	switch r {
 	case follower:
@@ -48,35 +49,38 @@
 	now     time.Duration
 	effects []Effect
 
-	term uint64
-	vote uint64
-	log  *entryLog
-	// members is the membership history that the log holds.
+	term     uint64
+	votedFor uint64
+	log      *entryLog
+	// members is the history of member lists in the log.
 	members   memberHistory
 	persist   persistence
-	formation formation
+	handshake handshake
 
 	role   Role
 	leader uint64
-	// started is false until the first Step, which gives the time of the start.
+	// started is false until the first Step, which gives the start time.
 	started bool
-	// heardAt is when this replica last heard the leader of its term, or its
-	// start: then it may have answered a leader just before, in its last life.
-	heardAt          time.Duration
-	electionDeadline time.Duration
-	votes            map[uint64]bool
+	// lastLeaderContact is when this replica last received a message of the
+	// leader of its term. It begins as the start time, since the replica may
+	// have answered a leader just before it restarted.
+	lastLeaderContact time.Duration
+	electionDeadline  time.Duration
+	votes             map[uint64]bool
 
-	lead     leadership
-	incoming snapshotReceiver
-	// snapshot is the latest snapshot, for replicas that are far behind.
-	snapshot        *pb.SnapshotMeta
-	snapshotData    []byte
-	snapshotAskedAt uint64
+	leaderState      leaderState
+	incomingSnapshot snapshotReceiver
+	// snapshot is the latest snapshot. It is sent to replicas that need
+	// compacted entries.
+	snapshot             *pb.SnapshotMeta
+	snapshotData         []byte
+	snapshotRequestIndex uint64
 
-	removed   bool
-	announced LeaderChanged
-	// announcedList is the index of the committed member list last told.
-	announcedList uint64
+	removed       bool
+	emittedLeader LeaderChanged
+	// emittedMembershipIndex is the index of the committed member list last
+	// reported.
+	emittedMembershipIndex uint64
 }
 
 // NewNode rebuilds a replica from what its store recovered.
@@ -87,17 +91,17 @@
 		random:   rand.New(rand.NewPCG(cfg.Seed, cfg.ID)),
 		log:      newEntryLog(init),
 		term:     init.HardState.GetTerm(),
-		vote:     init.HardState.GetVote(),
+		votedFor: init.HardState.GetVote(),
 		snapshot: init.Snapshot, snapshotData: init.SnapshotData,
 	}
 	n.members = newMemberHistory(init)
-	n.formation = newFormation(init)
+	n.handshake = newHandshake(init)
 	n.persist.syncedTerm = n.term
 	return n
 }
 
-// Step takes one event at the given time since boot, which never runs backwards,
-// and returns what the host must do, in order.
+// Step handles one event and returns what the host must do, in order. The time is
+// that since boot and never decreases.
 func (n *Node) Step(now time.Duration, ev Event) []Effect {
 	n.effects = nil
 	n.now = max(n.now, now)
@@ -109,20 +113,20 @@
 	}
 	n.dispatch(ev)
 	n.applyCommitted()
-	n.announce()
+	n.emitChanges()
 	n.flush()
 	return n.effects
 }
 
 func (n *Node) start() {
 	n.started = true
-	n.heardAt = n.now
+	n.lastLeaderContact = n.now
 	if n.term == 0 {
 		// A replica that was never in any term can't have answered a leader.
-		n.heardAt = n.now - n.cfg.ElectionTimeout
+		n.lastLeaderContact = n.now - n.cfg.ElectionTimeout
 	}
 	n.resetElectionDeadline()
-	n.emitMembers()
+	n.emitMembershipChanged()
 }
 
 func (n *Node) dispatch(ev Event) {
@@ -148,13 +152,13 @@
 	case RemovedByPeer:
 		n.onRemoved()
 	case Applied:
-		// The Apply effects are carried out in order, so the node's own cursor
-		// is enough.
+		// Apply effects are carried out in order, so the node's own applied
+		// index is enough.
 	}
 }
 
 func (n *Node) onTick() {
-	n.driveFormation()
+	n.continueHandshake()
 	if n.role == leader {
 		n.leaderTick()
 		return
@@ -182,7 +186,8 @@
 	n.onMessage(m, e.Incarnation)
 }
 
-// onMessage handles a message of the own term, or a pre-vote for a later one.
+// onMessage handles a message of the current term, or a pre-vote message for the
+// next one.
 func (n *Node) onMessage(m *pb.Message, incarnation string) {
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE:
@@ -200,20 +205,20 @@
 	case pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE,
 		pb.MessageKind_MESSAGE_KIND_HEARTBEAT_RESPONSE,
 		pb.MessageKind_MESSAGE_KIND_SNAPSHOT_RESPONSE:
-		n.onFollowerMessage(m, incarnation)
+		n.onReplicaResponse(m, incarnation)
 	case pb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW:
 		n.onTimeoutNow(m)
 	}
 }
 
-// becomeFollower enters a term, zero leader meaning that it is unknown.
+// becomeFollower enters a term. A zero leaderID means that the leader is unknown.
 func (n *Node) becomeFollower(term, leaderID uint64) {
 	if n.role == leader {
-		n.endLeadership()
+		n.resetLeaderState()
 	}
 	if term > n.term {
-		n.term, n.vote = term, 0
-		n.persist.hardDirty = true
+		n.term, n.votedFor = term, 0
+		n.persist.hardStateDirty = true
 	}
 	n.role, n.leader, n.votes = follower, leaderID, nil
 	n.resetElectionDeadline()
@@ -221,31 +226,32 @@
 
 func (n *Node) applyCommitted() {
 	last := min(n.log.commit, n.log.stable)
-	if n.incoming.restoring() || last <= n.log.applied {
+	if n.incomingSnapshot.restoring() || last <= n.log.applied {
 		return
 	}
 	entries := n.log.slice(n.log.applied+1, last, maxInt)
 	n.log.applied = last
 	n.emit(Apply{Entries: entries})
 	n.onAppliedMembership(entries)
-	n.maybeAskSnapshot()
+	n.maybeRequestSnapshot()
 }
 
-// announce tells of a newly committed member list, and of a change of term,
-// leader or readiness, once.
-func (n *Node) announce() {
-	if n.members.at(n.log.commit).index != n.announcedList {
-		n.emitMembers()
+// emitChanges reports a newly committed member list, and a change of term, leader or
+// readiness, once each.
+func (n *Node) emitChanges() {
+	if n.members.at(n.log.commit).index != n.emittedMembershipIndex {
+		n.emitMembershipChanged()
 	}
-	now := LeaderChanged{Term: n.term, Leader: n.leader, LeaderReady: n.ready()}
-	if now != n.announced {
-		n.announced = now
-		n.emit(now)
+	current := LeaderChanged{Term: n.term, Leader: n.leader, LeaderReady: n.ready()}
+	if current != n.emittedLeader {
+		n.emittedLeader = current
+		n.emit(current)
 	}
 }
 
-// ready tells whether this replica leads and an entry of its term is committed
-// and applied: only then is everything that earlier leaders committed known.
+// ready reports whether this replica is the leader and an entry of its term is
+// committed and applied: only then does it know everything that earlier leaders
+// committed.
 func (n *Node) ready() bool {
 	if n.role != leader {
 		return false
@@ -258,14 +264,14 @@
 
 func (n *Node) send(m *pb.Message) { n.emit(Send{Message: m}) }
 
-// message starts a message of the current term.
+// message creates a message of the current term.
 func (n *Node) message(kind pb.MessageKind, to uint64) *pb.Message {
 	return &pb.Message{Kind: kind, From: n.cfg.ID, To: to, Term: n.term}
 }
 
 func (n *Node) onRemoved() {
 	if n.role == leader {
-		n.endLeadership()
+		n.resetLeaderState()
 	}
 	n.role, n.leader, n.removed = follower, 0, true
 	n.emit(Removed{})
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -16,33 +16,34 @@
 	if l == nil {
 		t.Fatal("no leader after 2s")
 	}
-	before := c.applied
+	before := c.maxApplied
 	for range 50 {
 		c.propose(l)
 		c.run(3 * time.Millisecond)
 	}
 	c.read(l)
 	c.run(time.Second)
-	if len(c.faults) > 0 {
-		t.Fatal(c.faults)
+	if len(c.violations) > 0 {
+		t.Fatal(c.violations)
 	}
 	for _, id := range c.ids {
 		if h := c.hosts[id]; h.applied < before+50 {
 			t.Errorf("replica %d applied %d, want at least %d", id, h.applied, before+50)
 		}
 	}
-	if c.done == 0 || l.leaseUntil <= c.now {
-		t.Errorf("%d reads done, lease until %v at %v", c.done, l.leaseUntil, c.now)
+	if c.readsDone == 0 || l.leaseUntil <= c.now {
+		t.Errorf("%d reads done, lease until %v at %v", c.readsDone, l.leaseUntil, c.now)
 	}
 }
 
-// An operator sees a group of two without a leader for good, with both replicas
-// up. The leader was told to remove itself, appended that, and was killed before
-// the other had it. The other needs its vote, which it refuses: its own log is
-// longer; but it did not stand either, since its own list leaves it out.
+// Guards against a group of two that never elects a leader though both replicas
+// run. The leader appends its own removal and is killed before the other replica
+// receives it. The other needs the leader's vote, which is refused, since the
+// leader's log is longer. So the leader must campaign itself, though its own list
+// no longer contains it.
 func TestReplicaWithUncommittedOwnRemovalStandsForElection(t *testing.T) {
 	c := newCluster(3, 3)
-	c.size = 2
+	c.targetVoters = 2
 	c.run(2 * time.Second)
 	l := c.leader()
 	other, third := c.ids[l.id%3], c.ids[(l.id+1)%3]
@@ -51,21 +52,21 @@
 	c.blocked[link{l.id, other}] = true
 	c.step(l, ProposeMembership{Change: MembershipChange{RemoveID: l.id}})
 	c.run(100 * time.Millisecond)
-	if findMember(l.disk.lastList(), l.id) != nil {
+	if findMember(l.disk.latestMembership(), l.id) != nil {
 		t.Fatal("the removal is not in the leader's log")
 	}
 	c.crash(l)
 	clear(c.blocked)
 	c.start(l)
 	c.run(3 * time.Second)
-	if now := c.leader(); len(c.faults) > 0 || now == nil || now.id != other {
-		t.Fatalf("leader %v, faults %v", now, c.faults)
+	if newLeader := c.leader(); len(c.violations) > 0 || newLeader == nil || newLeader.id != other {
+		t.Fatalf("leader %v, violations %v", newLeader, c.violations)
 	}
 }
 
-// An operator sees a control replica crash in a loop: a process of another
-// version, or a broken one that holds the key, sends it messages that make no
-// sense. Whatever their fields say, a replica must not panic.
+// Guards against a control replica that crashes in a loop on invalid messages from
+// a process of another version, or from a faulty one that has the key. No message,
+// whatever its fields, may cause a panic.
 func TestGarbageDoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(1, 3)
@@ -93,28 +94,28 @@
 			}
 			c.step(h, Receive{Message: m})
 			c.step(h, Tick{})
-			for h.node != nil && len(h.writes) > 0 {
-				c.sync(h)
+			for h.node != nil && len(h.pendingWrites) > 0 {
+				c.finishWrite(h)
 			}
 		}
 	})
 }
 
-// A user sees accepted changes gone. A control VM lost its disk and was replaced;
-// at the very moment when the new replica got its vote, a second VM lost its disk,
-// and the rest elected a leader. Had the new replica voted before it held all that
-// was committed, the leader could lack some of it.
+// Guards against losing accepted changes. A control VM loses its disk and its
+// replica is replaced; when the new replica has just been promoted to a voter, a
+// second VM loses its disk and the others elect a leader. If the new replica could
+// vote before it held all committed entries, that leader might lack some of them.
 func TestSecondReplicaLostRightAfterRepair(t *testing.T) {
 	for name, loseLeader := range map[string]bool{"a follower": false, "the leader": true} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 20; seed++ {
-				secondLoss(t, seed, loseLeader)
+				checkSecondDiskLoss(t, seed, loseLeader)
 			}
 		})
 	}
 }
 
-func secondLoss(t *testing.T, seed uint64, loseLeader bool) {
+func checkSecondDiskLoss(t *testing.T, seed uint64, loseLeader bool) {
 	c := newCluster(seed, 3)
 	c.run(2 * time.Second)
 	l := c.leader()
@@ -122,7 +123,7 @@
 	if loseLeader {
 		second = l
 	}
-	c.lose(first)
+	c.loseDisk(first)
 	for repaired := false; !repaired; c.run(simStep) {
 		members := l.node.members.current()
 		repaired = len(members.Removed) == 1 && len(voterIDs(members)) == 3
@@ -130,22 +131,22 @@
 			t.Fatalf("seed %d: the group is not repaired: %v", seed, members)
 		}
 	}
-	before := c.applied
-	c.lose(second)
+	before := c.maxApplied
+	c.loseDisk(second)
 	c.run(5 * time.Second)
-	now := c.leader()
-	if len(c.faults) > 0 || now == nil || now.applied <= before {
-		t.Fatalf("seed %d: leader %v, applied before %d, faults %v", seed, now, before, c.faults)
+	newLeader := c.leader()
+	if len(c.violations) > 0 || newLeader == nil || newLeader.applied <= before {
+		t.Fatalf("seed %d: leader %v, applied before %d, violations %v", seed, newLeader, before, c.violations)
 	}
 }
 
-// A user sees two replicas act as leader, or something accepted gone: a replica
-// voted while a leader's lease may run, or for a log that lacks what it holds. Each
-// case is one way in which it may be asked to.
+// Guards against two leaders and lost entries: a replica must not vote while a
+// leader's lease may be valid, nor for a log that lacks entries it holds. Each case
+// is one way in which such a vote request may arrive.
 func TestVotesThatMustBeRefused(t *testing.T) {
-	const later = 10
+	const termsAhead = 10
 	cases := map[string]struct {
-		// prepare gives the replica that is asked.
+		// prepare returns the replica that receives the vote request.
 		prepare func(c *cluster, l, other *host) *host
 		behind  bool
 	}{
@@ -164,7 +165,7 @@
 		}},
 		"follower whose log holds more": {behind: true, prepare: func(c *cluster, l, other *host) *host {
 			c.crash(l)
-			c.cut(other.id, true)
+			c.setIsolated(other.id, true)
 			c.run(600 * time.Millisecond)
 			return other
 		}},
@@ -177,27 +178,28 @@
 			asked := tc.prepare(c, l, c.hosts[c.ids[l.id%3]])
 			vote := &pb.Message{
 				Kind: pb.MessageKind_MESSAGE_KIND_VOTE, From: c.ids[(l.id+1)%3], To: asked.id,
-				Term: asked.node.term + later, Index: asked.node.log.lastIndex(), LogTerm: asked.node.log.lastTerm(),
+				Term: asked.node.term + termsAhead, Index: asked.node.log.lastIndex(), LogTerm: asked.node.log.lastTerm(),
 			}
 			if tc.behind {
 				vote.Index--
 			}
 			c.step(asked, Receive{Message: vote})
-			if asked.node.vote == vote.From && asked.node.term == vote.Term {
-				t.Error("it voted")
+			if asked.node.votedFor == vote.From && asked.node.term == vote.Term {
+				t.Error("the replica voted")
 			}
 		})
 	}
 }
 
-// An operator sees two halves of a group each go on alone. A leader was cut off with
-// a removal that only it had; the next leader, told to remove another replica before
-// it had committed anything, appended that. Each list had a quorum without the other.
+// Guards against two disjoint quorums. A leader is partitioned with a removal that
+// only it has appended. The next leader is asked to remove another replica before
+// it has committed an entry of its term; if it appended that, each list would have
+// a quorum without the other.
 func TestNewLeaderChangesNothingBeforeItsOwnCommit(t *testing.T) {
 	c := newCluster(7, 4)
 	c.run(2 * time.Second)
 	old := c.leader()
-	c.cut(old.id, true)
+	c.setIsolated(old.id, true)
 	c.step(old, ProposeMembership{Change: MembershipChange{RemoveID: c.ids[old.id%4]}})
 	for c.now < 10*time.Second {
 		c.run(simStep)
@@ -206,7 +208,7 @@
 			if h == old || h.node.role != leader || h.node.log.matches(h.node.log.commit, h.node.term) {
 				continue
 			}
-			for _, e := range h.node.Step(c.local(h), ProposeMembership{ID: 1, Change: MembershipChange{RemoveID: old.id}}) {
+			for _, e := range h.node.Step(c.localTime(h), ProposeMembership{ID: 1, Change: MembershipChange{RemoveID: old.id}}) {
 				if r, ok := e.(ProposalRefused); ok && r.Reason == NotReady {
 					return
 				}
@@ -214,37 +216,37 @@
 			t.Fatal("the change was not refused")
 		}
 	}
-	t.Fatal("no new leader was met before its own commit")
+	t.Fatal("no new leader was seen before its first commit")
 }
 
-// A user sees two leaders. Two VMs of three lost their disks one after the other and
-// were replaced, but both start again with their first settings, and the one that is
-// left answers their HELLO, since their old lives are removed. Found by TestSchedules
-// with seed 11.
+// Guards against two leaders. Two VMs of three lose their disks one after the other
+// and are replaced, but both restart with their original bootstrap settings. The
+// remaining replica answers their HELLO, since their old incarnations were removed.
+// Found by TestSchedules with seed 11.
 func TestEmptiedReplicasFormNoGroupOfTheirOwn(t *testing.T) {
 	c := newCluster(9, 3)
 	c.run(2 * time.Second)
 	l := c.leader()
-	boot := l.disk.bootstrap
+	bootstrap := l.disk.bootstrap
 	for _, id := range []uint64{c.ids[l.id%3], c.ids[(l.id+1)%3]} {
 		c.addHost(uint64(len(c.ids)+1), nil)
 		c.crash(c.hosts[id])
-		c.lost[id] = true
+		c.lostDisks[id] = true
 		c.run(5 * time.Second)
 	}
 	for _, id := range []uint64{c.ids[l.id%3], c.ids[(l.id+1)%3]} {
 		h := c.hosts[id]
 		h.removed = false
-		c.wipe(h, boot)
+		c.wipe(h, bootstrap)
 		c.start(h)
 	}
 	c.run(5 * time.Second)
 	for _, id := range []uint64{c.ids[l.id%3], c.ids[(l.id+1)%3]} {
-		if n := c.hosts[id].node; n != nil && (n.formation.formed || n.term > 0 && findMember(n.members.current(), id) != nil) {
+		if n := c.hosts[id].node; n != nil && (n.handshake.formed || n.term > 0 && findMember(n.members.current(), id) != nil) {
 			t.Errorf("replica %d counts itself as formed", id)
 		}
 	}
-	if len(c.faults) > 0 {
-		t.Fatal(c.faults)
+	if len(c.violations) > 0 {
+		t.Fatal(c.violations)
 	}
 }
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -2,115 +2,117 @@
 
 import "goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 
-// persistence is the state of syncing: at most one Persist under way, and the
-// messages that must wait for one. Proposals that come during a sync share the
-// next one (group commit).
+// persistence tracks what is synced: at most one Persist is in progress, and
+// messages that depend on one are deferred. Proposals that arrive during a sync
+// share the next one (group commit).
 type persistence struct {
-	// sequence is that of the latest Persist given out.
+	// sequence is that of the latest Persist.
 	sequence uint64
-	// underWay is true until Persisted comes.
-	underWay bool
-	// stableAfter is how far the log is synced once it does.
+	// inProgress is true until Persisted arrives.
+	inProgress bool
+	// stableAfter is how far the log is synced once the Persist in progress
+	// completes.
 	stableAfter uint64
-	// hard is the hard state that the Persist under way writes, nil if none.
-	hard *pb.HardState
+	// hardState is what the latest Persist writes, nil before the first.
+	hardState *pb.HardState
 	// syncedTerm is the term that is known to be synced.
 	syncedTerm uint64
-	// hardDirty, truncateFrom and compactTo are what the next must write.
-	hardDirty    bool
-	truncateFrom uint64
-	compactTo    uint64
-	gated        []gatedMessage
+	// hardStateDirty, truncateFrom and compactTo are what the next Persist must
+	// write.
+	hardStateDirty bool
+	truncateFrom   uint64
+	compactTo      uint64
+	deferred       []deferredMessage
 }
 
-// gatedMessage may only go out once the Persist of that sequence is synced.
-type gatedMessage struct {
+// deferredMessage may be sent only once the Persist of that sequence is synced.
+type deferredMessage struct {
 	sequence uint64
 	message  *pb.Message
 }
 
-// noteTruncated records that entries from index on are replaced, also those that
-// the Persist under way writes.
-func (p *persistence) noteTruncated(from uint64) {
+// recordTruncation records that entries from an index on are replaced, including
+// those that the Persist in progress writes.
+func (p *persistence) recordTruncation(from uint64) {
 	p.stableAfter = min(p.stableAfter, from-1)
 	if p.truncateFrom == 0 || from < p.truncateFrom {
 		p.truncateFrom = from
 	}
 }
 
-// dirty tells whether there is something that the next Persist must write.
+// dirty reports whether the next Persist has something to write.
 func (n *Node) dirty() bool {
 	p := &n.persist
-	return p.hardDirty || p.truncateFrom != 0 || p.compactTo != 0 || n.log.stable < n.log.lastIndex()
+	return p.hardStateDirty || p.truncateFrom != 0 || p.compactTo != 0 || n.log.stable < n.log.lastIndex()
 }
 
-// unsynced tells whether a write that votes and acknowledgements rely on is
-// still to come beyond the one under way.
-func (n *Node) unsynced() bool {
+// hasUnsyncedState reports whether votes or acknowledgements depend on a write that the
+// Persist in progress does not contain.
+func (n *Node) hasUnsyncedState() bool {
 	p := &n.persist
 	written := n.log.stable
-	if p.underWay {
+	if p.inProgress {
 		written = max(written, p.stableAfter)
 	}
-	return p.hardDirty || p.truncateFrom != 0 || written < n.log.lastIndex()
+	return p.hardStateDirty || p.truncateFrom != 0 || written < n.log.lastIndex()
 }
 
-// sendSynced sends a message once everything that this replica has decided up to
-// now is synced. A vote or acknowledgement that went out earlier would be
-// forgotten in a crash: the replica could vote twice in a term, or the leader
-// count an entry as held here that is not.
-func (n *Node) sendSynced(m *pb.Message) {
+// sendAfterSync sends a message once all current state of this replica is synced.
+// If a vote or acknowledgement were sent earlier, a crash could make the replica
+// forget it: the replica could vote twice in a term, or the leader could count an
+// entry that this replica no longer holds.
+func (n *Node) sendAfterSync(m *pb.Message) {
 	p := &n.persist
 	switch {
-	case n.unsynced():
-		p.gated = append(p.gated, gatedMessage{sequence: p.sequence + 1, message: m})
-	case p.underWay:
-		p.gated = append(p.gated, gatedMessage{sequence: p.sequence, message: m})
+	case n.hasUnsyncedState():
+		p.deferred = append(p.deferred, deferredMessage{sequence: p.sequence + 1, message: m})
+	case p.inProgress:
+		p.deferred = append(p.deferred, deferredMessage{sequence: p.sequence, message: m})
 	default:
 		n.send(m)
 	}
 }
 
-// sendInTerm sends a message that only binds this replica to its term, such as a
-// heartbeat's answer: it need not wait for a log write under way.
-func (n *Node) sendInTerm(m *pb.Message) {
+// sendAfterTermSync sends a message that depends only on this replica's term, such
+// as a heartbeat response. It need not wait for a log write in progress.
+func (n *Node) sendAfterTermSync(m *pb.Message) {
 	if n.persist.syncedTerm == n.term {
 		n.send(m)
 		return
 	}
-	n.sendSynced(m)
+	n.sendAfterSync(m)
 }
 
-// flush gives out a Persist if there is something to write and none is under way.
+// flush emits a Persist if there is something to write and none is in progress.
 func (n *Node) flush() {
 	p := &n.persist
-	if p.underWay || n.incoming.restoring() || !n.dirty() {
+	if p.inProgress || n.incomingSnapshot.restoring() || !n.dirty() {
 		return
 	}
 	p.sequence++
-	p.underWay = true
+	p.inProgress = true
 	p.stableAfter = n.log.lastIndex()
-	p.hard = &pb.HardState{
-		Term: n.term, Vote: n.vote, Commit: n.log.commit, Formed: n.formation.formed,
+	p.hardState = &pb.HardState{
+		Term: n.term, Vote: n.votedFor, Commit: n.log.commit, Formed: n.handshake.formed,
 	}
 	n.emit(Persist{
-		Sequence: p.sequence, HardState: p.hard,
+		Sequence: p.sequence, HardState: p.hardState,
 		TruncateFrom: p.truncateFrom, CompactTo: p.compactTo,
 		Entries: n.log.slice(n.log.stable+1, n.log.lastIndex(), maxInt),
 	})
-	p.hardDirty, p.truncateFrom, p.compactTo = false, 0, 0
+	p.hardStateDirty, p.truncateFrom, p.compactTo = false, 0, 0
 }
 
 func (n *Node) onPersisted(e Persisted) {
 	p := &n.persist
-	if !p.underWay || e.Sequence != p.sequence {
+	if !p.inProgress || e.Sequence != p.sequence {
 		return
 	}
-	p.underWay = false
-	p.syncedTerm = p.hard.Term
+	p.inProgress = false
+	p.syncedTerm = p.hardState.Term
 	n.log.stable = max(n.log.stable, p.stableAfter)
-	n.releaseGated()
-	if n.role == candidate && p.hard.Term == n.term && p.hard.Vote == n.cfg.ID {
+	n.sendDeferred()
+	if n.role == candidate && p.hardState.Term == n.term && p.hardState.Vote == n.cfg.ID {
 		n.recordVote(n.cfg.ID, true)
 	}
 	if n.role == leader {
@@ -119,16 +121,16 @@
 	n.startRestore()
 }
 
-func (n *Node) releaseGated() {
+func (n *Node) sendDeferred() {
 	p := &n.persist
-	kept := p.gated[:0]
-	for _, g := range p.gated {
-		if g.sequence <= p.sequence {
-			n.send(g.message)
+	kept := p.deferred[:0]
+	for _, d := range p.deferred {
+		if d.sequence <= p.sequence {
+			n.send(d.message)
 			continue
 		}
-		kept = append(kept, g)
+		kept = append(kept, d)
 	}
-	clear(p.gated[len(kept):])
-	p.gated = kept
+	clear(p.deferred[len(kept):])
+	p.deferred = kept
 }
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -5,63 +5,66 @@
 type progressState int
 
 const (
-	// probing: where the logs agree is unknown; one append at a time.
+	// probing: the index up to which the logs agree is unknown; one append at a
+	// time.
 	probing progressState = iota
-	// replicating: appends go out without waiting, up to the inflight bound.
+	// replicating: appends are pipelined, up to the in-flight bound.
 	replicating
-	// snapshotting: the replica needs entries that are compacted away.
+	// snapshotting: the replica needs entries that are compacted.
 	snapshotting
 )
 
-// progress is what a leader knows of another replica.
+// progress is a leader's view of another replica.
 //
-// Invariant: match < next, and everything up to match is synced there.
+// Invariant: match < next, and the replica has synced everything up to match.
 type progress struct {
 	state progressState
 	match uint64
 	next  uint64
 	// inflight holds the last index of each unanswered append, in order.
 	inflight []uint64
-	// movedAt is when an append or chunk was last sent or answered; a replica
-	// that is behind and silent for longer is probed again, since the message
-	// or its answer may be lost.
-	movedAt time.Duration
-	// probeSent holds back further appends while probing.
+	// lastActivityAt is when an append or chunk was last sent or answered. A
+	// replica that is behind and inactive for too long is probed again, since
+	// the message or its response may be lost.
+	lastActivityAt time.Duration
+	// probeSent blocks further appends while probing.
 	probeSent bool
-	// ackedRound and ackedSentAt are the latest heartbeat round answered and
-	// when it was sent.
+	// ackedRound is the latest heartbeat round answered; ackedSentAt is when it
+	// was sent.
 	ackedRound  uint64
 	ackedSentAt time.Duration
-	// activeAt is when it was last heard.
-	activeAt time.Duration
-	// heard is true once it answered in this term.
-	heard bool
-	// incarnation is the one that answers, empty until it does.
-	incarnation string
-	transfer    *snapshotTransfer
+	// lastContactAt is when the replica's last response arrived.
+	lastContactAt time.Duration
+	// answeredInTerm is true once the replica has answered in this term.
+	answeredInTerm bool
+	// incarnation is that of the replica's last response, empty if there was
+	// none.
+	incarnation      string
+	snapshotTransfer *snapshotTransfer
 }
 
 func (p *progress) probe() {
 	p.state, p.next, p.probeSent = probing, p.match+1, false
-	p.inflight, p.transfer = nil, nil
+	p.inflight, p.snapshotTransfer = nil, nil
 }
 
-// acked notes that everything up to index is synced there; true if that is news.
-func (p *progress) acked(index uint64, now time.Duration) bool {
+// onAcknowledged records that the replica has synced everything up to index, and
+// returns true if match has advanced.
+func (p *progress) onAcknowledged(index uint64, now time.Duration) bool {
 	for len(p.inflight) > 0 && p.inflight[0] <= index {
 		p.inflight = p.inflight[1:]
 	}
-	news := index > p.match
+	advanced := index > p.match
 	p.match = max(p.match, index)
 	p.next = max(p.next, index+1)
-	p.movedAt = now
-	if p.state == probing || p.state == snapshotting && p.transfer.covered(index) {
-		p.state, p.probeSent, p.transfer = replicating, false, nil
+	p.lastActivityAt = now
+	if p.state == probing || p.state == snapshotting && p.snapshotTransfer.isCoveredBy(index) {
+		p.state, p.probeSent, p.snapshotTransfer = replicating, false, nil
 	}
-	return news
+	return advanced
 }
 
-// paused tells whether no append may go out now.
+// paused reports whether no append may be sent.
 func (p *progress) paused(maxInflight int) bool {
 	switch p.state {
 	case probing:
@@ -73,9 +76,9 @@
 	}
 }
 
-// sent notes an append of entries up to last.
-func (p *progress) sent(last uint64, now time.Duration) {
-	p.movedAt = now
+// onAppendSent records an append of entries up to last.
+func (p *progress) onAppendSent(last uint64, now time.Duration) {
+	p.lastActivityAt = now
 	if p.state == probing {
 		p.probeSent = true
 		return
@@ -84,7 +87,8 @@
 	p.inflight = append(p.inflight, last)
 }
 
-// active tells whether the replica has answered in this term and not long ago.
+// active reports whether the replica has answered in this term and within the
+// timeout.
 func (p *progress) active(now, timeout time.Duration) bool {
-	return p.heard && now < p.activeAt+timeout
+	return p.answeredInTerm && now < p.lastContactAt+timeout
 }
--- a/internal/consensus/quorum.go
+++ b/internal/consensus/quorum.go
@@ -7,11 +7,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// quorumSize is how many of the voters make a majority.
+// quorumSize is the number of voters in a majority.
 func quorumSize(voters int) int { return voters/2 + 1 }
 
-// quorumValue is the greatest value that a majority has reached, given each
-// voter's value.
+// quorumValue is the greatest value that a majority has reached, given each voter's
+// value.
 func quorumValue[T cmp.Ordered](values []T) T {
 	var zero T
 	if len(values) == 0 {
@@ -32,7 +32,7 @@
 	return ids
 }
 
-// findMember gives the member with that id, nil if there is none.
+// findMember returns the member with that id, nil if there is none.
 func findMember(m *pb.Membership, id uint64) *pb.ReplicaMember {
 	for _, member := range m.GetMembers() {
 		if member.Identity.Id == id {
--- a/internal/consensus/readindex.go
+++ b/internal/consensus/readindex.go
@@ -1,77 +1,79 @@
 package consensus
 
-// readQueue holds reads that wait for a quorum to answer a heartbeat round sent
-// after they came: then no later leader had committed anything when they came,
-// so the commit index noted with them covers everything committed before.
-type readQueue struct{ reads []pendingRead }
+// readQueue holds reads that wait for a quorum to answer a heartbeat round that was
+// sent after the read arrived. Such a round proves that no later leader had
+// committed anything when the read arrived, so the commit index recorded at its
+// arrival covers everything committed before.
+type readQueue struct{ entries []pendingRead }
 
 type pendingRead struct {
 	id    uint64
 	index uint64
-	// round is zero until a round begins after the read came.
+	// round is zero until a round starts after the read arrived.
 	round uint64
 }
 
-// begin gives the reads without a round to this one.
-func (q *readQueue) begin(round uint64) {
-	for i := range q.reads {
-		if q.reads[i].round == 0 {
-			q.reads[i].round = round
+// assignRound assigns the round to the reads that have none.
+func (q *readQueue) assignRound(round uint64) {
+	for i := range q.entries {
+		if q.entries[i].round == 0 {
+			q.entries[i].round = round
 		}
 	}
 }
 
-// roundUnderWay tells whether reads wait for a round's answers already.
-func (q *readQueue) roundUnderWay() bool {
-	return len(q.reads) > 0 && q.reads[0].round != 0
+// roundInProgress reports whether reads already wait for the responses to a round.
+func (q *readQueue) roundInProgress() bool {
+	return len(q.entries) > 0 && q.entries[0].round != 0
 }
 
-// take removes the reads that the answered round confirms. Rounds grow along the
-// queue, so they are its head.
-func (q *readQueue) take(answered uint64) []pendingRead {
+// removeConfirmed removes the reads that the answered round confirms. Rounds
+// increase along the queue, so they are at its head.
+func (q *readQueue) removeConfirmed(answered uint64) []pendingRead {
 	done := 0
-	for done < len(q.reads) && q.reads[done].round != 0 && q.reads[done].round <= answered {
+	for done < len(q.entries) && q.entries[done].round != 0 && q.entries[done].round <= answered {
 		done++
 	}
-	taken := q.reads[:done]
-	q.reads = q.reads[done:]
-	return taken
+	confirmed := q.entries[:done]
+	q.entries = q.entries[done:]
+	return confirmed
 }
 
-// onReadIndex begins a heartbeat round unless reads wait for one already; then
-// the next round takes this read and all others that have come meanwhile.
+// onReadIndex starts a heartbeat round unless one is already in progress for
+// earlier reads; in that case the next round confirms this read and all others that
+// arrived meanwhile.
 func (n *Node) onReadIndex(e ReadIndex) {
 	if !n.ready() {
 		n.emit(ReadRefused(e))
 		return
 	}
-	underWay := n.lead.reads.roundUnderWay()
-	n.lead.reads.reads = append(n.lead.reads.reads, pendingRead{id: e.ID, index: n.log.commit})
-	if !underWay {
+	inProgress := n.leaderState.reads.roundInProgress()
+	n.leaderState.reads.entries = append(n.leaderState.reads.entries, pendingRead{id: e.ID, index: n.log.commit})
+	if !inProgress {
 		n.heartbeat()
 	}
 }
 
 func (n *Node) confirmReads() {
-	if len(n.lead.reads.reads) == 0 {
+	if len(n.leaderState.reads.entries) == 0 {
 		return
 	}
-	for _, r := range n.lead.reads.take(n.answeredRound()) {
+	for _, r := range n.leaderState.reads.removeConfirmed(n.quorumRound()) {
 		n.emit(ReadReady{ID: r.id, Index: r.index})
 	}
-	if q := &n.lead.reads; len(q.reads) > 0 && !q.roundUnderWay() {
+	if q := &n.leaderState.reads; len(q.entries) > 0 && !q.roundInProgress() {
 		n.heartbeat()
 	}
 }
 
-// answeredRound is the latest round that a quorum has answered.
-func (n *Node) answeredRound() uint64 {
+// quorumRound is the latest round that a quorum has answered.
+func (n *Node) quorumRound() uint64 {
 	voters := voterIDs(n.members.current())
 	rounds := make([]uint64, 0, len(voters))
 	for _, id := range voters {
-		round := n.lead.rounds.last
+		round := n.leaderState.rounds.last
 		if id != n.cfg.ID {
-			round = n.lead.progress[id].ackedRound
+			round = n.leaderState.progress[id].ackedRound
 		}
 		rounds = append(rounds, round)
 	}
@@ -79,8 +81,8 @@
 }
 
 func (n *Node) refuseReads() {
-	for _, r := range n.lead.reads.reads {
+	for _, r := range n.leaderState.reads.entries {
 		n.emit(ReadRefused{ID: r.id})
 	}
-	n.lead.reads = readQueue{}
+	n.leaderState.reads = readQueue{}
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -2,39 +2,40 @@
 
 import "goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 
-// stallIntervals is how many heartbeat intervals a replica that is behind may
-// stay silent before its last message counts as lost and is sent again.
+// stallIntervals is the number of heartbeat intervals without activity after which
+// the last message to a replica that is behind counts as lost and is sent again.
 const stallIntervals = 2
 
 func (n *Node) onPropose(e Propose) {
-	if reason := n.refuseProposal(len(e.Data)); reason != 0 {
+	if reason := n.proposalRefusal(len(e.Data)); reason != 0 {
 		n.emit(ProposalRefused{ID: e.ID, Reason: reason})
 		return
 	}
-	entry := n.appendOwn(pb.LogEntryKind_LOG_ENTRY_KIND_NORMAL, e.Data)
+	entry := n.appendEntry(pb.LogEntryKind_LOG_ENTRY_KIND_NORMAL, e.Data)
 	n.emit(ProposalAppended{ID: e.ID, Index: entry.Index, Term: entry.Term})
 	n.replicateAll()
 }
 
-func (n *Node) refuseProposal(bytes int) RefusalReason {
+func (n *Node) proposalRefusal(bytes int) RefusalReason {
 	switch {
-	case n.role != leader || n.handingOver():
+	case n.role != leader || n.transferLeaseExpired():
 		return NotLeader
-	case n.lead.uncommitted.total+bytes > n.cfg.MaxUncommittedBytes:
+	case n.leaderState.uncommitted.total+bytes > n.cfg.MaxUncommittedBytes:
 		return Overloaded
 	}
 	return 0
 }
 
-// appendOwn appends an entry of the own term to the leader's log.
-func (n *Node) appendOwn(kind pb.LogEntryKind, data []byte) *pb.LogEntry {
+// appendEntry appends an entry of the current term to the leader's log.
+func (n *Node) appendEntry(kind pb.LogEntryKind, data []byte) *pb.LogEntry {
 	entry := &pb.LogEntry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
-	n.lead.uncommitted.add(entry.Index, len(data))
+	n.leaderState.uncommitted.add(entry.Index, len(data))
 	return entry
 }
 
-// replicateAll sends each member what it lacks, as far as flow control allows.
+// replicateAll sends each member the entries it lacks, as far as flow control
+// allows.
 func (n *Node) replicateAll() {
 	for _, id := range n.peers() {
 		n.replicate(id)
@@ -42,12 +43,13 @@
 }
 
 func (n *Node) replicate(id uint64) {
-	pr := n.lead.progress[id]
+	pr := n.leaderState.progress[id]
 	for n.sendAppend(id, pr) {
 	}
 }
 
-// sendAppend sends one append message if there is cause; true if another may follow.
+// sendAppend sends one append message if one is needed, and returns true if another
+// may follow.
 func (n *Node) sendAppend(id uint64, pr *progress) bool {
 	last := n.log.lastIndex()
 	if pr.paused(n.cfg.MaxInflight) || pr.match == last || pr.state == replicating && pr.next > last {
@@ -55,7 +57,7 @@
 	}
 	prevTerm, ok := n.log.term(pr.next - 1)
 	if !ok {
-		n.startSnapshot(id, pr)
+		n.startSnapshotTransfer(id, pr)
 		return false
 	}
 	entries := n.log.slice(pr.next, last, n.cfg.MaxAppendBytes)
@@ -63,12 +65,12 @@
 	m.Index, m.LogTerm = pr.next-1, prevTerm
 	m.Entries, m.Commit = entries, n.log.commit
 	n.send(m)
-	pr.sent(m.Index+uint64(len(entries)), n.now)
+	pr.onAppendSent(m.Index+uint64(len(entries)), n.now)
 	return true
 }
 
-// onLeaderMessage takes what the leader of the current term sends. There is one
-// leader a term, so a leader never gets here.
+// onLeaderMessage handles a message of the current term's leader. A term has only
+// one leader, so a leader ignores it.
 func (n *Node) onLeaderMessage(m *pb.Message) {
 	if n.role == leader {
 		return
@@ -76,7 +78,7 @@
 	if n.role != follower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
 	}
-	n.heardAt = n.now
+	n.lastLeaderContact = n.now
 	n.resetElectionDeadline()
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_HEARTBEAT:
@@ -88,47 +90,47 @@
 	}
 }
 
-// onHeartbeat follows the commit index where the log agrees. The leader bounds it
-// by what this replica has acknowledged in this term; but a replica whose folder
-// was put back from an older copy may hold another entry there, and would apply
-// one that was never committed.
+// onHeartbeat advances the commit index if the log matches. The leader sends no
+// higher index than this replica has acknowledged in this term. The log may still
+// differ: a replica whose folder was restored from an older copy may hold another
+// entry there, and would apply one that was never committed.
 func (n *Node) onHeartbeat(m *pb.Message) {
 	if n.log.matches(m.Index, m.LogTerm) {
-		n.followCommit(m.Index)
+		n.raiseCommit(m.Index)
 	}
-	answer := n.message(pb.MessageKind_MESSAGE_KIND_HEARTBEAT_RESPONSE, m.From)
-	answer.Context = m.Context
-	n.sendInTerm(answer)
+	resp := n.message(pb.MessageKind_MESSAGE_KIND_HEARTBEAT_RESPONSE, m.From)
+	resp.Context = m.Context
+	n.sendAfterTermSync(resp)
 }
 
-func (n *Node) followCommit(index uint64) {
-	if n.incoming.restoring() {
+func (n *Node) raiseCommit(index uint64) {
+	if n.incomingSnapshot.restoring() {
 		return
 	}
 	n.log.commit = max(n.log.commit, min(index, n.log.lastIndex()))
 }
 
 func (n *Node) onAppend(m *pb.Message) {
-	if n.incoming.restoring() || !wellFormed(m) {
+	if n.incomingSnapshot.restoring() || !wellFormed(m) {
 		return
 	}
 	if m.Index < n.log.commit {
-		// Both logs hold the same up to commit; say so at once.
-		n.answerAppend(m.From, n.log.commit)
+		// Both logs are equal up to commit, so acknowledge that at once.
+		n.sendAppendResponse(m.From, n.log.commit)
 		return
 	}
 	if !n.log.matches(m.Index, m.LogTerm) {
-		n.rejectAppend(m)
+		n.sendAppendRejection(m)
 		return
 	}
-	n.takeEntries(m.Entries)
+	n.mergeEntries(m.Entries)
 	last := m.Index + uint64(len(m.Entries))
-	n.followCommit(min(m.Commit, last))
-	n.answerAppend(m.From, last)
+	n.raiseCommit(min(m.Commit, last))
+	n.sendAppendResponse(m.From, last)
 }
 
-// wellFormed tells whether the entries follow each other as a leader's do, and
-// membership entries can be read.
+// wellFormed reports whether the entries are consecutive with non-decreasing terms
+// up to the message's term, and membership entries can be decoded.
 func wellFormed(m *pb.Message) bool {
 	index, term := m.Index, m.LogTerm
 	for _, e := range m.Entries {
@@ -143,58 +145,60 @@
 	return true
 }
 
-// takeEntries appends what the log lacks and replaces what conflicts. Entries
-// that are there already stay: an old, delayed append must not cut what a newer
-// one has added.
-func (n *Node) takeEntries(entries []*pb.LogEntry) {
+// mergeEntries appends entries that the log lacks and replaces conflicting ones.
+// Matching entries stay: a delayed append must not truncate what a later one has
+// added.
+func (n *Node) mergeEntries(entries []*pb.LogEntry) {
 	for i, e := range entries {
 		if n.log.matches(e.Index, e.Term) {
 			continue
 		}
 		if e.Index <= n.log.lastIndex() {
 			n.log.truncate(e.Index)
-			n.persist.noteTruncated(e.Index)
-			n.truncateMembers(e.Index)
+			n.persist.recordTruncation(e.Index)
+			n.truncateMemberships(e.Index)
 		}
 		n.log.append(entries[i:]...)
-		n.takeMembers(entries[i:])
+		n.adoptMemberships(entries[i:])
 		return
 	}
 }
 
-func (n *Node) answerAppend(to, index uint64) {
-	answer := n.message(pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, to)
-	answer.Index = index
-	n.sendSynced(answer)
+func (n *Node) sendAppendResponse(to, index uint64) {
+	resp := n.message(pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, to)
+	resp.Index = index
+	n.sendAfterSync(resp)
 }
 
-// rejectAppend says where the logs may agree, so that the leader skips whole
-// terms instead of trying each index.
-func (n *Node) rejectAppend(m *pb.Message) {
-	answer := n.message(pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, m.From)
-	answer.Reject, answer.Index = true, m.Index
-	answer.RejectHint, answer.RejectHintTerm = n.log.hintBelow(m.Index, m.LogTerm)
-	n.sendInTerm(answer)
+// sendAppendRejection reports where the logs may agree, so that the leader skips
+// whole terms instead of trying each index.
+func (n *Node) sendAppendRejection(m *pb.Message) {
+	resp := n.message(pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, m.From)
+	resp.Reject, resp.Index = true, m.Index
+	resp.RejectHint, resp.RejectHintTerm = n.log.conflictHint(m.Index, m.LogTerm)
+	n.sendAfterTermSync(resp)
 }
 
-func (n *Node) onFollowerMessage(m *pb.Message, incarnation string) {
+func (n *Node) onReplicaResponse(m *pb.Message, incarnation string) {
 	if n.role != leader {
 		return
 	}
-	pr := n.lead.progress[m.From]
+	pr := n.leaderState.progress[m.From]
 	if pr == nil {
 		return
 	}
-	bound := findMember(n.members.current(), m.From).GetIdentity().GetIncarnation()
-	if bound != "" && bound != incarnation {
-		// The host goes by the committed list, which may not name the life yet.
+	expected := findMember(n.members.current(), m.From).GetIdentity().GetIncarnation()
+	if expected != "" && expected != incarnation {
+		// The host checks the committed list, which may not contain this
+		// incarnation yet.
 		return
 	}
-	if pr.incarnation != incarnation && pr.heard {
-		// Another life of a learner: what the earlier one had synced is gone.
+	if pr.incarnation != incarnation && pr.answeredInTerm {
+		// A learner has a new incarnation, so what the earlier one had synced
+		// is lost.
 		*pr = n.newProgress()
 	}
-	pr.activeAt, pr.heard, pr.incarnation = n.now, true, incarnation
+	pr.lastContactAt, pr.answeredInTerm, pr.incarnation = n.now, true, incarnation
 	switch m.Kind {
 	case pb.MessageKind_MESSAGE_KIND_HEARTBEAT_RESPONSE:
 		n.onHeartbeatResponse(m, pr)
@@ -206,16 +210,16 @@
 }
 
 func (n *Node) onHeartbeatResponse(m *pb.Message, pr *progress) {
-	if at, ok := n.lead.rounds.sent(m.Context); ok && m.Context > pr.ackedRound {
+	if at, ok := n.leaderState.rounds.sendTime(m.Context); ok && m.Context > pr.ackedRound {
 		pr.ackedRound, pr.ackedSentAt = m.Context, at
 	}
 	n.confirmReads()
-	stalled := n.now >= pr.movedAt+stallIntervals*n.cfg.HeartbeatInterval
+	stalled := n.now >= pr.lastActivityAt+stallIntervals*n.cfg.HeartbeatInterval
 	if pr.match == n.log.lastIndex() || !stalled {
 		return
 	}
 	if pr.state == snapshotting {
-		n.sendChunk(m.From, pr)
+		n.sendSnapshotChunk(m.From, pr)
 		return
 	}
 	pr.probe()
@@ -228,32 +232,32 @@
 		return
 	}
 	if m.Index > n.log.lastIndex() {
-		// Nobody can hold more of this term's log than its leader; the sender is
-		// not what it says it is.
+		// No replica can hold more of this term's log than its leader, so the
+		// response is invalid.
 		return
 	}
-	if pr.acked(m.Index, n.now) {
+	if pr.onAcknowledged(m.Index, n.now) {
 		n.advanceCommit()
 	}
 	if n.role != leader {
 		return
 	}
-	n.settleMembers()
+	n.advanceMembership()
 	n.replicate(m.From)
-	n.driveTransfer()
+	n.continueTransfer()
 }
 
-// onAppendRejected moves back to where the logs may agree. Rejections that are
-// older than what is known by now are left alone.
+// onAppendRejected moves back to where the logs may agree. Outdated rejections are
+// ignored.
 func (n *Node) onAppendRejected(m *pb.Message, pr *progress) {
 	stale := m.Index <= pr.match || pr.state == probing && m.Index != pr.next-1
 	if stale || pr.state == snapshotting {
 		return
 	}
 	hint := min(m.RejectHint, m.Index-1)
-	agreed, _ := n.log.hintBelow(hint, m.RejectHintTerm)
+	agreed, _ := n.log.conflictHint(hint, m.RejectHintTerm)
 	pr.probe()
 	pr.next = max(pr.match, agreed) + 1
-	pr.movedAt = n.now
+	pr.lastActivityAt = n.now
 	n.replicate(m.From)
 }
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes seed and number of schedules; GOLDCREST_SEEDS=N plays N.
+// init fixes the seed and the number of schedules; GOLDCREST_SEEDS=N runs N
+// schedules.
 func init() {
 	checks := "100"
 	if n := os.Getenv("GOLDCREST_SEEDS"); n != "" {
@@ -22,14 +23,14 @@
 	}
 }
 
-// schedule plays faults on a cluster as rapid draws them.
+// schedule injects faults into a cluster as drawn by rapid.
 type schedule struct {
 	c *cluster
-	// copies holds an older state of a replica's folder.
-	copies map[uint64]*disk
+	// oldFolders holds an older copy of replicas' data folders.
+	oldFolders map[uint64]*disk
 }
 
-func (s *schedule) host(t *rapid.T) *host {
+func (s *schedule) pickHost(t *rapid.T) *host {
 	return s.c.hosts[rapid.SampledFrom(s.c.ids).Draw(t, "replica")]
 }
 
@@ -39,22 +40,22 @@
 }
 
 func (s *schedule) propose(t *rapid.T) {
-	h := s.host(t)
+	h := s.pickHost(t)
 	for range rapid.IntRange(1, 10).Draw(t, "proposals") {
 		s.c.propose(h)
 	}
 }
 
-func (s *schedule) read(t *rapid.T) { s.c.read(s.host(t)) }
+func (s *schedule) read(t *rapid.T) { s.c.read(s.pickHost(t)) }
 
-// fault begins a fault that ends by itself after a while, or with repair.
-func (s *schedule) fault(kind faultKind) func(*rapid.T) {
+// faultAction injects a fault that ends by itself after a while, or with repair.
+func (s *schedule) faultAction(kind faultKind) func(*rapid.T) {
 	return func(t *rapid.T) {
-		s.c.disturb(kind, s.host(t))
+		s.c.injectFault(kind, s.pickHost(t))
 	}
 }
 
-func (s *schedule) split(t *rapid.T) {
+func (s *schedule) partition(t *rapid.T) {
 	side := rapid.Uint64().Draw(t, "side")
 	for _, a := range s.c.ids {
 		for _, b := range s.c.ids {
@@ -63,7 +64,7 @@
 			}
 		}
 	}
-	s.c.endLater(func() { clear(s.c.blocked) })
+	s.c.scheduleFaultEnd(func() { clear(s.c.blocked) })
 }
 
 // repair ends all faults.
@@ -75,55 +76,56 @@
 	}
 }
 
-// resize changes how many voters the operator keeps. An operator who has lost a
-// replica removes no other: within an ElectionTimeout the leader could not know.
+// resize changes the number of voters that the operator maintains. It removes no
+// replica while another one's disk is lost: within an ElectionTimeout the leader
+// could not know of the loss.
 func (s *schedule) resize(t *rapid.T) {
-	s.c.size = rapid.IntRange(3, 5).Draw(t, "size")
+	s.c.targetVoters = rapid.IntRange(3, 5).Draw(t, "size")
 	l := s.c.leader()
-	if l == nil || len(l.node.Status().Membership.Members) <= s.c.size || len(s.lostVoters(s.c.ids)) > 0 {
+	if l == nil || len(l.node.Status().Membership.Members) <= s.c.targetVoters || len(s.lostVoters(s.c.ids)) > 0 {
 		return
 	}
-	s.c.step(l, ProposeMembership{Change: MembershipChange{RemoveID: s.host(t).id}})
+	s.c.step(l, ProposeMembership{Change: MembershipChange{RemoveID: s.pickHost(t).id}})
 }
 
-// lose empties a replica's disk, with its old settings. The group must still
-// have a quorum without it: this keeps the schedule live, not safe.
-func (s *schedule) lose(t *rapid.T) {
-	h := s.host(t)
-	if !s.spare(h) {
+// loseDisk empties a replica's disk; the replica keeps its settings. The group must
+// still have a quorum without it. This restriction serves liveness, not safety.
+func (s *schedule) loseDisk(t *rapid.T) {
+	h := s.pickHost(t)
+	if !s.canLoseDisk(h) {
 		return
 	}
 	if rapid.Bool().Draw(t, "join") {
 		h.disk.bootstrap = nil
 	}
-	s.c.lose(h)
+	s.c.loseDisk(h)
 }
 
-// spare tells whether the group can do without one more replica. A new group
-// whose replicas have not all met yet can't.
-func (s *schedule) spare(h *host) bool {
+// canLoseDisk reports whether the group can do without one more replica. A new
+// group whose replicas have not all completed the handshake can't.
+func (s *schedule) canLoseDisk(h *host) bool {
 	l := s.c.leader()
-	if l == nil || l == h || l.node.refuseChange() != 0 || s.c.lost[h.id] || h.removed {
+	if l == nil || l == h || l.node.membershipChangeRefusal() != 0 || s.c.lostDisks[h.id] || h.removed {
 		return false
 	}
 	voters := voterIDs(l.node.members.current())
-	left := 0
+	remaining := 0
 	for _, id := range voters {
 		o := s.c.hosts[id]
-		if o.disk.bootstrap != nil && !o.disk.hard.GetFormed() {
+		if o.disk.bootstrap != nil && !o.disk.hardState.GetFormed() {
 			return false
 		}
-		if id != h.id && !s.c.lost[id] && !o.removed {
-			left++
+		if id != h.id && !s.c.lostDisks[id] && !o.removed {
+			remaining++
 		}
 	}
-	return left >= quorumSize(len(voters)) && len(s.lostVoters(voters)) == 0
+	return remaining >= quorumSize(len(voters)) && len(s.lostVoters(voters)) == 0
 }
 
 func (s *schedule) lostVoters(voters []uint64) []uint64 {
 	var lost []uint64
 	for _, id := range voters {
-		if s.c.lost[id] && !s.c.hosts[id].removed {
+		if s.c.lostDisks[id] && !s.c.hosts[id].removed {
 			lost = append(lost, id)
 		}
 	}
@@ -131,28 +133,28 @@
 }
 
 func (s *schedule) copyFolder(t *rapid.T) {
-	h := s.host(t)
-	s.copies[h.id] = h.disk.clone()
+	h := s.pickHost(t)
+	s.oldFolders[h.id] = h.disk.clone()
 }
 
-// putBack starts a replica from an older copy of its folder, after a later boot
-// that every replica of the group has heard of.
-func (s *schedule) putBack(t *rapid.T) {
-	h := s.host(t)
-	old := s.copies[h.id]
-	if old == nil || old.folder.Incarnation != h.disk.folder.Incarnation || old.folder.Boot >= h.disk.folder.Boot {
+// restoreOldFolder starts a replica from an older copy of its folder, after every
+// replica of the group has learned of a later boot.
+func (s *schedule) restoreOldFolder(t *rapid.T) {
+	h := s.pickHost(t)
+	old := s.oldFolders[h.id]
+	if old == nil || old.identity.Incarnation != h.disk.identity.Incarnation || old.identity.Boot >= h.disk.identity.Boot {
 		return
 	}
 	for _, id := range s.c.ids {
 		o := s.c.hosts[id]
-		if o != h && !o.removed && !s.c.lost[id] && o.disk.peers[h.id].GetBootNonce() != h.disk.folder.BootNonce {
+		if o != h && !o.removed && !s.c.lostDisks[id] && o.disk.peers[h.id].GetBootNonce() != h.disk.identity.BootNonce {
 			return
 		}
 	}
-	if !s.spare(h) {
+	if !s.canLoseDisk(h) {
 		return
 	}
-	s.c.lost[h.id] = true
+	s.c.lostDisks[h.id] = true
 	s.c.crash(h)
 	h.disk = old.clone()
 	s.c.start(h)
@@ -160,42 +162,43 @@
 
 func (s *schedule) check(t *rapid.T) {
 	s.c.checkLogs()
-	if len(s.c.faults) > 0 {
-		t.Fatal(s.c.faults)
+	if len(s.c.violations) > 0 {
+		t.Fatal(s.c.violations)
 	}
 }
 
-// settle ends all faults: the group must then elect, repair itself and commit.
-func (s *schedule) settle(t *rapid.T) {
+// checkRecovery ends all faults: the group must then elect a leader, replace lost
+// replicas and commit.
+func (s *schedule) checkRecovery(t *rapid.T) {
 	c := s.c
-	c.loss, c.chaos, c.timers = 0, 0, nil
+	c.lossRate, c.faultRate, c.timers = 0, 0, nil
 	s.repair(t)
 	for range 60 {
 		c.run(500 * time.Millisecond)
 		s.check(t)
-		if s.settled() {
+		if s.hasRecovered() {
 			return
 		}
 	}
 	for _, id := range c.ids {
 		if n := c.hosts[id].node; n != nil {
-			t.Logf("replica %d lost %v: %+v", id, c.lost[id], n.Status())
+			t.Logf("replica %d, disk lost %v: %+v", id, c.lostDisks[id], n.Status())
 		}
 	}
-	t.Fatal("the group does not settle")
+	t.Fatal("the group does not recover")
 }
 
-func (s *schedule) settled() bool {
+func (s *schedule) hasRecovered() bool {
 	l := s.c.leader()
-	if l == nil || l.node.refuseChange() != 0 {
+	if l == nil || l.node.membershipChangeRefusal() != 0 {
 		return false
 	}
 	members := l.node.members.current().Members
 	voters := voterIDs(l.node.members.current())
-	if len(voters) != len(members) || len(voters) < s.c.size || len(s.lostVoters(voters)) > 0 {
+	if len(voters) != len(members) || len(voters) < s.c.targetVoters || len(s.lostVoters(voters)) > 0 {
 		return false
 	}
-	before := s.c.applied
+	before := s.c.maxApplied
 	s.c.propose(l)
 	s.c.run(400 * time.Millisecond)
 	for _, id := range voters {
@@ -206,18 +209,19 @@
 	return true
 }
 
-// A user sees that something accepted is gone, that two replicas act as leader,
-// or that a read misses a finished write. The order: messages lost, doubled, late
-// and out of order, links cut both ways and one way, replicas killed before a
-// sync, frozen, emptied, put back from older copies and replaced, while leaders
-// change and snapshots are taken. The cause would be any hole in consensus.
-func TestSchedules(t *testing.T) { rapid.Check(t, playSchedule) }
+// Guards against lost committed entries, two replicas that both act as leader, and
+// reads that miss a completed write. Messages are lost, duplicated, delayed and
+// reordered; links are cut both ways and one way; replicas are killed before a
+// sync, paused, emptied, restored from older copies and replaced, while leaders
+// change and snapshots are taken.
+func TestSchedules(t *testing.T) { rapid.Check(t, runSchedule) }
 
-// An operator sees a learner stay behind for good after a repair. Its disk was lost
-// and its removal appended, by a leader that fell before it was committed; but as an
-// earlier life of its id was removed, the removal was taken as done, the replica
-// emptied again and its loss forgotten. Found by TestSchedules with seed 23.
-func TestRepairThatIsUndone(t *testing.T) {
+// Guards against a learner that is never promoted after a repair. Its disk was lost
+// and its removal appended, but the leader failed before the removal was committed.
+// Since an earlier incarnation of its id had been removed, the simulated operator
+// took the removal as completed, emptied the replica again and forgot the loss.
+// Found by TestSchedules with seed 23.
+func TestUndoneReplicaRemoval(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "2158026", "rapid.checks": "1"} {
 		old := flag.Lookup(name).Value.String()
 		if err := flag.Set(name, value); err != nil {
@@ -225,18 +229,18 @@
 		}
 		t.Cleanup(func() { _ = flag.Set(name, old) })
 	}
-	rapid.Check(t, playSchedule)
+	rapid.Check(t, runSchedule)
 }
 
-func playSchedule(t *rapid.T) {
+func runSchedule(t *rapid.T) {
 	seed := rapid.Uint64().Draw(t, "seed")
-	s := &schedule{c: newCluster(seed, rapid.IntRange(3, 5).Draw(t, "replicas")), copies: map[uint64]*disk{}}
+	s := &schedule{c: newCluster(seed, rapid.IntRange(3, 5).Draw(t, "replicas")), oldFolders: map[uint64]*disk{}}
 	if rapid.IntRange(0, 9).Draw(t, "unformed") > 0 {
 		s.c.run(1500 * time.Millisecond)
 	}
-	s.c.loss = rapid.SampledFrom([]float64{0, 0.02, 0.1, 0.3}).Draw(t, "loss")
-	s.c.chaos = rapid.SampledFrom([]float64{0, 0.001, 0.003, 0.01}).Draw(t, "chaos")
-	s.c.slow = rapid.SampledFrom([]float64{0.3, 0.9, 0.98}).Draw(t, "slow")
+	s.c.lossRate = rapid.SampledFrom([]float64{0, 0.02, 0.1, 0.3}).Draw(t, "loss")
+	s.c.faultRate = rapid.SampledFrom([]float64{0, 0.001, 0.003, 0.01}).Draw(t, "chaos")
+	s.c.writeDelayRate = rapid.SampledFrom([]float64{0.3, 0.9, 0.98}).Draw(t, "slow")
 	t.Repeat(map[string]func(*rapid.T){
 		"":             s.check,
 		"run":          s.run,
@@ -244,18 +248,18 @@
 		"run further":  s.run,
 		"propose":      s.propose,
 		"read":         s.read,
-		"crash":        s.fault(crashed),
-		"pause":        s.fault(frozen),
-		"cut off":      s.fault(cutOff),
-		"cut one way":  s.fault(cutOneWay),
-		"split":        s.split,
+		"crash":        s.faultAction(faultCrash),
+		"pause":        s.faultAction(faultPause),
+		"cut off":      s.faultAction(faultIsolate),
+		"cut one way":  s.faultAction(faultOneWayCut),
+		"split":        s.partition,
 		"repair":       s.repair,
 		"repair again": s.repair,
-		"transfer":     s.fault(transferred),
+		"transfer":     s.faultAction(faultLeadershipTransfer),
 		"resize":       s.resize,
-		"lose":         s.lose,
+		"lose":         s.loseDisk,
 		"copy folder":  s.copyFolder,
-		"put back":     s.putBack,
+		"put back":     s.restoreOldFolder,
 	})
-	s.settle(t)
+	s.checkRecovery(t)
 }
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -13,23 +13,24 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// host runs one Node on a virtual clock of its own rate.
+// host runs one Node on a virtual clock with its own rate.
 type host struct {
-	id     uint64
-	disk   *disk
-	node   *Node
-	rate   float64
-	paused bool
-	inbox  []packet
-	// writes wait for the disk, in order.
-	writes  []Effect
-	applied uint64
-	state   uint64
-	// leaseUntil is the latest lease told, in global time.
-	leaseUntil time.Duration
-	removed    bool
-	reads      map[uint64]uint64
-	leads      map[uint64]string
+	id        uint64
+	disk      *disk
+	node      *Node
+	clockRate float64
+	paused    bool
+	inbox     []packet
+	// pendingWrites wait for the disk, in order.
+	pendingWrites []Effect
+	applied       uint64
+	stateHash     uint64
+	// leaseUntil is the latest end of a lease that the node returned, in global
+	// time.
+	leaseUntil         time.Duration
+	removed            bool
+	readFloors         map[uint64]uint64
+	leaderIncarnations map[uint64]string
 }
 
 type packet struct {
@@ -43,100 +44,104 @@
 
 // timer ends a short fault.
 type timer struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	end func()
 }
 
-type position struct{ index, term uint64 }
+type entryPosition struct{ index, term uint64 }
 
-// cluster is a group with its network, and what must hold of it.
+// cluster simulates a group and its network, and checks invariants.
 type cluster struct {
-	cfg     Config
-	random  *rand.Rand
-	now     time.Duration
-	hosts   map[uint64]*host
-	ids     []uint64
-	packets []packet
-	blocked map[link]bool
-	loss    float64
-	// chaos is how often, per simStep, a short fault begins by itself; slow is
-	// how often a disk does not finish a write in a simStep.
-	chaos  float64
-	slow   float64
-	timers []timer
-	// states maps an applied index to the state after it, at whichever replica.
-	states  map[uint64]uint64
-	leaders map[uint64]uint64
-	entries map[position]string
-	applied uint64
-	term    uint64
-	// lost lists replicas whose disk is gone or old; the operator replaces them.
-	lost map[uint64]bool
-	// size is how many voters the operator aims at.
-	size    int
-	nextID  uint64
-	reads   int
-	refused int
-	done    int
-	faults  []string
+	cfg      Config
+	random   *rand.Rand
+	now      time.Duration
+	hosts    map[uint64]*host
+	ids      []uint64
+	packets  []packet
+	blocked  map[link]bool
+	lossRate float64
+	// faultRate is the probability, per simStep, that a random short fault
+	// starts; writeDelayRate is the probability that a disk does not finish a
+	// write in a simStep.
+	faultRate      float64
+	writeDelayRate float64
+	timers         []timer
+	// stateHashAt maps an applied index to the hash of the state after it on
+	// any replica.
+	stateHashAt   map[uint64]uint64
+	leaderOfTerm  map[uint64]uint64
+	seenEntries   map[entryPosition]string
+	maxApplied    uint64
+	maxLeaderTerm uint64
+	// lostDisks lists replicas whose disk was emptied or restored from an old
+	// copy; the simulated operator replaces them.
+	lostDisks map[uint64]bool
+	// targetVoters is the number of voters that the simulated operator
+	// maintains.
+	targetVoters int
+	nextID       uint64
+	reads        int
+	refusals     int
+	readsDone    int
+	violations   []string
 }
 
-// simStep is how far time goes at once.
+// simStep is the step of the simulated time.
 const simStep = 2 * time.Millisecond
 
 func newCluster(seed uint64, size int) *cluster {
 	c := &cluster{
-		cfg:     Config{SnapshotEntries: 12, TrailingEntries: 4, SnapshotChunkBytes: 7, MaxAppendBytes: 60, MaxInflight: 3, Seed: seed},
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		now:     time.Second,
-		hosts:   map[uint64]*host{},
-		blocked: map[link]bool{},
-		states:  map[uint64]uint64{},
-		leaders: map[uint64]uint64{},
-		entries: map[position]string{},
-		lost:    map[uint64]bool{},
-		size:    size,
+		cfg:          Config{SnapshotEntries: 12, TrailingEntries: 4, SnapshotChunkBytes: 7, MaxAppendBytes: 60, MaxInflight: 3, Seed: seed},
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		now:          time.Second,
+		hosts:        map[uint64]*host{},
+		blocked:      map[link]bool{},
+		stateHashAt:  map[uint64]uint64{},
+		leaderOfTerm: map[uint64]uint64{},
+		seenEntries:  map[entryPosition]string{},
+		lostDisks:    map[uint64]bool{},
+		targetVoters: size,
 	}
-	boot := &pb.Membership{}
+	bootstrap := &pb.Membership{}
 	for id := uint64(1); id <= uint64(size); id++ {
-		boot.Members = append(boot.Members, &pb.ReplicaMember{
+		bootstrap.Members = append(bootstrap.Members, &pb.ReplicaMember{
 			Identity: &pb.ReplicaIdentity{Id: id}, Role: pb.ReplicaRole_REPLICA_ROLE_VOTER, Address: fmt.Sprint(id),
 		})
 	}
 	for id := uint64(1); id <= uint64(size); id++ {
-		c.addHost(id, boot)
+		c.addHost(id, bootstrap)
 	}
 	return c
 }
 
-func (c *cluster) addHost(id uint64, boot *pb.Membership) *host {
-	h := &host{id: id, rate: 0.9 + 0.2*c.random.Float64()}
+func (c *cluster) addHost(id uint64, bootstrap *pb.Membership) *host {
+	h := &host{id: id, clockRate: 0.9 + 0.2*c.random.Float64()}
 	c.hosts[id] = h
 	if !slices.Contains(c.ids, id) {
 		c.ids = append(c.ids, id)
 	}
-	c.wipe(h, boot)
+	c.wipe(h, bootstrap)
 	c.start(h)
 	return h
 }
 
-func (c *cluster) wipe(h *host, boot *pb.Membership) {
+func (c *cluster) wipe(h *host, bootstrap *pb.Membership) {
 	c.crash(h)
 	h.disk = &disk{
-		folder:    &pb.ReplicaIdentity{Id: h.id, Incarnation: fmt.Sprintf("%d-%x", h.id, c.random.Uint64())},
-		bootstrap: boot, peers: map[uint64]*pb.ReplicaIdentity{},
+		identity:  &pb.ReplicaIdentity{Id: h.id, Incarnation: fmt.Sprintf("%d-%x", h.id, c.random.Uint64())},
+		bootstrap: bootstrap, peers: map[uint64]*pb.ReplicaIdentity{},
 	}
 }
 
-// lose empties a replica's disk for good; it comes back with its old settings.
-func (c *cluster) lose(h *host) {
-	c.lost[h.id] = true
+// loseDisk empties a replica's disk; the replica restarts with its settings.
+func (c *cluster) loseDisk(h *host) {
+	c.lostDisks[h.id] = true
 	c.wipe(h, h.disk.bootstrap)
 	c.start(h)
 }
 
 func (c *cluster) crash(h *host) {
-	h.node, h.writes, h.inbox, h.paused, h.leaseUntil = nil, nil, nil, false, 0
+	h.node, h.pendingWrites, h.inbox, h.paused, h.leaseUntil = nil, nil, nil, false, 0
 }
 
 func (c *cluster) start(h *host) {
@@ -144,101 +149,103 @@
 		return
 	}
 	d := h.disk
-	AdvanceBoot(d.folder, c.random.Uint64())
+	AdvanceBoot(d.identity, c.random.Uint64())
 	cfg := c.cfg
 	cfg.ID = h.id
-	cfg.Seed += d.folder.Boot
-	h.applied, h.state, h.reads = 0, 0, map[uint64]uint64{}
-	h.leads = map[uint64]string{}
+	cfg.Seed += d.identity.Boot
+	h.applied, h.stateHash, h.readFloors = 0, 0, map[uint64]uint64{}
+	h.leaderIncarnations = map[uint64]string{}
 	if d.meta != nil {
-		h.applied, h.state = d.meta.Index, binary.BigEndian.Uint64(d.data)
+		h.applied, h.stateHash = d.meta.Index, binary.BigEndian.Uint64(d.data)
 	}
 	h.node = NewNode(cfg, InitialState{
-		Identity: proto.Clone(d.folder).(*pb.ReplicaIdentity), HardState: d.hard, Snapshot: d.meta,
+		Identity: proto.Clone(d.identity).(*pb.ReplicaIdentity), HardState: d.hardState, Snapshot: d.meta,
 		SnapshotData: d.data, Entries: slices.Clone(d.entries), Membership: d.bootstrap,
 	})
 	c.step(h, Tick{})
 }
 
-func (c *cluster) local(h *host) time.Duration { return time.Duration(float64(c.now) * h.rate) }
+func (c *cluster) localTime(h *host) time.Duration {
+	return time.Duration(float64(c.now) * h.clockRate)
+}
 
 func (c *cluster) step(h *host, ev Event) {
 	if h.node == nil {
 		return
 	}
-	for _, e := range h.node.Step(c.local(h), ev) {
-		c.carryOut(h, e)
+	for _, e := range h.node.Step(c.localTime(h), ev) {
+		c.perform(h, e)
 		if h.node == nil {
 			return
 		}
 	}
-	c.check(h)
+	c.checkInvariants(h)
 }
 
-func (c *cluster) carryOut(h *host, e Effect) {
+func (c *cluster) perform(h *host, e Effect) {
 	switch e := e.(type) {
 	case Send:
 		c.transmit(h, e.Message)
 	case Persist, RestoreSnapshot:
-		h.writes = append(h.writes, e)
+		h.pendingWrites = append(h.pendingWrites, e)
 	case TakeSnapshot:
 		data := make([]byte, 8, 40)
-		binary.BigEndian.PutUint64(data, h.state)
+		binary.BigEndian.PutUint64(data, h.stateHash)
 		data = append(data, make([]byte, h.applied%32)...)
 		SetSnapshotChecksum(e.Meta, data)
 		if e.Meta.Index != h.applied {
-			c.fault("replica %d: snapshot asked for %d at %d", h.id, e.Meta.Index, h.applied)
+			c.violation("replica %d: snapshot requested for index %d at applied index %d", h.id, e.Meta.Index, h.applied)
 		}
-		h.writes = append(h.writes, SnapshotTaken{Meta: e.Meta, Data: data}.asEffect())
+		h.pendingWrites = append(h.pendingWrites, SnapshotTaken{Meta: e.Meta, Data: data}.asWrite())
 	case Apply:
 		c.apply(h, e.Entries)
 	case ReadReady:
-		c.done++
-		if e.Index < h.reads[e.ID] {
-			c.fault("replica %d: read at %d misses applied %d", h.id, e.Index, h.reads[e.ID])
+		c.readsDone++
+		if e.Index < h.readFloors[e.ID] {
+			c.violation("replica %d: read at index %d misses applied index %d", h.id, e.Index, h.readFloors[e.ID])
 		}
 	case ReadRefused, ProposalRefused:
-		c.refused++
+		c.refusals++
 	case Removed:
 		h.removed = true
 		c.crash(h)
 	}
 }
 
-// takenEffect lets a finished snapshot wait for the disk like other writes.
-type takenEffect struct{ SnapshotTaken }
+// snapshotWrite queues a completed snapshot for the disk like other writes.
+type snapshotWrite struct{ SnapshotTaken }
 
-func (takenEffect) isEffect() {}
+func (snapshotWrite) isEffect() {}
 
-func (s SnapshotTaken) asEffect() Effect { return takenEffect{s} }
+func (s SnapshotTaken) asWrite() Effect { return snapshotWrite{s} }
 
 func (c *cluster) apply(h *host, entries []*pb.LogEntry) {
 	for _, e := range entries {
 		if e.Index != h.applied+1 {
-			c.fault("replica %d: applied %d after %d", h.id, e.Index, h.applied)
+			c.violation("replica %d: applied %d after %d", h.id, e.Index, h.applied)
 		}
 		h.applied = e.Index
 		d := xxhash.New()
-		_, _ = fmt.Fprintf(d, "%d %d %d %x", h.state, e.Term, e.Kind, e.Data)
-		h.state = d.Sum64()
+		_, _ = fmt.Fprintf(d, "%d %d %d %x", h.stateHash, e.Term, e.Kind, e.Data)
+		h.stateHash = d.Sum64()
 		c.checkState(h)
 	}
 }
 
 func (c *cluster) transmit(h *host, m *pb.Message) {
 	copies := 1
-	if c.random.Float64() < c.loss {
+	if c.random.Float64() < c.lossRate {
 		copies = c.random.IntN(2) * 2
 	}
-	from := proto.Clone(h.disk.folder).(*pb.ReplicaIdentity)
+	from := proto.Clone(h.disk.identity).(*pb.ReplicaIdentity)
 	hello := m.Kind == pb.MessageKind_MESSAGE_KIND_HELLO || m.Kind == pb.MessageKind_MESSAGE_KIND_HELLO_RESPONSE
 	if !hello {
 		from.PastNonces = nil
 	}
-	to := TargetIdentity(m.To, h.leads[m.To], h.disk.peers[m.To], h.node.Status().Membership)
+	to := TargetIdentity(m.To, h.leaderIncarnations[m.To], h.disk.peers[m.To], h.node.Status().Membership)
 	for range copies {
 		delay := time.Duration(c.random.IntN(int(8 * time.Millisecond)))
-		if c.random.Float64() < c.loss {
+		if c.random.Float64() < c.lossRate {
 			delay *= time.Duration(1 + c.random.IntN(100))
 		}
 		c.packets = append(c.packets, packet{
@@ -256,17 +263,17 @@
 		h.inbox = append(h.inbox, p)
 		return
 	}
-	if p.to.Incarnation != "" && p.to.Incarnation != h.disk.folder.Incarnation {
+	if p.to.Incarnation != "" && p.to.Incarnation != h.disk.identity.Incarnation {
 		return
 	}
 	if h.node.IsRemoved(p.from) {
-		if s := c.hosts[p.from.Id]; s.node != nil && s.disk.folder.Incarnation == p.from.Incarnation && !c.blocked[link{p.m.To, p.m.From}] {
+		if s := c.hosts[p.from.Id]; s.node != nil && s.disk.identity.Incarnation == p.from.Incarnation && !c.blocked[link{p.m.To, p.m.From}] {
 			c.step(s, RemovedByPeer{})
 		}
 		return
 	}
 	if AllLeaderMessages([]*pb.Message{p.m}) {
-		h.leads[p.from.Id] = p.from.Incarnation
+		h.leaderIncarnations[p.from.Id] = p.from.Incarnation
 		c.step(h, Receive{Message: p.m, Incarnation: p.from.Incarnation})
 		return
 	}
@@ -277,42 +284,43 @@
 	c.step(h, Receive{Message: p.m, Incarnation: p.from.Incarnation})
 }
 
-// sync finishes the first write that waits for the disk.
-func (c *cluster) sync(h *host) {
-	w := h.writes[0]
-	h.writes = h.writes[1:]
+// finishWrite completes the first pending write.
+func (c *cluster) finishWrite(h *host) {
+	w := h.pendingWrites[0]
+	h.pendingWrites = h.pendingWrites[1:]
 	switch e := w.(type) {
 	case Persist:
 		h.disk.save(e)
 		c.step(h, Persisted{Sequence: e.Sequence})
-	case takenEffect:
+	case snapshotWrite:
 		if e.Meta.Index > h.disk.meta.GetIndex() {
 			h.disk.meta, h.disk.data = e.Meta, e.Data
-			AdvanceBoot(h.disk.folder, c.random.Uint64())
+			AdvanceBoot(h.disk.identity, c.random.Uint64())
 		}
 		c.step(h, e.SnapshotTaken)
 	case RestoreSnapshot:
 		h.disk.meta, h.disk.data, h.disk.entries = e.Meta, e.Data, nil
-		AdvanceBoot(h.disk.folder, c.random.Uint64())
-		h.applied, h.state = e.Meta.Index, binary.BigEndian.Uint64(e.Data)
+		AdvanceBoot(h.disk.identity, c.random.Uint64())
+		h.applied, h.stateHash = e.Meta.Index, binary.BigEndian.Uint64(e.Data)
 		c.checkState(h)
 		c.step(h, SnapshotRestored{Index: e.Meta.Index})
 	}
 }
 
-// run lets time pass: messages arrive, disks sync, replicas tick, faults come.
+// run advances time: messages arrive, disks sync, replicas tick, faults start and
+// end.
 func (c *cluster) run(d time.Duration) {
-	for end := c.now + d; c.now < end && len(c.faults) == 0; {
+	for end := c.now + d; c.now < end && len(c.violations) == 0; {
 		c.now += simStep
-		c.expire()
+		c.runTimers()
 		c.deliverDue()
 		if c.random.IntN(50) == 0 {
-			c.operate()
+			c.runOperator()
 		}
-		if c.random.Float64() < c.chaos {
-			c.disturbAnyone()
+		if c.random.Float64() < c.faultRate {
+			c.injectRandomFault()
 		}
-		c.work()
+		c.generateLoad()
 		for _, id := range c.ids {
 			c.runHost(c.hosts[id])
 		}
@@ -323,15 +331,15 @@
 	if h.node == nil || h.paused {
 		return
 	}
-	if len(h.writes) > 0 && c.random.Float64() >= c.slow {
-		c.sync(h)
+	if len(h.pendingWrites) > 0 && c.random.Float64() >= c.writeDelayRate {
+		c.finishWrite(h)
 	}
 	if c.random.IntN(5) == 0 {
 		c.step(h, Tick{})
 	}
 }
 
-func (c *cluster) expire() {
+func (c *cluster) runTimers() {
 	due := c.timers
 	c.timers = nil
 	for _, t := range due {
@@ -339,7 +347,7 @@
 			c.timers = append(c.timers, t)
 			continue
 		}
-		t.do()
+		t.end()
 	}
 }
 
@@ -360,7 +368,7 @@
 	}
 }
 
-// resume lets a paused replica go on: what came meanwhile arrives now.
+// resume continues a paused replica: messages that arrived meanwhile are delivered.
 func (c *cluster) resume(h *host) {
 	h.paused = false
 	inbox := h.inbox
@@ -370,7 +378,8 @@
 	}
 }
 
-// leader gives the ready leader of the highest term that runs, nil if none.
+// leader returns the running ready leader of the highest term, nil if there is
+// none.
 func (c *cluster) leader() *host {
 	var found *host
 	for _, id := range c.ids {
@@ -394,7 +403,7 @@
 	c.nextID++
 	c.reads++
 	if h.node != nil {
-		h.reads[c.nextID] = c.applied
+		h.readFloors[c.nextID] = c.maxApplied
 	}
 	c.step(h, ReadIndex{ID: c.nextID})
 }
--- a/internal/consensus/simcheck_test.go
+++ b/internal/consensus/simcheck_test.go
@@ -6,50 +6,50 @@
 )
 
 func (c *cluster) checkState(h *host) {
-	known, ok := c.states[h.applied]
-	if ok && known != h.state {
-		c.fault("replica %d: another state at %d", h.id, h.applied)
+	known, ok := c.stateHashAt[h.applied]
+	if ok && known != h.stateHash {
+		c.violation("replica %d: state differs at index %d", h.id, h.applied)
 	}
-	c.states[h.applied] = h.state
-	c.applied = max(c.applied, h.applied)
+	c.stateHashAt[h.applied] = h.stateHash
+	c.maxApplied = max(c.maxApplied, h.applied)
 }
 
-// check tests what must hold after each step of a replica.
-func (c *cluster) check(h *host) {
+// checkInvariants checks what must hold after each step of a replica.
+func (c *cluster) checkInvariants(h *host) {
 	n := h.node
 	if n.role == leader {
 		c.checkLeader(h)
 	}
 	if lease := n.LeaseUntil(); lease > 0 {
-		h.leaseUntil = max(h.leaseUntil, time.Duration(float64(lease)/h.rate))
+		h.leaseUntil = max(h.leaseUntil, time.Duration(float64(lease)/h.clockRate))
 	}
 	for _, id := range c.ids {
 		if o := c.hosts[id]; o != h && min(o.leaseUntil, h.leaseUntil) > c.now {
-			c.fault("replicas %d and %d both hold a lease", h.id, o.id)
+			c.violation("replicas %d and %d both hold a lease", h.id, o.id)
 		}
 	}
 }
 
-// checkLeader tests election safety and, when a term later than any before has
-// its leader, that the leader's log holds whatever was applied anywhere.
+// checkLeader checks election safety and, for the first leader of a new highest
+// term, that its log contains every entry applied anywhere.
 func (c *cluster) checkLeader(h *host) {
 	n := h.node
-	other, ok := c.leaders[n.term]
+	other, ok := c.leaderOfTerm[n.term]
 	if ok && other != h.id {
-		c.fault("term %d has leaders %d and %d", n.term, other, h.id)
+		c.violation("term %d has leaders %d and %d", n.term, other, h.id)
 	}
-	c.leaders[n.term] = h.id
-	if n.term <= c.term {
+	c.leaderOfTerm[n.term] = h.id
+	if n.term <= c.maxLeaderTerm {
 		return
 	}
-	c.term = n.term
-	if n.log.lastIndex() < c.applied {
-		c.fault("leader %d of term %d ends at %d, applied is %d", h.id, n.term, n.log.lastIndex(), c.applied)
+	c.maxLeaderTerm = n.term
+	if n.log.lastIndex() < c.maxApplied {
+		c.violation("log of leader %d of term %d ends at %d, but %d is applied", h.id, n.term, n.log.lastIndex(), c.maxApplied)
 	}
 }
 
-// checkLogs tests log matching: an entry of one index and term is the same
-// everywhere, and so is the one before it.
+// checkLogs checks log matching: an entry of one index and term is the same on
+// every replica, and so is the one before it.
 func (c *cluster) checkLogs() {
 	for _, id := range c.ids {
 		n := c.hosts[id].node
@@ -58,17 +58,17 @@
 		}
 		prev := n.log.baseTerm
 		for _, e := range n.log.entries {
-			at := position{e.Index, e.Term}
+			at := entryPosition{e.Index, e.Term}
 			content := fmt.Sprintf("%d %d %x", prev, e.Kind, e.Data)
-			if known, ok := c.entries[at]; ok && known != content {
-				c.fault("replica %d: entry %v is %q, elsewhere %q", id, at, content, known)
+			if known, ok := c.seenEntries[at]; ok && known != content {
+				c.violation("replica %d: entry %v is %q, on another replica %q", id, at, content, known)
 			}
-			c.entries[at] = content
+			c.seenEntries[at] = content
 			prev = e.Term
 		}
 	}
 }
 
-func (c *cluster) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
+func (c *cluster) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
--- a/internal/consensus/simdisk_test.go
+++ b/internal/consensus/simdisk_test.go
@@ -11,9 +11,9 @@
 
 // disk is what a replica has synced.
 type disk struct {
-	folder    *pb.ReplicaIdentity
+	identity  *pb.ReplicaIdentity
 	bootstrap *pb.Membership
-	hard      *pb.HardState
+	hardState *pb.HardState
 	entries   []*pb.LogEntry
 	meta      *pb.SnapshotMeta
 	data      []byte
@@ -22,13 +22,13 @@
 
 func (d *disk) clone() *disk {
 	c := *d
-	c.folder = proto.Clone(d.folder).(*pb.ReplicaIdentity)
+	c.identity = proto.Clone(d.identity).(*pb.ReplicaIdentity)
 	c.peers = maps.Clone(d.peers)
 	return &c
 }
 
-// lastList gives the latest member list that is synced.
-func (d *disk) lastList() *pb.Membership {
+// latestMembership returns the latest synced member list.
+func (d *disk) latestMembership() *pb.Membership {
 	h := newMemberHistory(InitialState{Snapshot: d.meta, Entries: d.entries, Membership: d.bootstrap})
 	return h.current()
 }
@@ -42,6 +42,6 @@
 		d.entries = slices.DeleteFunc(slices.Clone(d.entries), func(e *pb.LogEntry) bool { return e.Index < p.CompactTo })
 	}
 	if p.HardState != nil {
-		d.hard = p.HardState
+		d.hardState = p.HardState
 	}
 }
--- a/internal/consensus/simfault_test.go
+++ b/internal/consensus/simfault_test.go
@@ -10,55 +10,57 @@
 type faultKind int
 
 const (
-	crashed faultKind = iota
-	frozen
-	cutOff
-	cutOneWay
-	transferred
-	faultKinds
+	faultCrash faultKind = iota
+	faultPause
+	faultIsolate
+	faultOneWayCut
+	faultLeadershipTransfer
+	numFaultKinds
 )
 
-// disturbAnyone begins a short fault, most often at the leader, where it does harm.
-func (c *cluster) disturbAnyone() {
+// injectRandomFault starts a short fault, half of the time at the leader, where it
+// has the most effect.
+func (c *cluster) injectRandomFault() {
 	h := c.hosts[c.ids[c.random.IntN(len(c.ids))]]
 	if l := c.leader(); l != nil && c.random.IntN(2) == 0 {
 		h = l
 	}
-	c.disturb(faultKind(c.random.IntN(int(faultKinds))), h)
+	c.injectFault(faultKind(c.random.IntN(int(numFaultKinds))), h)
 }
 
-// disturb begins a fault that ends after a while.
-func (c *cluster) disturb(kind faultKind, h *host) {
+// injectFault starts a fault that ends after a random time.
+func (c *cluster) injectFault(kind faultKind, h *host) {
 	var end func()
 	switch kind {
-	case crashed:
+	case faultCrash:
 		c.crash(h)
 		end = func() { c.start(h) }
-	case frozen:
+	case faultPause:
 		h.paused = h.node != nil
 		end = func() { c.resume(h) }
-	case cutOff:
-		c.cut(h.id, true)
-		end = func() { c.cut(h.id, false) }
-	case cutOneWay:
-		one := link{h.id, c.ids[c.random.IntN(len(c.ids))]}
-		c.blocked[one] = true
-		end = func() { delete(c.blocked, one) }
-	case transferred:
+	case faultIsolate:
+		c.setIsolated(h.id, true)
+		end = func() { c.setIsolated(h.id, false) }
+	case faultOneWayCut:
+		blocked := link{h.id, c.ids[c.random.IntN(len(c.ids))]}
+		c.blocked[blocked] = true
+		end = func() { delete(c.blocked, blocked) }
+	case faultLeadershipTransfer:
 		c.step(h, TransferLeadership{})
 		return
 	}
-	c.endLater(end)
+	c.scheduleFaultEnd(end)
 }
 
-// endLater ends a fault, mostly within some heartbeats, at most after a second.
-func (c *cluster) endLater(end func()) {
+// scheduleFaultEnd ends a fault, usually within a few heartbeats and at most after
+// a second.
+func (c *cluster) scheduleFaultEnd(end func()) {
 	longest := 1 + c.random.IntN(int(time.Second))
 	c.timers = append(c.timers, timer{c.now + time.Duration(c.random.IntN(longest)), end})
 }
 
-// work is what callers do all the time.
-func (c *cluster) work() {
+// generateLoad sends proposals and reads.
+func (c *cluster) generateLoad() {
 	l := c.leader()
 	if l == nil {
 		return
@@ -71,8 +73,8 @@
 	}
 }
 
-// cut cuts a replica off from all others, both ways, or ends that.
-func (c *cluster) cut(id uint64, on bool) {
+// setIsolated cuts a replica off from all others, both ways, or ends that.
+func (c *cluster) setIsolated(id uint64, on bool) {
 	for _, other := range c.ids {
 		for _, l := range []link{{id, other}, {other, id}} {
 			if on {
@@ -84,41 +86,42 @@
 	}
 }
 
-// operate is an operator who removes lost replicas and adds new ones.
-func (c *cluster) operate() {
+// runOperator acts as an operator who removes replicas with lost disks and adds new
+// ones.
+func (c *cluster) runOperator() {
 	l := c.leader()
 	if l == nil {
 		return
 	}
 	members := l.node.Status().Membership
 	for _, m := range members.Members {
-		if c.lost[m.Identity.Id] {
+		if c.lostDisks[m.Identity.Id] {
 			c.step(l, ProposeMembership{Change: MembershipChange{RemoveID: m.Identity.Id}})
 			return
 		}
 	}
-	if len(members.Members) >= c.size {
+	if len(members.Members) >= c.targetVoters {
 		return
 	}
-	c.emptyRemoved(l)
-	id := c.joiner(members)
+	c.wipeRemovedReplica(l)
+	id := c.pickJoiningReplica(members)
 	c.step(l, ProposeMembership{Change: MembershipChange{Add: &pb.ReplicaMember{
 		Identity: &pb.ReplicaIdentity{Id: id}, Address: fmt.Sprint(id),
 	}}})
 }
 
-// emptyRemoved empties the disk of a removed replica now and then, so that it may
-// join again under its old id. One whose incarnation was not known when it was
-// removed can't. A removal that is not committed may still be undone: an operator
-// who took it as done would forget that the listed life is lost.
-func (c *cluster) emptyRemoved(l *host) {
-	for _, gone := range l.node.CommittedMembership().Removed {
-		h := c.hosts[gone.Id]
-		listed := findMember(l.node.members.current(), gone.Id) != nil || findMember(l.node.CommittedMembership(), gone.Id) != nil
-		left := !listed && gone.Incarnation != ""
-		if left && (h.removed || c.lost[h.id]) && c.random.IntN(2) == 0 {
+// wipeRemovedReplica sometimes empties the disk of a removed replica, so that it
+// may join again under its id. That is impossible if its incarnation was unknown
+// when it was removed. An uncommitted removal may still be undone: taking it as
+// completed would forget that the listed incarnation's disk is lost.
+func (c *cluster) wipeRemovedReplica(l *host) {
+	for _, removed := range l.node.CommittedMembership().Removed {
+		h := c.hosts[removed.Id]
+		listed := findMember(l.node.members.current(), removed.Id) != nil || findMember(l.node.CommittedMembership(), removed.Id) != nil
+		rejoinable := !listed && removed.Incarnation != ""
+		if rejoinable && (h.removed || c.lostDisks[h.id]) && c.random.IntN(2) == 0 {
 			h.removed = false
-			delete(c.lost, h.id)
+			delete(c.lostDisks, h.id)
 			c.wipe(h, nil)
 			c.start(h)
 			return
@@ -126,12 +129,13 @@
 	}
 }
 
-// joiner gives a replica that waits to be added, a new one if need be.
-func (c *cluster) joiner(members *pb.Membership) uint64 {
+// pickJoiningReplica returns a replica that waits to be added; it creates one if
+// needed.
+func (c *cluster) pickJoiningReplica(members *pb.Membership) uint64 {
 	for _, id := range c.ids {
 		h := c.hosts[id]
-		gone := h.removed || wasRemoved(members, h.disk.folder)
-		if findMember(members, id) == nil && !c.lost[id] && !gone && h.disk.bootstrap == nil {
+		removed := h.removed || wasRemoved(members, h.disk.identity)
+		if findMember(members, id) == nil && !c.lostDisks[id] && !removed && h.disk.bootstrap == nil {
 			return id
 		}
 	}
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -6,7 +6,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Status is what operators and tests see of a Node.
+// Status is a Node's state for operators and tests.
 type Status struct {
 	Term   uint64
 	Leader uint64
@@ -16,30 +16,32 @@
 	Commit    uint64
 	Applied   uint64
 	LastIndex uint64
-	// FirstIndex is the first entry kept in memory.
+	// FirstIndex is the index of the first entry kept in memory.
 	FirstIndex    uint64
 	SnapshotIndex uint64
 	Membership    *pb.Membership
-	// Replicas lists the members; match and active count at a leader only.
+	// Replicas lists the members. Only a leader fills in the state of other
+	// members.
 	Replicas []ReplicaStatus
 }
 
-// ReplicaStatus is what a leader knows of one member.
+// ReplicaStatus is a leader's view of one member.
 type ReplicaStatus struct {
 	ID    uint64
 	Voter bool
-	// Match is the highest index that it has synced.
+	// Match is the highest index that the replica has synced.
 	Match uint64
-	// Active is true if it was heard within an ElectionTimeout.
+	// Active is true if the replica has answered within an ElectionTimeout.
 	Active bool
-	// SinceLastContact is how long it has not been heard; zero for itself.
+	// SinceLastContact is the time since the replica's last response; zero for
+	// this replica.
 	SinceLastContact time.Duration
 }
 
-// IsLeader tells whether the replica leads its term.
+// IsLeader reports whether the replica is the leader of its term.
 func (s Status) IsLeader() bool { return s.Role == leader }
 
-// Status gives a copy; the Membership must not be changed.
+// Status returns a copy of the state; the Membership must not be changed.
 func (n *Node) Status() Status {
 	s := Status{
 		Term: n.term, Leader: n.leader, Role: n.role, Ready: n.ready(),
@@ -60,9 +62,9 @@
 		s.Match, s.Active = n.log.stable, true
 		return s
 	}
-	if pr := n.lead.progress[m.Identity.Id]; pr != nil {
+	if pr := n.leaderState.progress[m.Identity.Id]; pr != nil {
 		s.Match = pr.match
-		s.SinceLastContact = n.now - pr.activeAt
+		s.SinceLastContact = n.now - pr.lastContactAt
 		s.Active = pr.active(n.now, n.cfg.ElectionTimeout)
 	}
 	return s
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -2,26 +2,27 @@
 
 import "goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 
-// transferTimeouts is how many ElectionTimeouts a transfer may take: one for the
-// last lease to run out, one for the target to catch up.
+// transferTimeouts is the longest duration of a transfer in ElectionTimeouts: one
+// for the last lease to expire, one for the target to catch up.
 const transferTimeouts = 2
 
-// onTransferLeadership picks the voter whose log is most complete among those
-// that answer. Its lease ends first: the target's votes pass stickiness, so
-// nothing else keeps two leaders from believing at once.
+// onTransferLeadership chooses the responsive voter with the most complete log. The
+// leader's lease must expire first: voters grant the target's vote request without
+// regard to a current leader, so nothing else prevents two leaders at the same
+// time.
 func (n *Node) onTransferLeadership() {
-	if n.role != leader || n.lead.transferTo != 0 {
+	if n.role != leader || n.leaderState.transferTo != 0 {
 		return
 	}
-	n.lead.transferTo = n.transferTarget()
-	n.lead.transferBegan = n.now
-	n.driveTransfer()
+	n.leaderState.transferTo = n.transferTarget()
+	n.leaderState.transferStartedAt = n.now
+	n.continueTransfer()
 }
 
 func (n *Node) transferTarget() uint64 {
 	var target, match uint64
 	for _, id := range voterIDs(n.members.current()) {
-		pr := n.lead.progress[id]
+		pr := n.leaderState.progress[id]
 		if id == n.cfg.ID || !pr.active(n.now, n.cfg.ElectionTimeout) {
 			continue
 		}
@@ -32,39 +33,40 @@
 	return target
 }
 
-// handingOver tells whether proposals are refused since leadership moves now.
-// Until the last lease has run out the leader still takes them.
-func (n *Node) handingOver() bool {
-	return n.lead.transferTo != 0 && n.now >= n.lead.leaseGiven
+// transferLeaseExpired reports whether a transfer is in progress and the last lease
+// has expired. The leader accepts proposals until then and refuses them afterwards.
+func (n *Node) transferLeaseExpired() bool {
+	return n.leaderState.transferTo != 0 && n.now >= n.leaderState.reportedLeaseEnd
 }
 
-// driveTransfer tells the target to campaign once the lease has run out and the
+// continueTransfer tells the target to campaign once the lease has expired and the
 // target holds the whole log.
 //
-// A transfer that does not end steps down instead of leading on: the message may
-// be on its way still, and a lease renewed now could be broken by it.
-func (n *Node) driveTransfer() {
-	if n.role != leader || n.lead.transferTo == 0 {
+// If the transfer does not complete in time, the leader steps down instead of
+// continuing: TIMEOUT_NOW may still be on its way, and the target's election would
+// violate a renewed lease.
+func (n *Node) continueTransfer() {
+	if n.role != leader || n.leaderState.transferTo == 0 {
 		return
 	}
-	if n.now >= n.lead.transferBegan+transferTimeouts*n.cfg.ElectionTimeout {
+	if n.now >= n.leaderState.transferStartedAt+transferTimeouts*n.cfg.ElectionTimeout {
 		n.stepDown()
 		return
 	}
-	pr := n.lead.progress[n.lead.transferTo]
+	pr := n.leaderState.progress[n.leaderState.transferTo]
 	if pr == nil {
 		n.stepDown()
 		return
 	}
-	if n.lead.transferSent || !n.handingOver() || pr.match != n.log.lastIndex() {
+	if n.leaderState.transferSent || !n.transferLeaseExpired() || pr.match != n.log.lastIndex() {
 		return
 	}
-	n.lead.transferSent = true
-	n.send(n.message(pb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, n.lead.transferTo))
+	n.leaderState.transferSent = true
+	n.send(n.message(pb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, n.leaderState.transferTo))
 }
 
 func (n *Node) onTimeoutNow(m *pb.Message) {
-	if n.role == follower && n.leader == m.From && n.mayCampaign() {
+	if n.role == follower && n.leader == m.From && n.canCampaign() {
 		n.startElection(true)
 	}
 }
