--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -6,8 +6,8 @@
 var Namespace = errorx.NewNamespace("store")
 
 var (
-	// Failed: the disk refused a read or write. Nothing may be answered from
-	// what was not synced.
+	// Failed: a read or write of the disk failed. The replica must not answer
+	// from state that was not synced.
 	Failed = Namespace.NewType("failed")
 	// Corrupt: the folder's content is not what was written.
 	Corrupt = Namespace.NewType("corrupt")
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -8,24 +8,24 @@
 )
 
 // Layout of a bbolt file's first two pages, each a header and a meta record.
-// pageSize is set when the file is created, so it is the same on each machine.
+// pageSize is set when the file is created, so that it is the same on each machine.
 const (
-	pageSize         = 4096
-	pageHeaderBytes  = 16
-	metaChecksumAt   = 56
-	metaHighWaterAt  = 40
-	metaBytes        = metaChecksumAt + 8
-	metaMagic        = 0xED0CDAED
-	metaPages        = 2
-	maxPlausiblePage = 1 << 40 / pageSize
+	pageSize            = 4096
+	pageHeaderBytes     = 16
+	metaChecksumOffset  = 56
+	metaPageCountOffset = 40
+	metaBytes           = metaChecksumOffset + 8
+	metaMagic           = 0xED0CDAED
+	metaPages           = 2
+	maxPlausiblePage    = 1 << 40 / pageSize
 )
 
-// checkPages looks for damage that bbolt would not report.
+// checkPages detects damage that bbolt would not report.
 //
-// With one of its two meta pages damaged bbolt falls back to the other, which
-// is one transaction older: a synced vote or acknowledgement would be undone in
-// silence. And pages beyond the end of a truncated file fault on reading. A
-// crash leaves no damaged meta page: a record of 64 bytes lies in one sector.
+// If one of its two meta pages is damaged, bbolt silently uses the other, which is
+// one transaction older: a synced vote or acknowledgement would be undone. Pages
+// beyond the end of a truncated file cause a memory fault when read. A crash does
+// not damage a meta page, since a record of 64 bytes lies in one sector.
 func checkPages(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -50,14 +50,14 @@
 		return Corrupt.Wrap(err, "meta page %d", page)
 	}
 	sum := fnv.New64a()
-	_, _ = sum.Write(buf[:metaChecksumAt])
+	_, _ = sum.Write(buf[:metaChecksumOffset])
 	if binary.NativeEndian.Uint32(buf) != metaMagic ||
-		binary.NativeEndian.Uint64(buf[metaChecksumAt:]) != sum.Sum64() {
-		return Corrupt.New("meta page %d has another checksum", page)
+		binary.NativeEndian.Uint64(buf[metaChecksumOffset:]) != sum.Sum64() {
+		return Corrupt.New("checksum mismatch in meta page %d", page)
 	}
-	pages := binary.NativeEndian.Uint64(buf[metaHighWaterAt:])
+	pages := binary.NativeEndian.Uint64(buf[metaPageCountOffset:])
 	if pages > maxPlausiblePage || size < int64(pages)*pageSize {
-		return Corrupt.New("the file holds %d bytes, but %d pages are in use", size, pages)
+		return Corrupt.New("file truncated: it has %d bytes, but %d pages are in use", size, pages)
 	}
 	return nil
 }
--- a/internal/store/peers.go
+++ b/internal/store/peers.go
@@ -7,10 +7,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Admit decides whether a request's messages may be taken, given the committed
-// member list: those of a leader by consensus.CheckLeader, others by CheckPeer. It
-// remembers a peer's latest life and boot, synced, before it returns. Errors:
-// those of CheckPeer, Failed.
+// Admit decides whether a request's messages may be accepted, given the committed
+// member list: those of a leader by consensus.CheckLeader, others by
+// consensus.CheckPeer. It records a peer's latest incarnation and boot, synced,
+// before it returns. Errors: those of CheckLeader and CheckPeer, Failed.
 func (s *Store) Admit(req *pb.StepRequest, committed *pb.Membership) error {
 	from := req.GetFrom()
 	s.mu.Lock()
@@ -19,7 +19,7 @@
 		if err := consensus.CheckLeader(from, committed); err != nil {
 			return err
 		}
-		s.leads[from.GetId()] = from.GetIncarnation()
+		s.leaderIncarnations[from.GetId()] = from.GetIncarnation()
 		return nil
 	}
 	known := s.peers[from.GetId()]
@@ -29,30 +29,30 @@
 	if known.GetIncarnation() == from.Incarnation && known.Boot == from.Boot {
 		return nil
 	}
-	life := cloneOf(from)
-	life.PastNonces = nil
-	err := s.update(func(tx *bolt.Tx) error { return put(tx, bucketPeers, indexKey(life.Id), life) })
+	latest := clone(from)
+	latest.PastNonces = nil
+	err := s.update(func(tx *bolt.Tx) error { return putRecord(tx, bucketPeers, indexKey(latest.Id), latest) })
 	if err == nil {
-		s.peers[life.Id] = life
+		s.peers[latest.Id] = latest
 	}
 	return err
 }
 
-// CheckAddressee tells whether messages to that identity are for this replica; an
-// empty incarnation is one that the sender does not know yet. Errors:
+// CheckAddressee returns an error unless messages to that identity are for this
+// replica. An empty incarnation means that the sender does not know it yet. Errors:
 // consensus.IdentityMismatch.
 func (s *Store) CheckAddressee(to *pb.ReplicaIdentity) error {
-	own := s.folder.Identity
-	if to.GetId() != own.Id || to.Incarnation != "" && to.Incarnation != own.Incarnation {
+	self := s.folder.Identity
+	if to.GetId() != self.Id || to.Incarnation != "" && to.Incarnation != self.Incarnation {
 		return consensus.IdentityMismatch.New("this is replica %d (%s), not %d (%s)",
-			own.Id, own.Incarnation, to.GetId(), to.GetIncarnation())
+			self.Id, self.Incarnation, to.GetId(), to.GetIncarnation())
 	}
 	return nil
 }
 
-// TargetIdentity is the identity under which to address a replica.
+// TargetIdentity returns the identity to address a replica by.
 func (s *Store) TargetIdentity(id uint64, members *pb.Membership) *pb.ReplicaIdentity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return consensus.TargetIdentity(id, s.leads[id], s.peers[id], members)
+	return consensus.TargetIdentity(id, s.leaderIncarnations[id], s.peers[id], members)
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -11,9 +11,9 @@
 // checksumBytes is the length of the xxhash64 before each record.
 const checksumBytes = 8
 
-// seal puts the checksum of bucket, key and payload before the payload. Bucket
-// and key are in it so that a record which lands at another place is noticed.
-func seal(bucket, key, payload []byte) []byte {
+// addChecksum prepends the checksum of bucket, key and payload to the payload.
+// Bucket and key are included to detect a record that is stored in the wrong place.
+func addChecksum(bucket, key, payload []byte) []byte {
 	out := make([]byte, checksumBytes, checksumBytes+len(payload))
 	binary.BigEndian.PutUint64(out, checksum(bucket, key, payload))
 	return append(out, payload...)
@@ -27,37 +27,37 @@
 	return d.Sum64()
 }
 
-// unseal gives the payload. Errors: Corrupt.
-func unseal(bucket, key, record []byte) ([]byte, error) {
+// verifyChecksum returns the payload of a record. Errors: Corrupt.
+func verifyChecksum(bucket, key, record []byte) ([]byte, error) {
 	if len(record) < checksumBytes {
-		return nil, Corrupt.New("record %q of %s is cut short", key, bucket)
+		return nil, Corrupt.New("record %q of bucket %s is truncated", key, bucket)
 	}
 	payload := record[checksumBytes:]
 	if binary.BigEndian.Uint64(record) != checksum(bucket, key, payload) {
-		return nil, Corrupt.New("record %q of %s has another checksum", key, bucket)
+		return nil, Corrupt.New("checksum mismatch in record %q of bucket %s", key, bucket)
 	}
 	return payload, nil
 }
 
-func put(tx *bolt.Tx, bucket, key []byte, m proto.Message) error {
+func putRecord(tx *bolt.Tx, bucket, key []byte, m proto.Message) error {
 	payload, err := proto.Marshal(m)
 	if err != nil {
 		return Failed.Wrap(err, "record %q of %s", key, bucket)
 	}
-	return tx.Bucket(bucket).Put(key, seal(bucket, key, payload))
+	return tx.Bucket(bucket).Put(key, addChecksum(bucket, key, payload))
 }
 
-// get reads a record into m; false if there is none. Errors: Corrupt.
-func get(tx *bolt.Tx, bucket, key []byte, m proto.Message) (bool, error) {
+// getRecord decodes a record into m; false if there is none. Errors: Corrupt.
+func getRecord(tx *bolt.Tx, bucket, key []byte, m proto.Message) (bool, error) {
 	record := tx.Bucket(bucket).Get(key)
 	if record == nil {
 		return false, nil
 	}
-	return true, decode(bucket, key, record, m)
+	return true, decodeRecord(bucket, key, record, m)
 }
 
-func decode(bucket, key, record []byte, m proto.Message) error {
-	payload, err := unseal(bucket, key, record)
+func decodeRecord(bucket, key, record []byte, m proto.Message) error {
+	payload, err := verifyChecksum(bucket, key, record)
 	if err != nil {
 		return err
 	}
@@ -67,5 +67,5 @@
 	return nil
 }
 
-// indexKey orders numbers as bbolt orders keys.
+// indexKey encodes an index so that bbolt's key order is the numeric order.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -10,16 +10,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Recovered is what the folder held. Initial goes to consensus.NewNode as it is;
-// the host first puts its state back from Initial.SnapshotData, if there is any.
+// Recovered is the content of the folder. Initial is passed to consensus.NewNode
+// unchanged, after the host has restored its state from Initial.SnapshotData, if
+// there is any.
 type Recovered struct {
 	Initial consensus.InitialState
-	// Joined is true if the replica waits, or waited, to be added.
+	// Joined is true if the folder was created with Options.Join: the replica
+	// waits to be added to a group, or was added.
 	Joined bool
 }
 
-// recover reads the whole folder. Errors: Corrupt, Failed.
-func (s *Store) recover() (*Recovered, error) {
+// readFolder reads the whole folder. Errors: Corrupt, Failed.
+func (s *Store) readFolder() (*Recovered, error) {
 	r := &Recovered{}
 	s.folder, s.bounds = &pb.FolderIdentity{}, &pb.LogBounds{}
 	err := s.db.View(func(tx *bolt.Tx) error {
@@ -52,7 +54,7 @@
 		key []byte
 		m   proto.Message
 	}{{keyFolder, s.folder}, {keyBounds, s.bounds}, {keyHardState, hard}} {
-		found, err := get(tx, bucketMeta, rec.key, rec.m)
+		found, err := getRecord(tx, bucketMeta, rec.key, rec.m)
 		if err != nil {
 			return err
 		}
@@ -62,7 +64,7 @@
 	}
 	r.Initial.HardState = hard
 	meta := &pb.SnapshotMeta{}
-	found, err := get(tx, bucketMeta, keySnapshot, meta)
+	found, err := getRecord(tx, bucketMeta, keySnapshot, meta)
 	if found {
 		s.snapshot = meta
 	}
@@ -72,7 +74,7 @@
 func (s *Store) readPeers(tx *bolt.Tx) error {
 	return tx.Bucket(bucketPeers).ForEach(func(k, v []byte) error {
 		id := &pb.ReplicaIdentity{}
-		if err := decode(bucketPeers, k, v, id); err != nil {
+		if err := decodeRecord(bucketPeers, k, v, id); err != nil {
 			return err
 		}
 		s.peers[id.Id] = id
@@ -83,19 +85,19 @@
 func (s *Store) readLog(tx *bolt.Tx, r *Recovered) error {
 	return tx.Bucket(bucketLog).ForEach(func(k, v []byte) error {
 		e := &pb.LogEntry{}
-		if err := decode(bucketLog, k, v, e); err != nil {
+		if err := decodeRecord(bucketLog, k, v, e); err != nil {
 			return err
 		}
 		if len(k) != 8 || binary.BigEndian.Uint64(k) != e.Index {
-			return Corrupt.New("log entry %d lies under another key", e.Index)
+			return Corrupt.New("log entry %d is stored under the wrong key", e.Index)
 		}
 		r.Initial.Entries = append(r.Initial.Entries, e)
 		return nil
 	})
 }
 
-// checkLog makes sure that no entry is missing: at the ends by the bounds, which
-// each transaction writes along, and between by the indexes.
+// checkLog checks that no entry is missing: at the ends by the bounds, which each
+// transaction writes too, and in between by the indexes.
 func checkLog(bounds *pb.LogBounds, init consensus.InitialState) error {
 	entries := init.Entries
 	if len(entries) == 0 {
@@ -106,10 +108,10 @@
 	}
 	first, last := entries[0].Index, entries[len(entries)-1].Index
 	if first != bounds.First || last != bounds.Last || last-first != uint64(len(entries))-1 {
-		return Corrupt.New("log entries %d to %d are not all there", bounds.First, bounds.Last)
+		return Corrupt.New("log entries %d to %d are incomplete", bounds.First, bounds.Last)
 	}
 	if first > init.Snapshot.GetIndex()+1 || last < init.Snapshot.GetIndex() {
-		return Corrupt.New("log entries %d to %d don't meet the snapshot at %d", first, last, init.Snapshot.GetIndex())
+		return Corrupt.New("log entries %d to %d do not adjoin the snapshot at %d", first, last, init.Snapshot.GetIndex())
 	}
 	return nil
 }
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -7,13 +7,13 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Save carries out a Persist as one synced transaction: either all of it is
-// there after a crash or nothing. Errors: Failed; the host must then stop, since
-// it can't know what is on the disk.
+// Save writes a Persist as one synced transaction: after a crash either all of it
+// is there or nothing. Errors: Failed; the host must then stop, since the content
+// of the disk is unknown.
 func (s *Store) Save(p consensus.Persist) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	bounds := cloneOf(s.bounds)
+	bounds := clone(s.bounds)
 	err := s.update(func(tx *bolt.Tx) error { return save(tx, p, bounds) })
 	if err != nil {
 		return err
@@ -37,11 +37,11 @@
 		}
 	}
 	if p.HardState != nil {
-		if err := put(tx, bucketMeta, keyHardState, p.HardState); err != nil {
+		if err := putRecord(tx, bucketMeta, keyHardState, p.HardState); err != nil {
 			return err
 		}
 	}
-	return put(tx, bucketMeta, keyBounds, bounds)
+	return putRecord(tx, bucketMeta, keyBounds, bounds)
 }
 
 func truncate(tx *bolt.Tx, from uint64, bounds *pb.LogBounds) error {
@@ -60,13 +60,14 @@
 
 func appendEntries(tx *bolt.Tx, entries []*pb.LogEntry, bounds *pb.LogBounds) error {
 	b := tx.Bucket(bucketLog)
-	// Entries come in key order and are rarely replaced: full pages save space.
+	// Entries are written in key order and rarely replaced, so full pages save
+	// space.
 	b.FillPercent = 0.95
 	for _, e := range entries {
 		if bounds.Last != 0 && e.Index != bounds.Last+1 {
 			return Failed.New("entry %d does not follow entry %d", e.Index, bounds.Last)
 		}
-		if err := put(tx, bucketLog, indexKey(e.Index), e); err != nil {
+		if err := putRecord(tx, bucketLog, indexKey(e.Index), e); err != nil {
 			return err
 		}
 		if bounds.First == 0 {
--- a/internal/store/setaside.go
+++ b/internal/store/setaside.go
@@ -6,17 +6,16 @@
 	"path/filepath"
 )
 
-// ArchiveDamaged moves a Corrupt folder's files into a new folder below it, where an
-// operator may look at them, and returns its path. The next Open must say Join:
-// the replica comes back under a new incarnation, which peers refuse until the
-// operator has replaced the old one by it, under the same id or a new one.
-// Errors: Failed.
+// ArchiveDamaged moves a Corrupt folder's files into a new subfolder, where an
+// operator may inspect them, and returns its path. The next Open must set Join: the
+// replica starts with a new incarnation, which peers refuse until the operator has
+// replaced the old one by it, under the same id or a new one. Errors: Failed.
 func ArchiveDamaged(dir string) (string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return "", Failed.Wrap(err, "data folder")
+		return "", Failed.Wrap(err, "read data folder")
 	}
-	aside, err := newAside(dir)
+	archive, err := createArchiveFolder(dir)
 	if err != nil {
 		return "", err
 	}
@@ -24,32 +23,32 @@
 		if e.IsDir() {
 			continue
 		}
-		if err := os.Rename(filepath.Join(dir, e.Name()), filepath.Join(aside, e.Name())); err != nil {
-			return "", Failed.Wrap(err, "set aside")
+		if err := os.Rename(filepath.Join(dir, e.Name()), filepath.Join(archive, e.Name())); err != nil {
+			return "", Failed.Wrap(err, "archive damaged folder")
 		}
 	}
-	return aside, syncDir(dir)
+	return archive, syncDir(dir)
 }
 
-func newAside(dir string) (string, error) {
+func createArchiveFolder(dir string) (string, error) {
 	for n := 1; ; n++ {
-		aside := filepath.Join(dir, fmt.Sprintf("damaged-%d", n))
-		err := os.Mkdir(aside, folderMode)
+		archive := filepath.Join(dir, fmt.Sprintf("damaged-%d", n))
+		err := os.Mkdir(archive, folderMode)
 		if err == nil {
-			return aside, nil
+			return archive, nil
 		}
 		if !os.IsExist(err) {
-			return "", Failed.Wrap(err, "set aside")
+			return "", Failed.Wrap(err, "archive damaged folder")
 		}
 	}
 }
 
-// Discard removes what a replica that its group has removed has left in its
-// folder, so that it can begin anew. Errors: Failed.
+// Discard deletes the folder's content after the group has removed the replica, so
+// that it can join again as a new one. Errors: Failed.
 func Discard(dir string) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return Failed.Wrap(err, "data folder")
+		return Failed.Wrap(err, "read data folder")
 	}
 	for _, e := range entries {
 		if err := os.RemoveAll(filepath.Join(dir, e.Name())); err != nil {
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -16,20 +16,20 @@
 	snapshotTemp    = ".new"
 )
 
-// snapshotName names the file by what it holds, so that writing a snapshot never
-// touches the one in use.
+// snapshotName derives the file name from the content, so that writing a snapshot
+// never overwrites the current one.
 func snapshotName(meta *pb.SnapshotMeta) string {
 	return fmt.Sprintf("snapshot-%020d-%016x", meta.Index, meta.Checksum)
 }
 
-// SaveSnapshot syncs a snapshot of the own state (effect TakeSnapshot). The log
-// stays as it is. Errors: Failed.
+// SaveSnapshot syncs a snapshot of this replica's state (effect TakeSnapshot). The
+// log is unchanged. Errors: Failed.
 func (s *Store) SaveSnapshot(meta *pb.SnapshotMeta, data []byte) error {
 	return s.saveSnapshot(meta, data, false)
 }
 
-// RestoreSnapshot syncs a snapshot in place of log and state (effect
-// RestoreSnapshot), in one transaction. Errors: Failed.
+// RestoreSnapshot replaces log and snapshot by a received snapshot (effect
+// RestoreSnapshot), in one synced transaction. Errors: Failed.
 func (s *Store) RestoreSnapshot(meta *pb.SnapshotMeta, data []byte) error {
 	return s.saveSnapshot(meta, data, true)
 }
@@ -43,32 +43,32 @@
 	if meta.Index < s.snapshot.GetIndex() {
 		return nil
 	}
-	if err := writeFile(s.dir, snapshotName(meta), data); err != nil {
+	if err := writeFileAtomically(s.dir, snapshotName(meta), data); err != nil {
 		return err
 	}
-	bounds := cloneOf(s.bounds)
+	bounds := clone(s.bounds)
 	var folder *pb.FolderIdentity
 	err := s.update(func(tx *bolt.Tx) error {
 		if dropLog {
 			if err := truncate(tx, 1, bounds); err != nil {
 				return err
 			}
-			if err := put(tx, bucketMeta, keyBounds, bounds); err != nil {
+			if err := putRecord(tx, bucketMeta, keyBounds, bounds); err != nil {
 				return err
 			}
 		}
-		if err := put(tx, bucketMeta, keySnapshot, meta); err != nil {
+		if err := putRecord(tx, bucketMeta, keySnapshot, meta); err != nil {
 			return err
 		}
 		var err error
-		folder, err = s.countBoot(tx)
+		folder, err = s.advanceBoot(tx)
 		return err
 	})
 	if err != nil {
 		return err
 	}
 	s.snapshot, s.bounds, s.folder = meta, bounds, folder
-	return s.removeStrays()
+	return s.removeStaleSnapshots()
 }
 
 // LoadSnapshot reads the latest snapshot, nil if there is none. Errors: Corrupt,
@@ -94,8 +94,9 @@
 	return data, nil
 }
 
-// writeFile makes a file appear whole and synced or not at all.
-func writeFile(dir, name string, data []byte) error {
+// writeFileAtomically creates a file that after a crash is either complete or
+// absent.
+func writeFileAtomically(dir, name string, data []byte) error {
 	temp := filepath.Join(dir, name+snapshotTemp)
 	f, err := os.OpenFile(temp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -117,9 +118,9 @@
 	return syncDir(dir)
 }
 
-// removeStrays removes snapshots that are not the latest: older ones, and those
-// that a crash left before they were recorded.
-func (s *Store) removeStrays() error {
+// removeStaleSnapshots removes snapshots other than the latest: older ones, and
+// those that a crash left before they were recorded.
+func (s *Store) removeStaleSnapshots() error {
 	paths, err := filepath.Glob(filepath.Join(s.dir, snapshotPattern))
 	if err != nil {
 		return Failed.Wrap(err, "snapshots")
@@ -129,7 +130,7 @@
 			continue
 		}
 		if err := os.Remove(path); err != nil {
-			return Failed.Wrap(err, "old snapshot")
+			return Failed.Wrap(err, "remove stale snapshot")
 		}
 	}
 	return nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,12 +20,13 @@
 )
 
 const (
-	fileName = "control.db"
-	// newFileName is a file without an identity yet; a crash may leave it.
-	newFileName = "control.db.new"
-	fileMode    = 0o600
-	folderMode  = 0o700
-	// lockTimeout is how long Open waits for a process that is just ending.
+	databaseName = "control.db"
+	// newDatabaseName is a file without an identity yet; a crash may leave it
+	// behind.
+	newDatabaseName = "control.db.new"
+	fileMode        = 0o600
+	folderMode      = 0o700
+	// lockTimeout is how long Open waits for a process that is about to exit.
 	lockTimeout = 2 * time.Second
 )
 
@@ -40,21 +41,22 @@
 	keyBounds    = []byte("log_bounds")
 )
 
-// Options says which folder is opened and for whom.
+// Options selects the folder to open and the replica it must belong to.
 type Options struct {
 	Dir     string
 	Cluster string
-	// ReplicaID is 0 for a replica that keeps the id of its folder and draws one
-	// for a new folder.
+	// ReplicaID is 0 for a replica that uses the id stored in its folder, or a
+	// random one for a new folder.
 	ReplicaID uint64
 	// Bootstrap is the first member list of a new cluster, the same at each of
-	// its replicas. It counts only while the folder is empty and Join is false.
+	// its replicas. It is used only when the folder is empty and Join is false.
 	Bootstrap *pb.Membership
-	// Join starts an empty folder as one that waits to be added as a learner.
+	// Join creates an empty folder for a replica that waits to be added as a
+	// learner.
 	Join bool
 }
 
-// Store is one open data folder. Its methods may be called from any goroutine.
+// Store is an open data folder. Its methods may be called from any goroutine.
 type Store struct {
 	db       *bolt.DB
 	dir      string
@@ -63,21 +65,22 @@
 	snapshot *pb.SnapshotMeta
 	bounds   *pb.LogBounds
 	peers    map[uint64]*pb.ReplicaIdentity
-	// leads holds the incarnation under which an id was last heard to lead.
-	leads map[uint64]string
+	// leaderIncarnations holds the incarnation that was last seen as leader
+	// under each id.
+	leaderIncarnations map[uint64]string
 }
 
-// Open reads and checks a data folder, creates it if it is empty, and counts the
+// Open reads and checks a data folder, creates it if it is empty, and advances its
 // boot. Errors: Corrupt, WrongOwner, Locked, Failed.
 func Open(o Options) (*Store, *Recovered, error) {
-	if err := prepare(o); err != nil {
+	if err := prepareFolder(o); err != nil {
 		return nil, nil, err
 	}
 	s, err := openFile(o.Dir)
 	if err != nil {
 		return nil, nil, err
 	}
-	r, err := s.start(o)
+	r, err := s.initialize(o)
 	if err != nil {
 		_ = s.db.Close()
 		return nil, nil, err
@@ -93,40 +96,40 @@
 	return nil
 }
 
-// Identity is this replica's, with this boot, without the history of boots.
+// Identity returns this replica's identity in this boot, without the boot history.
 func (s *Store) Identity() *pb.ReplicaIdentity {
 	id := s.HelloIdentity()
 	id.PastNonces = nil
 	return id
 }
 
-// HelloIdentity is Identity with the history of boots, for requests that hold a
-// HELLO or HELLO_RESPONSE.
+// HelloIdentity returns the identity with the boot history, for requests that
+// contain a HELLO or HELLO_RESPONSE.
 func (s *Store) HelloIdentity() *pb.ReplicaIdentity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return cloneOf(s.folder.Identity)
+	return clone(s.folder.Identity)
 }
 
-// prepare makes sure that the folder holds a file with an identity.
+// prepareFolder makes sure that the folder contains a file with an identity.
 //
-// The file gets its name only once its identity is synced. So a crash between
-// creating the folder and writing the identity leaves a folder that counts as
-// empty, and no replica can have spoken from it.
-func prepare(o Options) error {
+// The file gets its final name only after its identity is synced. So a crash
+// between creating the folder and writing the identity leaves a folder that counts
+// as empty, and no replica can have sent messages from it.
+func prepareFolder(o Options) error {
 	if err := os.MkdirAll(o.Dir, folderMode); err != nil {
-		return Failed.Wrap(err, "data folder")
+		return Failed.Wrap(err, "create data folder")
 	}
-	_, err := os.Stat(filepath.Join(o.Dir, fileName))
+	_, err := os.Stat(filepath.Join(o.Dir, databaseName))
 	if err == nil {
 		return nil
 	}
 	if !errors.Is(err, os.ErrNotExist) {
-		return Failed.Wrap(err, "data folder")
+		return Failed.Wrap(err, "stat data folder")
 	}
-	left, err := filepath.Glob(filepath.Join(o.Dir, snapshotPattern))
-	if err == nil && len(left) > 0 {
-		return Corrupt.New("%s is missing, but %s is there", fileName, filepath.Base(left[0]))
+	leftovers, err := filepath.Glob(filepath.Join(o.Dir, snapshotPattern))
+	if err == nil && len(leftovers) > 0 {
+		return Corrupt.New("%s is missing, but %s exists", databaseName, filepath.Base(leftovers[0]))
 	}
 	return create(o)
 }
@@ -135,9 +138,9 @@
 	if o.ReplicaID == 0 {
 		o.ReplicaID = max(1, rand.Uint64())
 	}
-	temp := filepath.Join(o.Dir, newFileName)
+	temp := filepath.Join(o.Dir, newDatabaseName)
 	if err := os.RemoveAll(temp); err != nil {
-		return Failed.Wrap(err, "left-over file")
+		return Failed.Wrap(err, "remove leftover file")
 	}
 	db, err := openBolt(temp)
 	if err != nil {
@@ -150,7 +153,7 @@
 	if err != nil {
 		return Failed.Wrap(err, "identity")
 	}
-	if err := os.Rename(temp, filepath.Join(o.Dir, fileName)); err != nil {
+	if err := os.Rename(temp, filepath.Join(o.Dir, databaseName)); err != nil {
 		return Failed.Wrap(err, "identity")
 	}
 	if err := syncDir(o.Dir); err != nil {
@@ -173,13 +176,13 @@
 	if !o.Join {
 		folder.Bootstrap = o.Bootstrap
 	}
-	if err := put(tx, bucketMeta, keyFolder, folder); err != nil {
+	if err := putRecord(tx, bucketMeta, keyFolder, folder); err != nil {
 		return err
 	}
-	if err := put(tx, bucketMeta, keyBounds, &pb.LogBounds{}); err != nil {
+	if err := putRecord(tx, bucketMeta, keyBounds, &pb.LogBounds{}); err != nil {
 		return err
 	}
-	return put(tx, bucketMeta, keyHardState, &pb.HardState{})
+	return putRecord(tx, bucketMeta, keyHardState, &pb.HardState{})
 }
 
 func openBolt(path string) (*bolt.DB, error) {
@@ -197,33 +200,33 @@
 	return db, nil
 }
 
-// openFile opens and checks the file's structure. Damaged pages make bbolt panic
-// or fault; both count as Corrupt.
+// openFile opens the file and checks its structure. Damaged pages make bbolt panic
+// or cause a memory fault; both count as Corrupt.
 func openFile(dir string) (s *Store, err error) {
-	path := filepath.Join(dir, fileName)
+	path := filepath.Join(dir, databaseName)
 	if err := checkPages(path); err != nil {
 		return nil, err
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			s, err = nil, Corrupt.New("%s: %v", fileName, p)
+			s, err = nil, Corrupt.New("%s: %v", databaseName, p)
 		}
 	}()
 	db, err := openBolt(path)
 	if err != nil {
 		return nil, err
 	}
-	s = &Store{db: db, dir: dir, peers: map[uint64]*pb.ReplicaIdentity{}, leads: map[uint64]string{}}
+	s = &Store{db: db, dir: dir, peers: map[uint64]*pb.ReplicaIdentity{}, leaderIncarnations: map[uint64]string{}}
 	if err := db.View(checkStructure); err != nil {
 		_ = db.Close()
-		return nil, Corrupt.Wrap(err, "%s", fileName)
+		return nil, Corrupt.Wrap(err, "%s", databaseName)
 	}
 	return s, nil
 }
 
-// checkStructure reads every record, so that a fault comes here and not in the
-// check's own goroutine, and then lets bbolt check that no page is used twice.
+// checkStructure reads every record, so that a memory fault occurs here and not in
+// the goroutine of bbolt's check. Then bbolt checks that no page is used twice.
 func checkStructure(tx *bolt.Tx) error {
 	for _, name := range [][]byte{bucketMeta, bucketLog, bucketPeers} {
 		b := tx.Bucket(name)
@@ -231,7 +234,7 @@
 			return Corrupt.New("bucket %s is missing", name)
 		}
 		err := b.ForEach(func(k, v []byte) error {
-			_, err := unseal(name, k, v)
+			_, err := verifyChecksum(name, k, v)
 			return err
 		})
 		if err != nil {
@@ -247,31 +250,31 @@
 	return first
 }
 
-// start checks whose folder it is, reads it and counts the boot.
-func (s *Store) start(o Options) (*Recovered, error) {
-	r, err := s.recover()
+// initialize reads the folder, checks its owner and advances the boot.
+func (s *Store) initialize(o Options) (*Recovered, error) {
+	r, err := s.readFolder()
 	if err != nil {
 		return nil, err
 	}
-	s.takeNewID(o, r)
+	s.adoptConfiguredID(o, r)
 	id := s.folder.Identity
 	if s.folder.ClusterId != o.Cluster || o.ReplicaID != 0 && id.GetId() != o.ReplicaID {
 		return nil, WrongOwner.New("the folder belongs to replica %d of cluster %q", id.GetId(), s.folder.ClusterId)
 	}
-	if err := s.removeStrays(); err != nil {
+	if err := s.removeStaleSnapshots(); err != nil {
 		return nil, err
 	}
 	err = s.update(func(tx *bolt.Tx) error {
-		s.folder, err = s.countBoot(tx)
+		s.folder, err = s.advanceBoot(tx)
 		return err
 	})
 	r.Initial.Identity = s.folder.Identity
 	return r, err
 }
 
-// takeNewID lets an operator change the id of a replica that waits to be added:
-// nothing was ever acknowledged from its folder.
-func (s *Store) takeNewID(o Options, r *Recovered) {
+// adoptConfiguredID lets an operator change the id of a replica that waits to be
+// added, since it has never acknowledged anything.
+func (s *Store) adoptConfiguredID(o Options, r *Recovered) {
 	init := r.Initial
 	unused := init.HardState.GetTerm() == 0 && len(init.Entries) == 0 && s.snapshot == nil
 	if o.ReplicaID == 0 || !unused || !r.Joined || !o.Join || s.folder.ClusterId != o.Cluster || s.folder.Identity.GetId() == o.ReplicaID {
@@ -280,15 +283,16 @@
 	s.folder.Identity = &pb.ReplicaIdentity{Id: o.ReplicaID, Incarnation: uuid.NewString()}
 }
 
-// countBoot draws this boot's nonce and syncs it before the replica says
-// anything. A folder put back from an older copy comes up with a boot that does
-// not follow the one that peers know: they refuse it (consensus.CheckPeer), so
-// what it has forgotten can't undo a commit. Snapshots count as boots too, so
-// that a copy taken since the last start is noticed once a snapshot follows.
-func (s *Store) countBoot(tx *bolt.Tx) (*pb.FolderIdentity, error) {
-	next := cloneOf(s.folder)
+// advanceBoot draws this boot's nonce and syncs it before the replica sends any
+// message. A folder restored from an older copy starts with a boot that does not
+// follow the one that peers know. They refuse it (consensus.CheckPeer), so the
+// state it lost can't undo a commit. Snapshots count as boots too, so that
+// restoring a copy made since the last start is detected once a snapshot has
+// followed the copy.
+func (s *Store) advanceBoot(tx *bolt.Tx) (*pb.FolderIdentity, error) {
+	next := clone(s.folder)
 	consensus.AdvanceBoot(next.Identity, rand.Uint64())
-	return next, put(tx, bucketMeta, keyFolder, next)
+	return next, putRecord(tx, bucketMeta, keyFolder, next)
 }
 
 func (s *Store) update(fn func(*bolt.Tx) error) error {
@@ -311,4 +315,4 @@
 	return nil
 }
 
-func cloneOf[T proto.Message](m T) T { return proto.Clone(m).(T) }
+func clone[T proto.Message](m T) T { return proto.Clone(m).(T) }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -30,7 +30,7 @@
 	return s, r
 }
 
-func entries(first, last, term uint64) []*pb.LogEntry {
+func makeEntries(first, last, term uint64) []*pb.LogEntry {
 	var es []*pb.LogEntry
 	for i := first; i <= last; i++ {
 		es = append(es, &pb.LogEntry{Index: i, Term: term, Data: []byte("entry")})
@@ -45,12 +45,12 @@
 	}
 }
 
-func TestReopenGivesWhatWasSaved(t *testing.T) {
+func TestReopenRecoversSavedState(t *testing.T) {
 	o := options(t.TempDir())
 	s, first := mustOpen(t, o)
 	hard := &pb.HardState{Term: 3, Vote: 2, Commit: 7}
-	mustSave(t, s, consensus.Persist{Entries: entries(1, 9, 2)})
-	mustSave(t, s, consensus.Persist{TruncateFrom: 6, Entries: entries(6, 8, 3), HardState: hard})
+	mustSave(t, s, consensus.Persist{Entries: makeEntries(1, 9, 2)})
+	mustSave(t, s, consensus.Persist{TruncateFrom: 6, Entries: makeEntries(6, 8, 3), HardState: hard})
 	meta := &pb.SnapshotMeta{Index: 5, Term: 2}
 	consensus.SetSnapshotChecksum(meta, []byte("state"))
 	if err := s.SaveSnapshot(meta, []byte("state")); err != nil {
@@ -62,7 +62,7 @@
 	}
 
 	_, r := mustOpen(t, o)
-	want := append(entries(4, 5, 2), entries(6, 8, 3)...)
+	want := append(makeEntries(4, 5, 2), makeEntries(6, 8, 3)...)
 	got := r.Initial
 	for _, d := range []string{
 		cmp.Diff(want, got.Entries, protocmp.Transform()),
@@ -81,12 +81,13 @@
 	}
 }
 
-// saved gives a closed folder with some entries and a snapshot in it.
-func saved(t *testing.T) Options {
+// savedFolder returns the options of a closed folder with some entries and a
+// snapshot.
+func savedFolder(t *testing.T) Options {
 	t.Helper()
 	o := options(t.TempDir())
 	s, _ := mustOpen(t, o)
-	mustSave(t, s, consensus.Persist{Entries: entries(1, 40, 2), HardState: &pb.HardState{Term: 2, Vote: 1, Commit: 40}})
+	mustSave(t, s, consensus.Persist{Entries: makeEntries(1, 40, 2), HardState: &pb.HardState{Term: 2, Vote: 1, Commit: 40}})
 	meta := &pb.SnapshotMeta{Index: 20, Term: 2}
 	consensus.SetSnapshotChecksum(meta, []byte("state"))
 	if err := s.SaveSnapshot(meta, []byte("state")); err != nil {
@@ -98,7 +99,7 @@
 	return o
 }
 
-func mustFail(t *testing.T, o Options, want *errorx.Type) {
+func mustFailToOpen(t *testing.T, o Options, want *errorx.Type) {
 	t.Helper()
 	s, _, err := Open(o)
 	if err == nil {
@@ -109,13 +110,13 @@
 	}
 }
 
-// An operator sees a replica that votes twice or has lost what it acknowledged.
-// Its disk altered a byte while it was down; it came up and answered from the
-// altered file. Each byte that is in use must be noticed, or not matter.
+// Guards against a replica that votes twice or loses acknowledged entries because a
+// byte of its file changed on disk while it was down. A change of any byte must be
+// detected or have no effect.
 func TestFlippedByteIsNoticed(t *testing.T) {
-	o := saved(t)
-	path := filepath.Join(o.Dir, fileName)
-	whole, err := os.ReadFile(path)
+	o := savedFolder(t)
+	path := filepath.Join(o.Dir, databaseName)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,15 +124,15 @@
 	if err != nil || len(snapshots) != 1 {
 		t.Fatal(snapshots, err)
 	}
-	want := contents(t, o)
-	noticed := 0
-	for at := 0; at < len(whole); at += 211 {
-		altered := bytes.Clone(whole)
-		altered[at] ^= 0x10
-		// A folder of its own each time: a file on which bbolt has panicked
+	want := reopen(t, o)
+	detected := 0
+	for at := 0; at < len(original); at += 211 {
+		corrupted := bytes.Clone(original)
+		corrupted[at] ^= 0x10
+		// A separate folder for each case: a file on which bbolt has panicked
 		// stays locked until the process ends.
 		o.Dir = t.TempDir()
-		if err := os.WriteFile(filepath.Join(o.Dir, fileName), altered, fileMode); err != nil {
+		if err := os.WriteFile(filepath.Join(o.Dir, databaseName), corrupted, fileMode); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Link(snapshots[0], filepath.Join(o.Dir, filepath.Base(snapshots[0]))); err != nil {
@@ -145,17 +146,17 @@
 			}
 			_ = s.Close()
 		case errorx.IsOfType(err, Corrupt):
-			noticed++
+			detected++
 		default:
 			t.Errorf("byte %d: %v", at, err)
 		}
 	}
-	if noticed == 0 {
-		t.Error("no flipped byte was noticed")
+	if detected == 0 {
+		t.Error("no flipped byte was detected")
 	}
 }
 
-func contents(t *testing.T, o Options) consensus.InitialState {
+func reopen(t *testing.T, o Options) consensus.InitialState {
 	t.Helper()
 	s, r := mustOpen(t, o)
 	if err := s.Close(); err != nil {
@@ -164,24 +165,25 @@
 	return r.Initial
 }
 
-// An operator sees a replica crash in a loop, or come up without its last
-// entries, after its file was cut short by a full or failing disk.
+// Guards against a replica that crashes in a loop, or starts without its last
+// entries, after a full or failing disk truncated its file.
 func TestTruncatedFileIsNoticed(t *testing.T) {
-	o := saved(t)
-	path := filepath.Join(o.Dir, fileName)
-	whole, err := os.ReadFile(path)
+	o := savedFolder(t)
+	path := filepath.Join(o.Dir, databaseName)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, size := range []int{0, 1, 100, pageSize, 2*pageSize + 5, len(whole) / 2} {
-		if err := os.WriteFile(path, whole[:size], fileMode); err != nil {
+	for _, size := range []int{0, 1, 100, pageSize, 2*pageSize + 5, len(original) / 2} {
+		if err := os.WriteFile(path, original[:size], fileMode); err != nil {
 			t.Fatal(err)
 		}
-		mustFail(t, o, Corrupt)
+		mustFailToOpen(t, o, Corrupt)
 	}
 }
 
-// The same with the snapshot's file: cut, altered or gone.
+// Guards against the same failures when the snapshot file is truncated, altered or
+// missing.
 func TestDamagedSnapshotIsNoticed(t *testing.T) {
 	for name, damage := range map[string]func(string) error{
 		"cut":     func(p string) error { return os.Truncate(p, 2) },
@@ -189,7 +191,7 @@
 		"gone":    os.Remove,
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := saved(t)
+			o := savedFolder(t)
 			paths, err := filepath.Glob(filepath.Join(o.Dir, snapshotPattern))
 			if err != nil || len(paths) != 1 {
 				t.Fatal(paths, err)
@@ -197,55 +199,57 @@
 			if err := damage(paths[0]); err != nil {
 				t.Fatal(err)
 			}
-			mustFail(t, o, Corrupt)
+			mustFailToOpen(t, o, Corrupt)
 		})
 	}
 }
 
-// A folder that is moved to another VM, or settings that name another replica,
-// must not let one replica speak as another.
+// A folder that was moved to another VM, or settings that name another replica,
+// must not let one replica send messages as another.
 func TestForeignFolderIsRefused(t *testing.T) {
-	o := saved(t)
+	o := savedFolder(t)
 	other := o
 	other.ReplicaID = 2
-	mustFail(t, other, WrongOwner)
+	mustFailToOpen(t, other, WrongOwner)
 	other = o
 	other.Cluster = "d"
-	mustFail(t, other, WrongOwner)
+	mustFailToOpen(t, other, WrongOwner)
 	mustOpen(t, o)
-	mustFail(t, o, Locked)
+	mustFailToOpen(t, o, Locked)
 }
 
-// A crash between the folder's creation and the identity leaves a folder that
-// counts as empty: a second start must work, under one identity from then on.
+// A crash between creating the folder and writing the identity leaves a folder that
+// counts as empty: the next start must succeed, and later starts must keep its
+// identity.
 func TestCrashBeforeIdentityIsWritten(t *testing.T) {
 	o := options(filepath.Join(t.TempDir(), "data"))
 	if err := os.Mkdir(o.Dir, folderMode); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, newFileName), []byte("half a page"), fileMode); err != nil {
+	if err := os.WriteFile(filepath.Join(o.Dir, newDatabaseName), []byte("half a page"), fileMode); err != nil {
 		t.Fatal(err)
 	}
-	first := contents(t, o)
-	if again := contents(t, o); again.Identity.Incarnation != first.Identity.Incarnation {
+	first := reopen(t, o)
+	if again := reopen(t, o); again.Identity.Incarnation != first.Identity.Incarnation {
 		t.Errorf("incarnation %s became %s", first.Identity.Incarnation, again.Identity.Incarnation)
 	}
 }
 
-// A file that is gone while snapshots are left is damage, not a new folder; set
-// aside, the replica comes back as another life that waits to be added.
-func TestSetAsideStartsAnotherLife(t *testing.T) {
-	o := saved(t)
-	before := contents(t, o)
-	if err := os.Remove(filepath.Join(o.Dir, fileName)); err != nil {
+// A missing database file next to existing snapshots is damage, not a new folder.
+// After its files are archived, the replica starts with a new incarnation and waits
+// to be added.
+func TestArchivedFolderStartsNewIncarnation(t *testing.T) {
+	o := savedFolder(t)
+	before := reopen(t, o)
+	if err := os.Remove(filepath.Join(o.Dir, databaseName)); err != nil {
 		t.Fatal(err)
 	}
-	mustFail(t, o, Corrupt)
+	mustFailToOpen(t, o, Corrupt)
 	if _, err := ArchiveDamaged(o.Dir); err != nil {
 		t.Fatal(err)
 	}
 	o.Join, o.ReplicaID = true, 7
-	contents(t, o)
+	reopen(t, o)
 	o.ReplicaID = 1
 	s, r := mustOpen(t, o)
 	if !r.Joined || r.Initial.Membership != nil || s.Identity().Incarnation == before.Identity.Incarnation {
@@ -253,15 +257,15 @@
 	}
 }
 
-// A user sees an accepted change gone: a VM's disk was put back from an older
-// copy, the replica voted as if it had never acknowledged the change. Peers know
-// the boot that followed the copy, also after their own restart, and however
-// often the old folder is started.
-func TestPutBackFolderIsRefusedByPeers(t *testing.T) {
+// Guards against losing an accepted change: a VM's disk is restored from an older
+// copy, and the replica votes without the change that it acknowledged. Peers know a
+// boot after the copy, also after their own restart, and refuse the old folder
+// however often it is started.
+func TestRolledBackFolderIsRefusedByPeers(t *testing.T) {
 	o, peer := options(t.TempDir()), options(t.TempDir())
 	peer.ReplicaID = 2
-	contents(t, o)
-	copied, err := os.ReadFile(filepath.Join(o.Dir, fileName))
+	reopen(t, o)
+	oldCopy, err := os.ReadFile(filepath.Join(o.Dir, databaseName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -277,19 +281,20 @@
 			t.Fatal(err)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, fileName), copied, fileMode); err != nil {
+	if err := os.WriteFile(filepath.Join(o.Dir, databaseName), oldCopy, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	for boot := range 3 {
 		if err := admit(); !errorx.IsOfType(err, consensus.RolledBack) {
-			t.Errorf("start %d after the copy was put back: %v", boot+1, err)
+			t.Errorf("start %d after the old copy was restored: %v", boot+1, err)
 		}
 	}
 }
 
-// A user sees an accepted change gone: a VM lost its disk, its replica came back
-// empty under its old settings and voted again. A peer that has heard the first life
-// must refuse the second, until the member list names it or the first is removed.
+// Guards against losing an accepted change: a VM loses its disk, and its replica
+// restarts empty under its old settings and votes again. A peer that knows the
+// first incarnation must refuse the second until the member list names it or the
+// first is removed.
 func TestEmptiedFolderIsRefusedByPeers(t *testing.T) {
 	peer := options(t.TempDir())
 	peer.ReplicaID = 2
@@ -307,12 +312,12 @@
 	if _, err := admit(members); !errorx.IsOfType(err, consensus.IdentityMismatch) {
 		t.Errorf("the emptied folder is admitted: %v", err)
 	}
-	without := &pb.Membership{Removed: []*pb.ReplicaIdentity{first}}
-	if _, err := admit(without); err != nil {
-		t.Errorf("its next life is refused after the removal: %v", err)
+	afterRemoval := &pb.Membership{Removed: []*pb.ReplicaIdentity{first}}
+	if _, err := admit(afterRemoval); err != nil {
+		t.Errorf("its next incarnation is refused after the removal: %v", err)
 	}
-	err = p.Admit(&pb.StepRequest{From: first, Messages: []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_HELLO}}}, without)
+	err = p.Admit(&pb.StepRequest{From: first, Messages: []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_HELLO}}}, afterRemoval)
 	if !errorx.IsOfType(err, consensus.RemovedIdentity) {
-		t.Errorf("the removed life gives %v", err)
+		t.Errorf("the removed incarnation gives %v", err)
 	}
 }
