--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -125,7 +125,7 @@
 func (h *harness) becomeLeader(term uint64) {
 	h.node.term, h.node.isLeader = term, true
 	h.node.leaseUntil = h.clock + time.Hour
-	h.emitOnTick(consensus.LeaderChanged{Term: term, Leader: 1, Leads: true})
+	h.emitOnTick(consensus.LeaderChanged{Term: term, Leader: 1, LeaderReady: true})
 }
 
 // stepDown ends the replica's leadership.
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -23,7 +23,7 @@
 	list := &pb.Membership{Members: []*pb.ReplicaMember{
 		replicaAt(1, "10.0.0.1:1", "a"), replicaAt(2, "10.0.0.2:1", "b"), replicaAt(3, "10.0.0.3:1", "c"),
 	}}
-	h.node.replicas = []consensus.ReplicaStatus{{ID: 1}, {ID: 2}, {ID: 3, SilentFor: time.Minute}}
+	h.node.replicas = []consensus.ReplicaStatus{{ID: 1}, {ID: 2}, {ID: 3, SinceLastContact: time.Minute}}
 	h.emitOnTick(consensus.MembershipChanged{Membership: list, Committed: list})
 	return h
 }
--- a/internal/control/runner/runner.go
+++ b/internal/control/runner/runner.go
@@ -135,7 +135,7 @@
 	if !errorx.IsOfType(err, store.Corrupt) {
 		return st, recovered, err
 	}
-	movedTo, moveErr := store.SetAside(cfg.DataDir)
+	movedTo, moveErr := store.ArchiveDamaged(cfg.DataDir)
 	if moveErr != nil {
 		return nil, nil, moveErr
 	}
--- a/internal/control/runner/transport.go
+++ b/internal/control/runner/transport.go
@@ -148,7 +148,7 @@
 	defer cancel()
 	resp, err := pb.NewReplicaProtobufClient(t.auth.URL(address), client).Step(ctx, &pb.StepRequest{
 		ClusterId: t.cfg.Cluster, From: t.senderIdentity(batch),
-		To: t.store.Target(key.peer, members), Messages: batch, FromAddress: t.cfg.Address,
+		To: t.store.TargetIdentity(key.peer, members), Messages: batch, FromAddress: t.cfg.Address,
 	})
 	if err != nil {
 		return err
@@ -165,7 +165,7 @@
 	for _, m := range batch {
 		switch m.GetKind() {
 		case pb.MessageKind_MESSAGE_KIND_HELLO, pb.MessageKind_MESSAGE_KIND_HELLO_RESPONSE:
-			return t.store.Introduction()
+			return t.store.HelloIdentity()
 		}
 	}
 	return t.store.Identity()
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -6,13 +6,13 @@
 var Namespace = errorx.NewNamespace("store")
 
 var (
-	// Failed: the disk refused a read or write. Nothing may be answered from
-	// what was not synced.
+	// Failed: a read or write of the disk failed. The replica must not answer
+	// from state that was not synced.
 	Failed = Namespace.NewType("failed")
 	// Corrupt: the folder's content is not what was written.
 	Corrupt = Namespace.NewType("corrupt")
-	// Foreign: the folder belongs to another cluster or replica.
-	Foreign = Namespace.NewType("foreign")
+	// WrongOwner: the folder belongs to another cluster or replica.
+	WrongOwner = Namespace.NewType("foreign")
 	// Locked: another process has the folder open.
 	Locked = Namespace.NewType("locked")
 )
