--- a/internal/callerconn/callerconn.go
+++ b/internal/callerconn/callerconn.go
@@ -24,19 +24,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{Conn: conn, Stall: stallLimit}, nil
+	return &Conn{Conn: conn, WriteTimeout: stallLimit}, nil
 }
 
 // Conn is a caller's connection.
 type Conn struct {
 	net.Conn
-	// Stall is how long a write may take.
-	Stall time.Duration
+	// WriteTimeout is how long a write may take.
+	WriteTimeout time.Duration
 }
 
-// Write writes within Stall.
+// Write writes within WriteTimeout.
 func (c *Conn) Write(p []byte) (int, error) {
-	if err := c.Conn.SetWriteDeadline(time.Now().Add(c.Stall)); err != nil {
+	if err := c.Conn.SetWriteDeadline(time.Now().Add(c.WriteTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/internal/control/runner/runner.go
+++ b/internal/control/runner/runner.go
@@ -83,7 +83,7 @@
 	r := &Runner{
 		cfg: cfg, log: log, auth: auth, metrics: obs.NewMetrics(metricsPrefix), store: st, drivers: drivers,
 	}
-	auth.Count(r.metrics.Scope)
+	auth.CountBytes(r.metrics.Scope)
 	reducer := control.NewReducer(control.Config{
 		Cluster: cfg.Cluster, ID: id,
 		Sender:       cfg.Name + "/" + uuid.NewString(),
--- a/internal/control/runner/server.go
+++ b/internal/control/runner/server.go
@@ -37,7 +37,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", r.metrics.Handler)
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	mux.Handle("/", r.auth.Require(r.loop.answered.Count(http.MaxBytesHandler(protected, maxCallBytes))))
+	mux.Handle("/", r.auth.RequireKey(r.loop.answered.Wrap(http.MaxBytesHandler(protected, maxCallBytes))))
 	return mux
 }
 
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -84,7 +84,7 @@
 		return nil, Failed.Wrap(err, "auth")
 	}
 	h := &Host{Settings: set, Log: log, Auth: auth, Metrics: obs.NewMetrics("goldcrest_entry")}
-	auth.Count(h.Metrics.Scope)
+	auth.CountBytes(h.Metrics.Scope)
 	h.Background, h.letGo = context.WithCancel(context.Background())
 	if h.others, err = auth.Listen(h.Background, set.PeerAddress); err != nil {
 		return nil, Failed.Wrap(err, "peer_address")
@@ -260,9 +260,9 @@
 func (h *Host) otherHandler(peers http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	if peers != nil {
-		mux.Handle("/", h.Auth.Require(peers))
+		mux.Handle("/", h.Auth.RequireKey(peers))
 	}
-	mux.Handle(pb.PeerLoadPathPrefix, h.Auth.Require(pb.NewPeerLoadServer(h.peerReports)))
+	mux.Handle(pb.PeerLoadPathPrefix, h.Auth.RequireKey(pb.NewPeerLoadServer(h.peerReports)))
 	mux.Handle("GET /metrics", h.Metrics.Handler)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		if h.NotReady() != "" {
--- a/internal/host/watch.go
+++ b/internal/host/watch.go
@@ -32,7 +32,7 @@
 		err := h.Control.Call(ctx, watchTry, func(ctx context.Context, c pb.Control) error {
 			var err error
 			sent = clock.Boot()
-			resp, err = c.Watch(rpc.WithSilence(ctx, watchSilence), h.watchRequest())
+			resp, err = c.Watch(rpc.WithReadIdleTimeout(ctx, watchSilence), h.watchRequest())
 			h.logWatchFailed(sent, err)
 			return err
 		})
--- a/internal/httpconn/answer.go
+++ b/internal/httpconn/answer.go
@@ -15,8 +15,8 @@
 	lengthToEnd = -2
 )
 
-// Answer is an answer whose head has been read. Close must be called.
-type Answer struct {
+// Response is an answer whose head has been read. Close must be called.
+type Response struct {
 	Header  fasthttp.ResponseHeader
 	client  *Client
 	conn    *conn
@@ -28,7 +28,7 @@
 }
 
 // exchange writes the request and reads the head of the answer to it.
-func (a *Answer) exchange(call Call) error {
+func (a *Response) exchange(call Call) error {
 	err := call.Request.Write(a.conn.w)
 	if err == nil {
 		err = a.conn.w.Flush()
@@ -41,7 +41,7 @@
 		if err := a.readHead(skipBody); err != nil {
 			return err
 		}
-		if call.Mine == nil || call.Mine(&a.Header) {
+		if call.Matches == nil || call.Matches(&a.Header) {
 			return nil
 		}
 		// Only on a connection that was used before can it be a late one.
@@ -49,13 +49,13 @@
 			_, err = io.Copy(io.Discard, a)
 		}
 		if a.conn.used.IsZero() || err != nil || !a.goesOn() {
-			return Mixed.New("the answer is to another request")
+			return Mismatched.New("the answer is to another request")
 		}
 	}
-	return Mixed.New("%d answers are to other requests", maxSkipped)
+	return Mismatched.New("%d answers are to other requests", maxSkipped)
 }
 
-func (a *Answer) readHead(skipBody bool) error {
+func (a *Response) readHead(skipBody bool) error {
 	a.whole = false
 	a.Header.Reset()
 	// The library's reader takes heads of 1xx for answers; they only announce one.
@@ -84,15 +84,15 @@
 }
 
 // Length is the body's length, less than 0 if it is not told.
-func (a *Answer) Length() int { return a.length }
+func (a *Response) Length() int { return a.length }
 
-// ToEnd tells that the body ends only where the connection does, so that an end
+// CloseDelimited tells that the body ends only where the connection does, so that an end
 // on the way can't be told from its end.
-func (a *Answer) ToEnd() bool { return a.length == lengthToEnd }
+func (a *Response) CloseDelimited() bool { return a.length == lengthToEnd }
 
 // Read gives the body's bytes and io.EOF once it is whole. Errors: Broken for a
 // body that ends early.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	if a.whole {
 		return 0, io.EOF
 	}
@@ -112,7 +112,7 @@
 }
 
 // end takes what follows the last chunk of a body.
-func (a *Answer) end() error {
+func (a *Response) end() error {
 	if a.Header.ContentLength() == lengthChunked {
 		for {
 			line, err := a.conn.r.ReadSlice('\n')
@@ -129,17 +129,17 @@
 }
 
 // goesOn tells whether another answer may follow on the connection.
-func (a *Answer) goesOn() bool {
+func (a *Response) goesOn() bool {
 	return a.whole && a.Header.ContentLength() != lengthToEnd && !a.Header.ConnectionClose()
 }
 
 // keepable tells whether the connection can carry another request: nothing has
 // come on it that was not asked for.
-func (a *Answer) keepable() bool { return a.goesOn() && a.conn.r.Buffered() == 0 }
+func (a *Response) keepable() bool { return a.goesOn() && a.conn.r.Buffered() == 0 }
 
 // Close gives the connection back if the body has been read to its end, and
 // closes it otherwise: the server then stops its work.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	untouched := a.unwatch()
 	if untouched && a.keepable() {
 		a.client.keep(a.conn, idleTime(&a.Header))
--- a/internal/httpconn/client.go
+++ b/internal/httpconn/client.go
@@ -67,17 +67,17 @@
 type Call struct {
 	Address string
 	Request *fasthttp.Request
-	// Fresh asks for a connection that has carried nothing before: one that idled
+	// NewConnection asks for a connection that has carried nothing before: one that idled
 	// may have been closed, and a request that is lost on it may have run.
-	Fresh bool
+	NewConnection bool
 	// MaxConns bounds the open connections to the address; 0: no bound.
 	MaxConns int
-	// Wanted is asked once there is a connection; if it tells that the server wants the
+	// AcceptsRequests is asked once there is a connection; if it tells that the server wants the
 	// request no more, none is sent. nil: it does.
-	Wanted func() bool
-	// Mine tells whether an answer is to this request. A server may send a second
+	AcceptsRequests func() bool
+	// Matches tells whether an answer is to this request. A server may send a second
 	// answer to an earlier request where the answer to this one is due.
-	Mine func(*fasthttp.ResponseHeader) bool
+	Matches func(*fasthttp.ResponseHeader) bool
 }
 
 // conn is one connection.
@@ -93,17 +93,17 @@
 
 // Do sends the request and reads the answer's head. When ctx ends the connection
 // is closed, also while the answer's body is read. Errors: NotSent, Refused,
-// Broken, Closed, Mixed.
-func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
+// Broken, Closed, Mismatched.
+func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	cn, err := c.connection(ctx, call)
 	if err != nil {
 		return nil, Classify(err)
 	}
-	if call.Wanted != nil && !call.Wanted() {
+	if call.AcceptsRequests != nil && !call.AcceptsRequests() {
 		c.keep(cn, idleLimit)
 		return nil, NotSent.New("the server wants no more requests")
 	}
-	a := &Answer{client: c, conn: cn}
+	a := &Response{client: c, conn: cn}
 	a.unwatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	if err := a.exchange(call); err != nil {
 		a.Close()
@@ -113,7 +113,7 @@
 }
 
 func (c *Client) connection(ctx context.Context, call Call) (*conn, error) {
-	if !call.Fresh {
+	if !call.NewConnection {
 		if cn := c.takeIdle(call.Address); cn != nil {
 			return cn, nil
 		}
@@ -143,7 +143,7 @@
 		if cn == nil {
 			return nil
 		}
-		if time.Since(cn.used) < cn.idleFor && cn.r.Buffered() == 0 && peek.Quiet(cn.Conn) {
+		if time.Since(cn.used) < cn.idleFor && cn.r.Buffered() == 0 && peek.Idle(cn.Conn) {
 			return cn
 		}
 		c.drop(cn)
--- a/internal/httpconn/client_test.go
+++ b/internal/httpconn/client_test.go
@@ -144,7 +144,7 @@
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	gone.address = ln.Addr().String()
 	_ = ln.Close()
-	if _, err := call(t, New(), gone, nil); !errorx.IsOfType(err, Refused) || !Gone(err) {
+	if _, err := call(t, New(), gone, nil); !errorx.IsOfType(err, Refused) || !ProcessGone(err) {
 		t.Errorf("nobody listens: %v", err)
 	}
 }
@@ -196,7 +196,7 @@
 	mine := func(n string) func(*Call) {
 		return func(k *Call) {
 			k.Request.Header.Set("X-Id", n)
-			k.Mine = func(h *fasthttp.ResponseHeader) bool { return string(h.Peek("X-Id")) == n }
+			k.Matches = func(h *fasthttp.ResponseHeader) bool { return string(h.Peek("X-Id")) == n }
 		}
 	}
 	client := New()
@@ -206,7 +206,7 @@
 		}
 	}
 	wrong := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool { write(conn, id("9")); return true })
-	if _, err := call(t, client, wrong, mine("1")); !errorx.IsOfType(err, Mixed) {
+	if _, err := call(t, client, wrong, mine("1")); !errorx.IsOfType(err, Mismatched) {
 		t.Fatalf("another one's answer on a new connection: %v", err)
 	}
 }
@@ -295,7 +295,7 @@
 		defer fasthttp.ReleaseRequest(req)
 		req.SetRequestURI("/")
 		req.Header.SetHost(p.address)
-		a, err := c.Do(context.Background(), Call{Address: p.address, Request: req, Wanted: func() bool { return wanted }})
+		a, err := c.Do(context.Background(), Call{Address: p.address, Request: req, AcceptsRequests: func() bool { return wanted }})
 		if err == nil {
 			_, _ = io.Copy(io.Discard, a)
 			a.Close()
--- a/internal/httpconn/errors.go
+++ b/internal/httpconn/errors.go
@@ -23,8 +23,8 @@
 	Broken = Namespace.NewType("broken")
 	// Closed: the connection was opened and then closed without any answer.
 	Closed = Broken.NewSubtype("closed")
-	// Mixed: the answer is not to this request and attempt.
-	Mixed = Namespace.NewType("mixed")
+	// Mismatched: the answer is not to this request and attempt.
+	Mismatched = Namespace.NewType("mixed")
 )
 
 // DialError tells a failed dial from all that can fail later.
@@ -63,9 +63,9 @@
 	return false
 }
 
-// Gone tells whether a new connection to a server shows that its process is
+// ProcessGone tells whether a new connection to a server shows that its process is
 // gone: nothing listens there, or what stands in between opens the connection
 // and closes it at once. A timeout does not show it: the server may be frozen.
-func Gone(err error) bool {
+func ProcessGone(err error) bool {
 	return errorx.IsOfType(err, Refused) || errorx.IsOfType(err, Closed)
 }
--- a/internal/httpconn/word.go
+++ b/internal/httpconn/word.go
@@ -6,9 +6,9 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision/backpressure"
 )
 
-// ReadWord reads what a server says of the work that it wants: the limit that the header named
+// ParseBackpressure reads what a server says of the work that it wants: the limit that the header named
 // so holds, and the rest that it asks for where it turns a request away.
-func ReadWord(h *fasthttp.ResponseHeader, limit string) backpressure.Signal {
+func ParseBackpressure(h *fasthttp.ResponseHeader, limit string) backpressure.Signal {
 	var w backpressure.Signal
 	for _, value := range h.PeekAll(limit) {
 		w.ParseRateLimit(string(value))
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -12,10 +12,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet tells whether the connection is open and has nothing to read, as one
+// Idle tells whether the connection is open and has nothing to read, as one
 // must be that is to be used again: the peer has not closed it and has sent
 // nothing that was not asked for.
-func Quiet(conn net.Conn) bool {
+func Idle(conn net.Conn) bool {
 	raw := rawOf(conn)
 	if raw == nil {
 		return true
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -68,7 +68,7 @@
 	if _, err := far.Write([]byte("next")); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the bytes are there", func() bool { return !Quiet(near) })
+	until(t, "the bytes are there", func() bool { return !Idle(near) })
 	stop()
 	buf := make([]byte, 8)
 	if n, err := near.Read(buf); err != nil || string(buf[:n]) != "next" {
@@ -80,7 +80,7 @@
 func TestStoppedWatchLeavesTheConnectionUsable(t *testing.T) {
 	near, far := pair(t)
 	Watch(near, func() { t.Error("called gone") })()
-	if !Quiet(near) {
+	if !Idle(near) {
 		t.Fatal("an idle connection is not quiet")
 	}
 	if _, err := far.Write([]byte("x")); err != nil {
@@ -90,5 +90,5 @@
 		t.Fatalf("read %d, %v", n, err)
 	}
 	_ = far.Close()
-	until(t, "a closed connection is not quiet", func() bool { return !Quiet(near) })
+	until(t, "a closed connection is not quiet", func() bool { return !Idle(near) })
 }
--- a/internal/relay/answering.go
+++ b/internal/relay/answering.go
@@ -20,9 +20,9 @@
 	begun, ended bool
 }
 
-func (a *answering) Whole(h *Head, body []byte) {
+func (a *answering) Respond(h *Head, body []byte) {
 	a.ended = true
-	a.Caller.Whole(h, body)
+	a.Caller.Respond(h, body)
 }
 
 func (a *answering) Refuse(r *outcome.Refusal) {
@@ -30,14 +30,14 @@
 	a.Caller.Refuse(r)
 }
 
-func (a *answering) Begin(h *Head) error {
+func (a *answering) BeginStream(h *Head) error {
 	a.begun = true
-	return a.Caller.Begin(h)
+	return a.Caller.BeginStream(h)
 }
 
-func (a *answering) End(complete bool) {
+func (a *answering) EndStream(complete bool) {
 	a.ended = true
-	a.Caller.End(complete)
+	a.Caller.EndStream(complete)
 }
 
 // Serve relays one request; it returns when the caller has its final answer. ctx
@@ -63,7 +63,7 @@
 	switch {
 	case a.ended:
 	case a.begun:
-		a.End(false)
+		a.EndStream(false)
 	case a.sent:
 		a.Refuse(faulty(outcome.Unknown))
 	default:
--- a/internal/relay/fault_test.go
+++ b/internal/relay/fault_test.go
@@ -24,11 +24,11 @@
 	ends     []bool
 }
 
-func (h *heard) Whole(*Head, []byte)       { h.whole++ }
+func (h *heard) Respond(*Head, []byte)     { h.whole++ }
 func (h *heard) Refuse(r *outcome.Refusal) { h.refusals = append(h.refusals, r) }
-func (h *heard) Begin(*Head) error         { return nil }
-func (h *heard) Event([]byte) error        { h.events++; return nil }
-func (h *heard) End(complete bool)         { h.ends = append(h.ends, complete) }
+func (h *heard) BeginStream(*Head) error   { return nil }
+func (h *heard) SendEvent([]byte) error    { h.events++; return nil }
+func (h *heard) EndStream(complete bool)   { h.ends = append(h.ends, complete) }
 
 // newTestServer gives a relay whose reducer is not stepped: the test plays its part.
 func newTestServer(t *testing.T, out *bytes.Buffer) *Server {
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -104,7 +104,7 @@
 		return false
 	}
 	defer s.waiting.Add(-1)
-	limit, began := admission.StartupWait(req.Patience), time.Now()
+	limit, began := admission.StartupWait(req.CallerTimeout), time.Now()
 	ok := wait(ctx, limit)
 	s.host.Log.Info(obs.LineWaited, "request_id", req.ID, "for", what, "came", ok,
 		"ms", time.Since(began).Milliseconds(), "limit_ms", limit.Milliseconds(), "waiting", s.waiting.Load())
@@ -154,7 +154,7 @@
 	j.s.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
 	j.log.end("caller gone")
 	if j.stream != nil {
-		j.caller.End(false)
+		j.caller.EndStream(false)
 	}
 	return true
 }
@@ -193,10 +193,10 @@
 	switch {
 	case j.stream != nil:
 		j.log.end("cut", "reason", r.Message)
-		j.caller.End(false)
+		j.caller.EndStream(false)
 	case j.failure != nil && r.Outcome != outcome.NotRun:
 		j.log.end("server's own failure", "status", j.failure.head.Status)
-		j.caller.Whole(&j.failure.head, j.failure.body)
+		j.caller.Respond(&j.failure.head, j.failure.body)
 	default:
 		j.log.refused(r)
 		j.caller.Refuse(r)
@@ -206,11 +206,11 @@
 func (j *job) finish() {
 	if j.stream != nil {
 		j.log.end("stream", "events", j.stream.events)
-		j.caller.End(true)
+		j.caller.EndStream(true)
 		return
 	}
 	j.log.end("answer", "status", j.whole.head.Status)
-	j.caller.Whole(&j.whole.head, j.whole.body)
+	j.caller.Respond(&j.whole.head, j.whole.body)
 }
 
 // attempt sends the request to one server and tells how that ended. With another
@@ -258,11 +258,11 @@
 	}
 }
 
-func (j *job) send(ctx context.Context, d entry.Dispatch, cache *Cache, ended *entry.AttemptEnded, began time.Time) error {
+func (j *job) send(ctx context.Context, d entry.Dispatch, cache *KVCache, ended *entry.AttemptEnded, began time.Time) error {
 	attempt := j.attemptAt(d.Address, d.Incarnation)
-	attempt.From = cache
+	attempt.KVCache = cache
 	if cache == nil {
-		attempt.Fetch = d.FetchAddress
+		attempt.FetchAddress = d.FetchAddress
 	}
 	sent := clock.Boot()
 	a, err := j.s.backend.Send(ctx, attempt)
@@ -272,15 +272,15 @@
 	}
 	defer a.Body.Close()
 	j.log.status = a.Head.Status
-	j.heard(d.Server, d.Incarnation, sent, a.Said)
+	j.heard(d.Server, d.Incarnation, sent, a.ServerStatus)
 	success := a.Head.Status >= http.StatusOK && a.Head.Status < http.StatusMultipleChoices
 	switch {
-	case a.Said.NotRun:
+	case a.ServerStatus.NotRun:
 		j.free(cache)
-		ended.ServerDied = a.Said.OtherLife
+		ended.ServerDied = a.ServerStatus.OtherIncarnation
 		return nil
-	case success && !a.Said.Proven:
-		return httpconn.Mixed.New("a success without the server's mark")
+	case success && !a.ServerStatus.Sealed:
+		return httpconn.Mismatched.New("a success without the server's mark")
 	case success && j.route.Stream:
 		return j.relay(a, ended, began)
 	}
@@ -291,16 +291,16 @@
 	return Attempt{
 		Target: Target{
 			Address: address, Incarnation: incarnation,
-			MaxConns: share(j.service, len(j.s.host.Snapshot().Entries)),
-			Wanted:   func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.Boot()) },
+			MaxConns:        share(j.service, len(j.s.host.Snapshot().Entries)),
+			AcceptsRequests: func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.Boot()) },
 		},
-		Request: j.req, Left: j.timeForServer(), Once: j.arrived.Retry == entry.RetryNever,
-		Member: j.member, Rank: j.rank, After: j.after(),
+		Request: j.req, Timeout: j.timeForServer(), AtMostOnce: j.arrived.Retry == entry.RetryNever,
+		Member: j.member, Rank: j.rank, ResumeAfter: j.after(),
 	}
 }
 
 // readWhole takes an answer that is not a stream.
-func (j *job) readWhole(a *Answer, ended *entry.AttemptEnded, success bool) error {
+func (j *job) readWhole(a *Response, ended *entry.AttemptEnded, success bool) error {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxWholeBytes+1))
 	if err != nil {
 		return err
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -87,7 +87,7 @@
 	l.job.s.count(l.job.route.Profile, how, time.Since(l.began))
 	args = append([]any{
 		"how", how, "attempts", l.attempts, "server", l.server, "sent_ms", l.sentAt.Milliseconds(),
-		"limit_ms", l.limit().Milliseconds(), "on_connection", l.job.req.OnConnection,
+		"limit_ms", l.limit().Milliseconds(), "on_connection", l.job.req.ConnectionSeq,
 	}, args...)
 	if l.prefiller != "" {
 		args = append(args, "prefiller", l.prefiller, "prefilled_ms", l.prefilledAt.Milliseconds())
@@ -115,7 +115,7 @@
 		slog.String("request_id", req.ID), slog.String("route", route), slog.String("code", string(r.Code)),
 		slog.Int("status", r.Status), slog.String("outcome", string(r.Outcome)),
 		slog.Float64("retry_after_s", r.RetryAfter.Seconds()), slog.String("reason", r.Message),
-		slog.Uint64("on_connection", req.OnConnection),
+		slog.Uint64("on_connection", req.ConnectionSeq),
 	}
 	s.host.Log.LogAttrs(s.host.Background, slog.LevelInfo, obs.LineRefused, append(attrs, figures...)...)
 }
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -17,12 +17,12 @@
 // reducer then which engine decodes; d names that one after it. Without a cache
 // ended tells that the prefill was not done. With another effect the reducer has
 // no engine for it.
-func (j *job) prefill(ctx context.Context, d *entry.Dispatch, ended *entry.AttemptEnded) (*Cache, entry.Effect, error) {
+func (j *job) prefill(ctx context.Context, d *entry.Dispatch, ended *entry.AttemptEnded) (*KVCache, entry.Effect, error) {
 	if d.PrefillServer == "" {
 		return nil, nil, nil
 	}
 	reading := j.attemptAt(d.PrefillAddress, d.PrefillIncarnation)
-	reading.Fetch = d.FetchAddress
+	reading.FetchAddress = d.FetchAddress
 	sent := clock.Boot()
 	cache, said, err := j.s.backend.Prefill(ctx, reading)
 	if err == nil {
@@ -30,7 +30,7 @@
 	}
 	if cache == nil {
 		j.log.notPrefilled(*d, err)
-		ended.AtPrefillServer, ended.ServerDied = true, said.OtherLife
+		ended.AtPrefillServer, ended.ServerDied = true, said.OtherIncarnation
 		return nil, nil, err
 	}
 	j.log.prefilled()
@@ -64,11 +64,11 @@
 }
 
 // heard passes on what a server told of itself.
-func (j *job) heard(server, incarnation string, sent time.Duration, said Said) {
-	if said.OtherLife {
+func (j *job) heard(server, incarnation string, sent time.Duration, said ServerStatus) {
+	if said.OtherIncarnation {
 		return
 	}
-	heard := entry.ServerReported{Server: server, Incarnation: incarnation, FromResponse: true, SentAt: sent, Backpressure: said.Word}
+	heard := entry.ServerReported{Server: server, Incarnation: incarnation, FromResponse: true, SentAt: sent, Backpressure: said.Backpressure}
 	if said.HasLoad {
 		heard.State, heard.HasLoad = engineapi.StateServing, true
 		heard.Load = engineapi.Load{Running: uint32(said.Running), Queued: uint32(said.Queued)}
@@ -77,13 +77,13 @@
 }
 
 // free drops a KV cache that no engine took over.
-func (j *job) free(c *Cache) {
+func (j *job) free(c *KVCache) {
 	if c == nil {
 		return
 	}
 	j.s.host.Spawn(func() {
 		ctx, cancel := context.WithTimeout(j.s.host.Background, freeTimeout)
 		defer cancel()
-		j.s.backend.Free(ctx, c)
+		j.s.backend.FreeCache(ctx, c)
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,25 +34,25 @@
 	// Credential is what the caller shows for a member, empty for none. It goes no further
 	// than its hash, and into no line.
 	Credential string
-	// Patience is how long the caller waits; 0: not told.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits; 0: not told.
+	CallerTimeout time.Duration
 	// Prompt is what a model is asked; nil for other requests.
 	Prompt *Prompt
-	// OnConnection counts the requests of its connection up to this one: 1 is the
+	// ConnectionSeq counts the requests of its connection up to this one: 1 is the
 	// first on a new connection.
-	OnConnection uint64
-	// After is the last event of the stream that the caller has, empty for none.
-	After string
+	ConnectionSeq uint64
+	// LastEventID is the last event of the stream that the caller has, empty for none.
+	LastEventID string
 }
 
 // Prompt is what is known of a model request without looking into its body.
 type Prompt struct {
 	Model string
-	// Tokens are the prompt's, MaxOutput the most that may be generated.
-	Tokens    int
-	MaxOutput int
-	// LikelyOutput is the caller's estimate; 0: none.
-	LikelyOutput int
+	// Tokens are the prompt's, MaxOutputTokens the most that may be generated.
+	Tokens          int
+	MaxOutputTokens int
+	// ExpectedOutputTokens is the caller's estimate; 0: none.
+	ExpectedOutputTokens int
 	// Parts are the prompt's in order; requests share them by id.
 	Parts []Part
 }
@@ -70,18 +70,18 @@
 }
 
 // Caller is the side of one request that its answer goes to. Each request gets
-// one Whole, one Refuse, or one Begin with Events and one End.
+// one Respond, one Refuse, or one BeginStream with SendEvents and one EndStream.
 type Caller interface {
-	// Whole gives a whole answer.
-	Whole(h *Head, body []byte)
+	// Respond gives a whole answer.
+	Respond(h *Head, body []byte)
 	// Refuse gives the final answer of a request that has none of a server's.
 	Refuse(r *outcome.Refusal)
-	// Begin begins a stream. Errors: the caller is gone.
-	Begin(h *Head) error
-	// Event hands bytes of the stream on at once. Errors: the caller is gone.
-	Event(data []byte) error
-	// End ends the stream: as complete, or so that it can't be taken for that.
-	End(complete bool)
+	// BeginStream begins a stream. Errors: the caller is gone.
+	BeginStream(h *Head) error
+	// SendEvent hands bytes of the stream on at once. Errors: the caller is gone.
+	SendEvent(data []byte) error
+	// EndStream ends the stream: as complete, or so that it can't be taken for that.
+	EndStream(complete bool)
 }
 
 // Target is the one life of a server that an attempt is for.
@@ -90,67 +90,67 @@
 	Incarnation string
 	// MaxConns bounds this entry's connections to it; 0: no bound.
 	MaxConns int
-	// Wanted tells whether the server still wants requests; it is asked at the last moment
+	// AcceptsRequests tells whether the server still wants requests; it is asked at the last moment
 	// before one is sent. nil: it does.
-	Wanted func() bool
+	AcceptsRequests func() bool
 }
 
 // Attempt is one sending of a request.
 type Attempt struct {
 	Target
 	Request *Request
-	// Left is the time that the server may take.
-	Left time.Duration
-	// Once tells that the request must not run twice: it goes out on a
+	// Timeout is the time that the server may take.
+	Timeout time.Duration
+	// AtMostOnce tells that the request must not run twice: it goes out on a
 	// connection that nothing can have happened to.
-	Once bool
+	AtMostOnce bool
 	// Member is for whom it runs, empty for none.
 	Member string
 	// Rank orders work at the server, a lower one first.
 	Rank int
-	// After asks a stream to go on after that event; empty: from its start.
-	After string
-	// Fetch is the engine that the one which reads the prompt fetches cached parts of it
+	// ResumeAfter asks a stream to go on after that event; empty: from its start.
+	ResumeAfter string
+	// FetchAddress is the engine that the one which reads the prompt fetches cached parts of it
 	// from, host:port; empty: it reads what it does not hold.
-	Fetch string
-	// From is where the prompt's KV cache lies; nil: the server prefills by itself.
-	From *Cache
+	FetchAddress string
+	// KVCache is where the prompt's KV cache lies; nil: the server prefills by itself.
+	KVCache *KVCache
 }
 
-// Cache is a prompt's KV cache that an engine holds for another one to fetch.
-type Cache struct {
+// KVCache is a prompt's KV cache that an engine holds for another one to fetch.
+type KVCache struct {
 	Address string
 	Handle  string
 }
 
-// Said is what a server told of itself with an answer.
-type Said struct {
+// ServerStatus is what a server told of itself with an answer.
+type ServerStatus struct {
 	// Load is how many requests run and wait there, if HasLoad.
 	Running, Queued int
 	HasLoad         bool
-	// Word is what it says of the work that it wants.
-	Word backpressure.Signal
+	// Backpressure is what it says of the work that it wants.
+	Backpressure backpressure.Signal
 	// NotRun tells that the server did not run the request and never will.
 	NotRun bool
-	// OtherLife tells that another life of a server answered at the address.
-	OtherLife bool
-	// Proven tells that the answer bears the server's mark on what it made.
-	Proven bool
+	// OtherIncarnation tells that another life of a server answered at the address.
+	OtherIncarnation bool
+	// Sealed tells that the answer bears the server's mark on what it made.
+	Sealed bool
 }
 
-// Answer is a server's answer whose head has been read.
-type Answer struct {
-	Head Head
-	Said Said
+// Response is a server's answer whose head has been read.
+type Response struct {
+	Head         Head
+	ServerStatus ServerStatus
 	// Body reads the answer's bytes. Its end is io.EOF only if it is whole.
 	Body Body
 }
 
-// Body is the body of an Answer.
+// Body is the body of a Response.
 type Body interface {
 	Read(p []byte) (int, error)
-	// ToEnd tells that the body has no end but the connection's.
-	ToEnd() bool
+	// CloseDelimited tells that the body has no end but the connection's.
+	CloseDelimited() bool
 	// Close gives the connection back, or ends it and with it the server's work
 	// if the body has not been read to its end.
 	Close()
@@ -159,12 +159,12 @@
 // Backend is the port to servers. Errors are those of package httpconn. When ctx
 // ends the connection is closed, also while the body is read.
 type Backend interface {
-	Send(ctx context.Context, a Attempt) (*Answer, error)
+	Send(ctx context.Context, a Attempt) (*Response, error)
 	// Prefill asks an engine to prefill only and to hold the KV cache. The cache is
 	// nil if the engine did not do so.
-	Prefill(ctx context.Context, a Attempt) (*Cache, Said, error)
-	// Free lets an engine drop a KV cache that nobody fetches.
-	Free(ctx context.Context, c *Cache)
+	Prefill(ctx context.Context, a Attempt) (*KVCache, ServerStatus, error)
+	// FreeCache lets an engine drop a KV cache that nobody fetches.
+	FreeCache(ctx context.Context, c *KVCache)
 	// Health asks a server for its health on the path; false for none or a bad one.
 	Health(ctx context.Context, t Target, path string) bool
 	// CloseIdle closes connections that idle too long.
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -27,19 +27,19 @@
 	if j.stream != nil {
 		return j.stream.lastID
 	}
-	return j.req.After
+	return j.req.LastEventID
 }
 
 // relay hands a stream's events on until its end or its failure.
 //
 // Only whole events go on: a server that stops in the middle of one leaves bytes
 // that the rest, from another server, could not follow.
-func (j *job) relay(a *Answer, ended *entry.AttemptEnded, began time.Time) error {
+func (j *job) relay(a *Response, ended *entry.AttemptEnded, began time.Time) error {
 	ended.Outcome = outcome.Unknown
 	r := bufio.NewReader(a.Body)
 	for {
 		event, err := readEvent(r)
-		if errors.Is(err, io.EOF) && j.stream != nil && !a.Body.ToEnd() {
+		if errors.Is(err, io.EOF) && j.stream != nil && !a.Body.CloseDelimited() {
 			ended.Complete, ended.Outcome = true, outcome.Ran
 			return nil
 		}
@@ -60,15 +60,15 @@
 }
 
 // hand gives the caller one event, and the head before the first.
-func (j *job) hand(a *Answer, event []byte) error {
+func (j *job) hand(a *Response, event []byte) error {
 	if j.stream == nil {
 		j.stream = &relayed{}
 		j.begun.Store(true)
-		if err := j.caller.Begin(&a.Head); err != nil {
+		if err := j.caller.BeginStream(&a.Head); err != nil {
 			return err
 		}
 	}
-	if err := j.caller.Event(event); err != nil {
+	if err := j.caller.SendEvent(event); err != nil {
 		return err
 	}
 	j.stream.events++
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -30,8 +30,8 @@
 	service := snap.Declaration.Service(route.Target(r.ID))
 	profile := snap.Declaration.Profile(route.Profile)
 	limit := route.Timeout
-	if r.Patience > 0 {
-		limit = min(limit, r.Patience-answerWay)
+	if r.CallerTimeout > 0 {
+		limit = min(limit, r.CallerTimeout-answerWay)
 	}
 	w := decision.Work{
 		RequestID: host.NewJobKey(r.ID), MemberWeight: 1, Service: service.Name, Profile: profile.Name,
@@ -57,9 +57,9 @@
 }
 
 func (p *Prompt) describe(w *decision.Work) {
-	w.PromptTokens, w.OutputTokens, w.OutputUncertain = p.Tokens, p.MaxOutput, true
-	if p.LikelyOutput > 0 && (p.MaxOutput == 0 || p.LikelyOutput < p.MaxOutput) {
-		w.OutputTokens = p.LikelyOutput
+	w.PromptTokens, w.OutputTokens, w.OutputUncertain = p.Tokens, p.MaxOutputTokens, true
+	if p.ExpectedOutputTokens > 0 && (p.MaxOutputTokens == 0 || p.ExpectedOutputTokens < p.MaxOutputTokens) {
+		w.OutputTokens = p.ExpectedOutputTokens
 	}
 	// Parts are cached only behind all parts before them: each one's hash has
 	// those of its predecessors in it.
--- a/internal/relay/work_test.go
+++ b/internal/relay/work_test.go
@@ -27,7 +27,7 @@
 	at := time.Hour
 	for _, patience := range []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, time.Second} {
 		sent := at - oneWay
-		got := s.arrived(&Request{ID: "r1", Patience: patience}, at, route, &entry.Snapshot{Declaration: d})
+		got := s.arrived(&Request{ID: "r1", CallerTimeout: patience}, at, route, &entry.Snapshot{Declaration: d})
 		if left := sent + patience - oneWay - got.Work.FinishBy; left < 0 {
 			t.Errorf("the last answer to a caller that waits %v comes %v too late", patience, -left)
 		}
--- a/internal/rpc/count.go
+++ b/internal/rpc/count.go
@@ -19,10 +19,10 @@
 	MetricBytesReceived = "rpc_bytes_received"
 )
 
-// Count counts the bytes of all connections that are opened from now on. They
+// CountBytes counts the bytes of all connections that are opened from now on. They
 // are counted below TLS, so that they are what the network carries, less the
 // headers of TCP and IP.
-func (a *Auth) Count(scope tally.Scope) {
+func (a *Auth) CountBytes(scope tally.Scope) {
 	a.sent = scope.Counter(MetricBytesSent)
 	a.received = scope.Counter(MetricBytesReceived)
 }
@@ -110,8 +110,8 @@
 	return &CallCounters{scope: scope, byCall: make(map[string]*CallTotals)}
 }
 
-// Count wraps a handler of calls.
-func (c *CallCounters) Count(next http.Handler) http.Handler {
+// Wrap wraps a handler of calls.
+func (c *CallCounters) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked := &countedBody{ReadCloser: r.Body}
 		r.Body = asked
--- a/internal/rpc/count_test.go
+++ b/internal/rpc/count_test.go
@@ -15,7 +15,7 @@
 // Guards against bytes between processes that nobody can tell the call of.
 func TestCallsAreCountedByName(t *testing.T) {
 	c := NewCallCounters(tally.NoopScope)
-	h := c.Count(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	h := c.Wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, "answer")
 	}))
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -43,7 +43,7 @@
 	keyHash string
 	cert    *tls.Certificate
 	roots   *x509.CertPool
-	// sent and received count bytes on the wire; nil until Count.
+	// sent and received count bytes on the wire; nil until CountBytes.
 	sent     tally.Counter
 	received tally.Counter
 }
@@ -122,9 +122,9 @@
 	}), nil
 }
 
-// Require refuses requests that don't show the shared key. Without it a process
+// RequireKey refuses requests that don't show the shared key. Without it a process
 // of another deployment that reuses an address could step into this one.
-func (a *Auth) Require(next http.Handler) http.Handler {
+func (a *Auth) RequireKey(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		shown := r.Header.Get(headerKey)
 		if subtle.ConstantTimeCompare([]byte(shown), []byte(a.keyHash)) != 1 {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	ok := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
-	srv := &http.Server{Handler: a.Require(ok)}
+	srv := &http.Server{Handler: a.RequireKey(ok)}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
 	return ln.Addr().String()
@@ -107,7 +107,7 @@
 func TestBytesOnTheWireAreCounted(t *testing.T) {
 	server := load(t, keyAuth(t, "0123456789abcdef"))
 	scope := tally.NewTestScope("", nil)
-	server.Count(scope)
+	server.CountBytes(scope)
 	status(server, serve(t, server))
 	// Client and server are the same process. The client may have the answer
 	// before the server has counted it.
--- a/internal/rpc/silence.go
+++ b/internal/rpc/silence.go
@@ -9,12 +9,12 @@
 
 type silenceKey struct{}
 
-// WithSilence bounds how long a call made with the context waits for the next bytes of its
+// WithReadIdleTimeout bounds how long a call made with the context waits for the next bytes of its
 // answer, where the context's deadline bounds the whole call.
 //
 // Failure: an answer takes longer on its way than a short call may. Given up as a whole and
 // asked for again it never arrives, and each try puts more onto the link that holds it up.
-func WithSilence(ctx context.Context, most time.Duration) context.Context {
+func WithReadIdleTimeout(ctx context.Context, most time.Duration) context.Context {
 	return context.WithValue(ctx, silenceKey{}, most)
 }
 
--- a/internal/rpc/silence_test.go
+++ b/internal/rpc/silence_test.go
@@ -25,7 +25,7 @@
 		}))
 		t.Cleanup(server.Close)
 		t.Cleanup(func() { close(release) })
-		if err := read(t, WithSilence(t.Context(), most), server.URL); err == nil {
+		if err := read(t, WithReadIdleTimeout(t.Context(), most), server.URL); err == nil {
 			t.Errorf("%s: read to its end", name)
 		}
 	}
@@ -42,7 +42,7 @@
 		}
 	}))
 	t.Cleanup(server.Close)
-	if err := read(t, WithSilence(t.Context(), most), server.URL); err != nil {
+	if err := read(t, WithReadIdleTimeout(t.Context(), most), server.URL); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/traffic/engine.go
+++ b/internal/traffic/engine.go
@@ -95,7 +95,7 @@
 func readSaid(h *fasthttp.ResponseHeader, sentAt time.Duration) said {
 	s := said{
 		sentAt:      sentAt,
-		word:        httpconn.ReadWord(h, engineapi.HeaderRateLimit),
+		word:        httpconn.ParseBackpressure(h, engineapi.HeaderRateLimit),
 		state:       engineapi.State(h.Peek(engineapi.HeaderState)),
 		incarnation: string(h.Peek(engineapi.HeaderIncarnation)),
 		notStarted:  string(h.Peek(engineapi.HeaderNotStarted)) == "true",
@@ -131,7 +131,7 @@
 // looksGone asks a server for its health to learn whether it died of a call.
 func (c *engineClient) looksGone(address string) bool {
 	_, _, err := c.bytes(fasthttp.MethodGet, "http://"+address+engineapi.PathHealth, nil, probeTimeout)
-	return err != nil && httpconn.Gone(err)
+	return err != nil && httpconn.ProcessGone(err)
 }
 
 // cancel stops attempts of a request. It is idempotent and sent twice at most.
--- a/internal/traffic/http_test.go
+++ b/internal/traffic/http_test.go
@@ -124,7 +124,7 @@
 func TestFrozenCallerIsGivenUp(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	conn := &callerconn.Conn{Conn: near, Stall: 20 * time.Millisecond}
+	conn := &callerconn.Conn{Conn: near, WriteTimeout: 20 * time.Millisecond}
 	if _, err := conn.Write([]byte("data")); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("write to a frozen caller: %v", err)
 	}
--- a/internal/traffic/model.go
+++ b/internal/traffic/model.go
@@ -177,7 +177,7 @@
 // failed notes how a connection failed. A connection that could not be opened
 // has sent nothing; one that is refused tells that the process is gone.
 func (a *modelAttempt) failed(err error) {
-	a.ended.ServerDied = errorx.IsOfType(err, httpconn.Refused) || (a.d.Reconnect && httpconn.Gone(err))
+	a.ended.ServerDied = errorx.IsOfType(err, httpconn.Refused) || (a.d.Reconnect && httpconn.ProcessGone(err))
 	if errorx.IsOfType(err, httpconn.NotSent) && !a.d.Reconnect {
 		return
 	}
--- a/internal/traffic/plain.go
+++ b/internal/traffic/plain.go
@@ -185,7 +185,7 @@
 // errNotStarted: the server said that it did not start the call.
 var errNotStarted = errors.New("not started")
 
-// send makes one call, once. Errors: NotSent, Broken, Mixed, errNotStarted.
+// send makes one call, once. Errors: NotSent, Broken, Mismatched, errNotStarted.
 func (j *plainJob) send(d entry.Dispatch) (*plainAnswer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -208,7 +208,7 @@
 	word := readSaid(&resp.Header, sent)
 	j.s.heard(d.Server, d.Incarnation, word)
 	if !echoes(&resp.Header, j.wireID, d.Attempt) {
-		return nil, httpconn.Mixed.New("the answer is to another request")
+		return nil, httpconn.Mismatched.New("the answer is to another request")
 	}
 	if word.notStarted {
 		return nil, errNotStarted
--- a/internal/traffic/stream.go
+++ b/internal/traffic/stream.go
@@ -136,7 +136,7 @@
 }
 
 // next gives the next chunk, heartbeats included; done at the end marker.
-// Errors: Broken; Mixed for a chunk of another request or attempt.
+// Errors: Broken; Mismatched for a chunk of another request or attempt.
 func (s *engineStream) next() (chunk engineapi.Chunk, done bool, err error) {
 	data, err := s.event()
 	if err != nil {
@@ -151,7 +151,7 @@
 	// A late chunk of an older attempt, or one of another request, must not
 	// get into this answer: the caller would read another's text.
 	if chunk.RequestID != s.wireID || chunk.Attempt != s.attempt {
-		return chunk, false, httpconn.Mixed.New("chunk of another request or attempt")
+		return chunk, false, httpconn.Mismatched.New("chunk of another request or attempt")
 	}
 	return chunk, false, nil
 }
