--- a/internal/relay/carryout.go
+++ b/internal/relay/effects.go
@@ -9,12 +9,12 @@
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
 )
 
-// probeTimeout bounds a health probe; probes of a failing server come every 200 ms.
+// probeTimeout bounds one health probe. Probes of a failing server are sent every 200 ms.
 const probeTimeout = 400 * time.Millisecond
 
-// carryOut does the reducer's effects that are about servers. Cancels need no
-// effect here: a request ends at its server when its connection does.
-func (s *Server) carryOut(e entry.Effect) {
+// runEffect runs the reducer's effects that concern servers rather than one request. Cancel
+// effects need no action here: closing the connection cancels the request at its server.
+func (s *Server) runEffect(e entry.Effect) {
 	if p, ok := e.(entry.Probe); ok {
 		s.host.Spawn(func() { s.probe(p) })
 	}
@@ -35,7 +35,7 @@
 	s.host.Post(entry.ServerReported{Server: p.Server, Incarnation: p.Incarnation, State: engineapi.StateServing})
 }
 
-// serviceOf gives a service that the probed server runs, or nil.
+// serviceOf returns a service that the probed server runs, or nil.
 func serviceOf(d *declaration.Declaration, p entry.Probe) *declaration.Service {
 	if d == nil {
 		return nil
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -19,65 +19,68 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// maxWholeBytes bounds an answer that is not a stream.
-const maxWholeBytes = 16 << 20
+// maxBufferedBytes bounds the body of a response that is not a stream.
+const maxBufferedBytes = 16 << 20
 
-// job is one request as its goroutine drives it.
+// job is one request, driven by one goroutine.
 type job struct {
 	s       *Server
 	req     *Request
 	route   *declaration.HostRoute
 	service *declaration.Service
-	caller  *answering
+	caller  *trackedCaller
 	arrived entry.RequestArrived
-	// whole is the answer that goes to the caller.
-	whole *wholeAnswer
-	box   <-chan entry.Effect
-	// member is for whom the attempt runs, rank its place at an engine.
+	// response is the complete response for the caller.
+	response *bufferedResponse
+	effects  <-chan entry.Effect
+	// member and rank come from the last Dispatch or DecodeAt: the member that the attempt runs
+	// for and its rank in the engine's queue.
 	member string
 	rank   int
-	// failure is a server's own answer that is no success: the caller gets it if
-	// no other attempt does better.
-	failure *wholeAnswer
-	// stream is what the caller has of a stream; nil before its first event.
-	stream *relayed
-	// begun is set with stream, for the timers of withLimit.
-	begun atomic.Bool
-	log   jobLog
+	// serverError is a server's 5xx response that may be retried. The caller gets it if no later
+	// attempt succeeds.
+	serverError *bufferedResponse
+	// streamed is what the caller has received of a stream, nil before the first event.
+	streamed *streamProgress
+	// streamBegun is set with streamed; the timers of withDeadline read it.
+	streamBegun atomic.Bool
+	log         jobLog
 }
 
-type wholeAnswer struct {
+type bufferedResponse struct {
 	head Head
 	body []byte
 }
 
-// serve relays one request; it returns when the caller has its final answer. ctx
-// ends when the caller is gone.
-func (s *Server) serve(ctx context.Context, req *Request, caller *answering) {
+// serve relays one request and returns once the caller has its final answer. ctx ends when the
+// caller disconnects.
+func (s *Server) serve(ctx context.Context, req *Request, caller *trackedCaller) {
 	at := clock.Boot()
-	if !s.configured(ctx, req) {
+	if !s.awaitConfiguration(ctx, req) {
 		s.refuse(req, caller, outcome.NoConfiguration())
 		return
 	}
-	snap, route, refusal := s.route(ctx, req)
+	snap, route, refusal := s.findRoute(ctx, req)
 	if refusal != nil {
 		s.refuse(req, caller, refusal)
 		return
 	}
-	j := &job{s: s, req: req, route: route, caller: caller, arrived: s.arrived(req, at, route, snap)}
+	j := &job{s: s, req: req, route: route, caller: caller, arrived: s.requestArrived(req, at, route, snap)}
 	j.service = snap.Declaration.Service(j.arrived.Work.Service)
 	j.log = newJobLog(j)
 	j.run(ctx)
 }
 
-// configured tells whether the entry knows routes, and waits for that a while.
-func (s *Server) configured(ctx context.Context, req *Request) bool {
+// awaitConfiguration reports whether the entry has a configuration; it waits a limited time for
+// one.
+func (s *Server) awaitConfiguration(ctx context.Context, req *Request) bool {
 	return s.host.Snapshot().Ready() || s.await(ctx, req, "a configuration", s.host.Configured)
 }
 
-// route finds the request's route. Where there is none in a view that has run out, it waits a
-// while for one that is in force: the route may have been added meanwhile.
-func (s *Server) route(ctx context.Context, req *Request) (*entry.Snapshot, *declaration.HostRoute, *outcome.Refusal) {
+// findRoute returns the request's route. If there is none and the lease on the entry's view has
+// expired, it waits a limited time for a view in force, because the route may have been added
+// since.
+func (s *Server) findRoute(ctx context.Context, req *Request) (*entry.Snapshot, *declaration.HostRoute, *outcome.Refusal) {
 	inForce := s.host.ViewInForce()
 	snap := s.host.Snapshot()
 	route := snap.Routes.Find(req.Host, req.Path)
@@ -95,19 +98,20 @@
 	return nil, nil, noRoute()
 }
 
-// await waits a while for what the entry must know before it can answer the request.
+// await waits a limited time for something that the entry must know before it can answer the
+// request. At most MaxStreams requests wait at a time.
 func (s *Server) await(
-	ctx context.Context, req *Request, what string, wait func(context.Context, time.Duration) bool,
+	ctx context.Context, req *Request, awaited string, wait func(context.Context, time.Duration) bool,
 ) bool {
 	if s.waiting.Add(1) > int64(s.host.Settings.MaxStreams) {
 		s.waiting.Add(-1)
 		return false
 	}
 	defer s.waiting.Add(-1)
-	limit, began := admission.StartupWait(req.CallerTimeout), time.Now()
+	limit, start := admission.StartupWait(req.CallerTimeout), time.Now()
 	ok := wait(ctx, limit)
-	s.host.Log.Info(obs.LineWaited, "request_id", req.ID, "for", what, "came", ok,
-		"ms", time.Since(began).Milliseconds(), "limit_ms", limit.Milliseconds(), "waiting", s.waiting.Load())
+	s.host.Log.Info(obs.LineWaited, "request_id", req.ID, "for", awaited, "came", ok,
+		"ms", time.Since(start).Milliseconds(), "limit_ms", limit.Milliseconds(), "waiting", s.waiting.Load())
 	return ok
 }
 
@@ -115,67 +119,67 @@
 func (j *job) run(ctx context.Context) {
 	key := j.arrived.Work.RequestID
 	j.caller.key = key
-	j.box = j.s.host.Open(key)
+	j.effects = j.s.host.Open(key)
 	defer j.s.host.Close(key)
-	ctx, cancel := j.withLimit(ctx)
+	ctx, cancel := j.withDeadline(ctx)
 	defer cancel()
 	j.refreshPeers(ctx)
 	j.s.host.Post(j.arrived)
-	ended := ctx.Done()
+	done := ctx.Done()
 	for {
 		select {
-		case <-ended:
-			ended = nil
-			if j.gone(ctx) {
+		case <-done:
+			done = nil
+			if j.handleDisconnect(ctx) {
 				return
 			}
 			j.s.host.Post(entry.DeadlineExpired{RequestID: key})
-		case e := <-j.box:
-			if j.take(ctx, e) {
+		case e := <-j.effects:
+			if j.handleEffect(ctx, e) {
 				return
 			}
 		}
 	}
 }
 
-// refreshPeers learns what other entries have at engines before one is chosen, and without
-// control which servers live.
+// refreshPeers asks the other entries for their load at the engines before one is chosen and,
+// while the lease from control is running out, for the servers that are alive.
 func (j *job) refreshPeers(ctx context.Context) {
 	if j.arrived.Work.Kind == declaration.KindModel || j.s.host.Snapshot().LeaseExpiring {
 		j.s.host.RefreshPeers(ctx)
 	}
 }
 
-// gone tells the reducer if the caller is gone.
-func (j *job) gone(ctx context.Context) bool {
-	if !callerLeft(ctx) {
+// handleDisconnect reports whether the caller has disconnected, and if so tells the reducer.
+func (j *job) handleDisconnect(ctx context.Context) bool {
+	if !callerDisconnected(ctx) {
 		return false
 	}
 	j.s.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
-	j.log.end("caller gone")
-	if j.stream != nil {
+	j.log.answered("caller gone")
+	if j.streamed != nil {
 		j.caller.EndStream(false)
 	}
 	return true
 }
 
-// take carries out one effect; true after the final one.
-func (j *job) take(ctx context.Context, e entry.Effect) bool {
+// handleEffect runs one effect and reports whether it was the final one.
+func (j *job) handleEffect(ctx context.Context, e entry.Effect) bool {
 	switch e := e.(type) {
 	case entry.Dispatch:
 		ended, next := j.attempt(ctx, e)
-		if j.gone(ctx) {
+		if j.handleDisconnect(ctx) {
 			return true
 		}
 		if next != nil {
-			return j.take(ctx, next)
+			return j.handleEffect(ctx, next)
 		}
 		j.s.host.Post(ended)
 		return false
 	case entry.DecodeAt:
-		// The request's time ran out while the reducer chose: the attempt has ended,
-		// and the final effect follows.
-		j.log.dropped(e)
+		// The request's deadline passed while the reducer chose the engine. The attempt has
+		// ended already, and the final effect follows.
+		j.log.decodeDropped(e)
 		return false
 	case entry.Refuse:
 		j.refuse(e.Refusal)
@@ -184,19 +188,19 @@
 		j.finish()
 		return true
 	default:
-		panic(fmt.Sprintf("effect %T is not about a request", e))
+		panic(fmt.Sprintf("effect %T does not belong to a request", e))
 	}
 }
 
-// refuse gives the final answer of a request that no server has answered well.
+// refuse ends a request that no server has answered successfully.
 func (j *job) refuse(r *outcome.Refusal) {
 	switch {
-	case j.stream != nil:
-		j.log.end("cut", "reason", r.Message)
+	case j.streamed != nil:
+		j.log.answered("cut", "reason", r.Message)
 		j.caller.EndStream(false)
-	case j.failure != nil && r.Outcome != outcome.NotRun:
-		j.log.end("server's own failure", "status", j.failure.head.Status)
-		j.caller.Respond(&j.failure.head, j.failure.body)
+	case j.serverError != nil && r.Outcome != outcome.NotRun:
+		j.log.answered("server's own failure", "status", j.serverError.head.Status)
+		j.caller.Respond(&j.serverError.head, j.serverError.body)
 	default:
 		j.log.refused(r)
 		j.caller.Refuse(r)
@@ -204,53 +208,55 @@
 }
 
 func (j *job) finish() {
-	if j.stream != nil {
-		j.log.end("stream", "events", j.stream.events)
+	if j.streamed != nil {
+		j.log.answered("stream", "events", j.streamed.events)
 		j.caller.EndStream(true)
 		return
 	}
-	j.log.end("answer", "status", j.whole.head.Status)
-	j.caller.Respond(&j.whole.head, j.whole.body)
+	j.log.answered("answer", "status", j.response.head.Status)
+	j.caller.Respond(&j.response.head, j.response.body)
 }
 
-// attempt sends the request to one server and tells how that ended. With another
-// effect in place of that the reducer has given the attempt up itself.
+// attempt sends the request to one server and returns how that ended. A non-nil effect means
+// that the reducer has abandoned the attempt itself; the caller runs that effect instead.
 func (j *job) attempt(ctx context.Context, d entry.Dispatch) (entry.AttemptEnded, entry.Effect) {
-	began := time.Now()
+	start := time.Now()
 	ended := entry.AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Outcome: outcome.NotRun}
 	j.member, j.rank = d.Member, d.Rank
-	j.log.sent(d)
-	j.caller.sent = true
-	events := j.events()
+	j.log.dispatched(d)
+	j.caller.dispatched = true
+	eventsBefore := j.eventCount()
 	cache, next, err := j.prefill(ctx, &d, &ended)
 	if next != nil {
 		return ended, next
 	}
 	if err == nil && !ended.AtPrefillServer {
-		err = j.send(ctx, d, cache, &ended, began)
+		err = j.send(ctx, d, cache, &ended, start)
 	}
-	ended.Elapsed = time.Since(began)
-	ended.Tokens = j.events() - events
+	ended.Elapsed = time.Since(start)
+	ended.Tokens = j.eventCount() - eventsBefore
 	if ended.FirstToken > 0 {
 		ended.Decode = ended.Elapsed - ended.FirstToken
 	}
 	if err != nil {
-		failed(err, &ended, cache != nil)
+		classifyFailure(err, &ended, cache != nil)
 	}
-	j.log.attempted(d, &ended, err)
+	j.log.attemptEnded(d, &ended, err)
 	return ended, nil
 }
 
-func (j *job) events() int {
-	if j.stream == nil {
+func (j *job) eventCount() int {
+	if j.streamed == nil {
 		return 0
 	}
-	return j.stream.events
+	return j.streamed.events
 }
 
-// failed notes how a connection failed, after a prefill or not. Only one that could not
-// be opened has sent nothing; what was only to be prefilled has not run either way.
-func failed(err error, ended *entry.AttemptEnded, prefilled bool) {
+// classifyFailure records in ended what a failed call implies. Only a connection that could not
+// be opened proves that no server received the request, and only if no other engine has
+// prefilled it. A failed prefill leaves the outcome NotRun, since a prefill alone does not run
+// the request.
+func classifyFailure(err error, ended *entry.AttemptEnded, prefilled bool) {
 	ended.ServerDied = errorx.IsOfType(err, httpconn.Refused)
 	ended.Unsent = errorx.IsOfType(err, httpconn.NotSent) && !prefilled
 	if !errorx.IsOfType(err, httpconn.NotSent) && !ended.AtPrefillServer {
@@ -258,67 +264,67 @@
 	}
 }
 
-func (j *job) send(ctx context.Context, d entry.Dispatch, cache *KVCache, ended *entry.AttemptEnded, began time.Time) error {
-	attempt := j.attemptAt(d.Address, d.Incarnation)
+func (j *job) send(ctx context.Context, d entry.Dispatch, cache *KVCache, ended *entry.AttemptEnded, start time.Time) error {
+	attempt := j.newAttempt(d.Address, d.Incarnation)
 	attempt.KVCache = cache
 	if cache == nil {
 		attempt.FetchAddress = d.FetchAddress
 	}
 	sent := clock.Boot()
-	a, err := j.s.backend.Send(ctx, attempt)
+	resp, err := j.s.backend.Send(ctx, attempt)
 	if err != nil {
-		j.free(cache)
+		j.freeCache(cache)
 		return err
 	}
-	defer a.Body.Close()
-	j.log.status = a.Head.Status
-	j.heard(d.Server, d.Incarnation, sent, a.ServerStatus)
-	success := a.Head.Status >= http.StatusOK && a.Head.Status < http.StatusMultipleChoices
+	defer resp.Body.Close()
+	j.log.status = resp.Head.Status
+	j.reportStatus(d.Server, d.Incarnation, sent, resp.ServerStatus)
+	success := resp.Head.Status >= http.StatusOK && resp.Head.Status < http.StatusMultipleChoices
 	switch {
-	case a.ServerStatus.NotRun:
-		j.free(cache)
-		ended.ServerDied = a.ServerStatus.OtherIncarnation
+	case resp.ServerStatus.NotRun:
+		j.freeCache(cache)
+		ended.ServerDied = resp.ServerStatus.OtherIncarnation
 		return nil
-	case success && !a.ServerStatus.Sealed:
-		return httpconn.Mismatched.New("a success without the server's mark")
+	case success && !resp.ServerStatus.Sealed:
+		return httpconn.Mismatched.New("success response without the server's seal")
 	case success && j.route.Stream:
-		return j.relay(a, ended, began)
+		return j.relayStream(resp, ended, start)
 	}
-	return j.readWhole(a, ended, success)
+	return j.readBuffered(resp, ended, success)
 }
 
-func (j *job) attemptAt(address, incarnation string) Attempt {
+func (j *job) newAttempt(address, incarnation string) Attempt {
 	return Attempt{
 		Target: Target{
 			Address: address, Incarnation: incarnation,
-			MaxConns:        share(j.service, len(j.s.host.Snapshot().Entries)),
+			MaxConns:        connectionShare(j.service, len(j.s.host.Snapshot().Entries)),
 			AcceptsRequests: func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.Boot()) },
 		},
-		Request: j.req, Timeout: j.timeForServer(), AtMostOnce: j.arrived.Retry == entry.RetryNever,
-		Member: j.member, Rank: j.rank, ResumeAfter: j.after(),
+		Request: j.req, Timeout: j.serverTimeout(), AtMostOnce: j.arrived.Retry == entry.RetryNever,
+		Member: j.member, Rank: j.rank, ResumeAfter: j.resumeAfter(),
 	}
 }
 
-// readWhole takes an answer that is not a stream.
-func (j *job) readWhole(a *Response, ended *entry.AttemptEnded, success bool) error {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWholeBytes+1))
+// readBuffered reads a response that is not a stream.
+func (j *job) readBuffered(resp *Response, ended *entry.AttemptEnded, success bool) error {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(body) > maxWholeBytes {
-		return httpconn.Broken.New("the answer has more than %d bytes", maxWholeBytes)
+	if len(body) > maxBufferedBytes {
+		return httpconn.Broken.New("response body exceeds %d bytes", maxBufferedBytes)
 	}
-	answer := &wholeAnswer{head: a.Head, body: body}
+	buffered := &bufferedResponse{head: resp.Head, body: body}
 	ended.Outcome = outcome.Ran
-	again := a.Head.Status >= http.StatusInternalServerError && j.arrived.Retry != entry.RetryNever
-	if !success && again && j.stream == nil {
-		j.failure = answer
+	retryable := resp.Head.Status >= http.StatusInternalServerError && j.arrived.Retry != entry.RetryNever
+	if !success && retryable && j.streamed == nil {
+		j.serverError = buffered
 		return nil
 	}
-	if j.stream != nil {
-		// The head of the stream has gone out; this answer can't follow it.
+	if j.streamed != nil {
+		// The head of the stream has been sent, so this response can't be passed on.
 		return nil
 	}
-	j.whole, ended.Complete = answer, true
+	j.response, ended.Complete = buffered, true
 	return nil
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -9,26 +9,26 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// jobLog writes the lines of one request beside those of the reducer's
-// decisions: what was sent, how each attempt ended, and the final answer.
+// jobLog writes the log lines of one request that the reducer's decision lines don't cover: how
+// each attempt ended and the final answer.
 type jobLog struct {
 	job      *job
-	began    time.Time
+	start    time.Time
 	attempts int
-	// server ran the last attempt, prefiller did its prefill if another one did.
-	server, prefiller string
-	// status is what the last attempt was answered with, 0 while it has no answer.
+	// server ran the last attempt; prefillServer did its prefill, if a separate engine did.
+	server, prefillServer string
+	// status is the HTTP status of the last attempt's response, 0 while there is none.
 	status int
-	// sentAt, prefilledAt and firstAt are when the last attempt went out, when its
-	// prefill apart was done and when its first event came, since began.
-	sentAt, prefilledAt, firstAt time.Duration
+	// dispatchedAt, prefilledAt and firstEventAt are times since start: when the last attempt
+	// was sent, when its separate prefill was done and when its first event arrived.
+	dispatchedAt, prefilledAt, firstEventAt time.Duration
 }
 
-func newJobLog(j *job) jobLog { return jobLog{job: j, began: time.Now()} }
+func newJobLog(j *job) jobLog { return jobLog{job: j, start: time.Now()} }
 
-func (l *jobLog) line(message string, args ...any) {
+func (l *jobLog) write(message string, args ...any) {
 	args = append([]any{
-		"request_id", l.job.req.ID, "route", l.job.route.Name, "ms", time.Since(l.began).Milliseconds(),
+		"request_id", l.job.req.ID, "route", l.job.route.Name, "ms", time.Since(l.start).Milliseconds(),
 	}, args...)
 	if l.job.member != "" {
 		args = append(args, "member", l.job.member)
@@ -36,18 +36,18 @@
 	l.job.s.host.Log.Info(message, args...)
 }
 
-func (l *jobLog) sent(d entry.Dispatch) {
+func (l *jobLog) dispatched(d entry.Dispatch) {
 	l.attempts++
-	l.server, l.prefiller, l.status = d.Server, d.PrefillServer, 0
-	l.sentAt, l.prefilledAt, l.firstAt = time.Since(l.began), 0, 0
+	l.server, l.prefillServer, l.status = d.Server, d.PrefillServer, 0
+	l.dispatchedAt, l.prefilledAt, l.firstEventAt = time.Since(l.start), 0, 0
 }
 
-func (l *jobLog) prefilled() { l.prefilledAt = time.Since(l.began) }
+func (l *jobLog) prefillDone() { l.prefilledAt = time.Since(l.start) }
 
-func (l *jobLog) first() { l.firstAt = time.Since(l.began) }
+func (l *jobLog) firstEvent() { l.firstEventAt = time.Since(l.start) }
 
-// attempted writes a line for an attempt that did not give the answer.
-func (l *jobLog) attempted(d entry.Dispatch, ended *entry.AttemptEnded, err error) {
+// attemptEnded writes a line for an attempt that did not complete the request.
+func (l *jobLog) attemptEnded(d entry.Dispatch, ended *entry.AttemptEnded, err error) {
 	if ended.Complete {
 		return
 	}
@@ -65,63 +65,64 @@
 	if l.status != 0 {
 		args = append(args, "status", l.status)
 	}
-	l.line(obs.LineAttemptFailed, args...)
+	l.write(obs.LineAttemptFailed, args...)
 }
 
-// notPrefilled writes a line for a prefill that another engine did not do.
-func (l *jobLog) notPrefilled(d entry.Dispatch, err error) {
+// prefillFailed writes a line for a separate prefill that was not done.
+func (l *jobLog) prefillFailed(d entry.Dispatch, err error) {
 	reason := "refused"
 	if err != nil {
 		reason = err.Error()
 	}
-	l.line(obs.LinePrefillFailed, "server", d.PrefillServer, "incarnation", d.PrefillIncarnation, "reason", reason)
+	l.write(obs.LinePrefillFailed, "server", d.PrefillServer, "incarnation", d.PrefillIncarnation, "reason", reason)
 }
 
-// dropped writes a line for a decoding engine that was named too late.
-func (l *jobLog) dropped(e entry.DecodeAt) {
-	l.line(obs.LineDecodeDropped, "server", e.Server, "incarnation", e.Incarnation, "attempt", e.Attempt)
+// decodeDropped writes a line for a decode engine that was named after the attempt had ended.
+func (l *jobLog) decodeDropped(e entry.DecodeAt) {
+	l.write(obs.LineDecodeDropped, "server", e.Server, "incarnation", e.Incarnation, "attempt", e.Attempt)
 }
 
-// end writes the line of the final answer and counts it.
-func (l *jobLog) end(how string, args ...any) {
-	l.job.s.count(l.job.route.Profile, how, time.Since(l.began))
+// answered writes the line of the final answer and counts it. how is the outcome's name in the
+// log and in the metrics.
+func (l *jobLog) answered(how string, args ...any) {
+	l.job.s.count(l.job.route.Profile, how, time.Since(l.start))
 	args = append([]any{
-		"how", how, "attempts", l.attempts, "server", l.server, "sent_ms", l.sentAt.Milliseconds(),
-		"limit_ms", l.limit().Milliseconds(), "on_connection", l.job.req.ConnectionSeq,
+		"how", how, "attempts", l.attempts, "server", l.server, "sent_ms", l.dispatchedAt.Milliseconds(),
+		"limit_ms", l.timeLimit().Milliseconds(), "on_connection", l.job.req.ConnectionSeq,
 	}, args...)
-	if l.prefiller != "" {
-		args = append(args, "prefiller", l.prefiller, "prefilled_ms", l.prefilledAt.Milliseconds())
+	if l.prefillServer != "" {
+		args = append(args, "prefiller", l.prefillServer, "prefilled_ms", l.prefilledAt.Milliseconds())
 	}
-	if l.firstAt > 0 {
-		args = append(args, "first_ms", l.firstAt.Milliseconds())
+	if l.firstEventAt > 0 {
+		args = append(args, "first_ms", l.firstEventAt.Milliseconds())
 	}
-	l.line(obs.LineAnswered, args...)
+	l.write(obs.LineAnswered, args...)
 }
 
-// limit is how long the request could take when it came.
-func (l *jobLog) limit() time.Duration {
+// timeLimit returns how long the request could take when it arrived.
+func (l *jobLog) timeLimit() time.Duration {
 	return l.job.arrived.Work.FinishBy - l.job.arrived.Work.Arrived
 }
 
 func (l *jobLog) refused(r *outcome.Refusal) {
-	took := time.Since(l.began)
+	took := time.Since(l.start)
 	l.job.s.count(l.job.route.Profile, "refused", took)
 	l.job.s.logRefused(l.job.req, l.job.route.Name, r, slog.Int("attempts", l.attempts),
-		slog.Int64("ms", took.Milliseconds()), slog.Int64("limit_ms", l.limit().Milliseconds()))
+		slog.Int64("ms", took.Milliseconds()), slog.Int64("limit_ms", l.timeLimit().Milliseconds()))
 }
 
-func (s *Server) logRefused(req *Request, route string, r *outcome.Refusal, figures ...slog.Attr) {
+func (s *Server) logRefused(req *Request, route string, r *outcome.Refusal, extra ...slog.Attr) {
 	attrs := []slog.Attr{
 		slog.String("request_id", req.ID), slog.String("route", route), slog.String("code", string(r.Code)),
 		slog.Int("status", r.Status), slog.String("outcome", string(r.Outcome)),
 		slog.Float64("retry_after_s", r.RetryAfter.Seconds()), slog.String("reason", r.Message),
 		slog.Uint64("on_connection", req.ConnectionSeq),
 	}
-	s.host.Log.LogAttrs(s.host.Background, slog.LevelInfo, obs.LineRefused, append(attrs, figures...)...)
+	s.host.Log.LogAttrs(s.host.Background, slog.LevelInfo, obs.LineRefused, append(attrs, extra...)...)
 }
 
-// count keeps the figures that metrics show: profiles are few and declared, so
-// that the labels stay bounded.
+// count updates the metrics of finished requests. The profile label is bounded, because profiles
+// are few and declared.
 func (s *Server) count(profile, how string, took time.Duration) {
 	scope := s.host.Metrics.Scope.Tagged(map[string]string{"profile": profile, "how": how})
 	scope.Counter("relayed").Inc(1)
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -15,23 +15,22 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// On call reads the lines of a request that two servers failed: the first one
-// answered 500, the second one's connection broke. The line of the second attempt must
-// not show the status of the first, or the second server is blamed for an answer that
-// it never gave.
-func TestAttemptsLineShowsItsOwnStatus(t *testing.T) {
+// Guards against a log line that blames the wrong server. The first attempt's server answers
+// 500, the second one's connection breaks; the line of the second attempt must not show the
+// status of the first.
+func TestAttemptLogLineHasItsOwnStatus(t *testing.T) {
 	var out bytes.Buffer
 	s := &Server{host: &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil))}}
 	j := &job{s: s, req: &Request{ID: "r1"}, route: &declaration.HostRoute{Name: "lookups"}}
 	j.log = newJobLog(j)
 	first := entry.Dispatch{Server: "a", Attempt: 1}
-	j.log.sent(first)
+	j.log.dispatched(first)
 	j.log.status = 500
-	j.failure = &wholeAnswer{head: Head{Status: 500}}
-	j.log.attempted(first, &entry.AttemptEnded{Elapsed: time.Millisecond}, nil)
+	j.serverError = &bufferedResponse{head: Head{Status: 500}}
+	j.log.attemptEnded(first, &entry.AttemptEnded{Elapsed: time.Millisecond}, nil)
 	second := entry.Dispatch{Server: "b", Attempt: 2}
-	j.log.sent(second)
-	j.log.attempted(second, &entry.AttemptEnded{Elapsed: time.Millisecond}, httpconn.Broken.New("cut"))
+	j.log.dispatched(second)
+	j.log.attemptEnded(second, &entry.AttemptEnded{Elapsed: time.Millisecond}, httpconn.Broken.New("cut"))
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
 	if len(lines) != 2 {
 		t.Fatalf("%d lines: %s", len(lines), out.String())
@@ -51,36 +50,36 @@
 	}
 }
 
-// A prefill broke at one engine while another one was planned to decode. The line of the
-// attempt must name the engine that broke it.
-func TestAttemptsLineNamesTheEngineThatBrokeIt(t *testing.T) {
+// Guards against a log line that blames the wrong engine: one engine fails a separate prefill
+// while another one was planned to decode. The line must name the engine that failed.
+func TestAttemptLogLineNamesTheFailedEngine(t *testing.T) {
 	var out bytes.Buffer
 	s := &Server{host: &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil))}}
 	j := &job{s: s, req: &Request{ID: "r1"}, route: &declaration.HostRoute{Name: "dossiers"}}
 	j.log = newJobLog(j)
 	d := entry.Dispatch{Server: "decodes", PrefillServer: "reads", PrefillIncarnation: "life-2", Attempt: 1}
-	j.log.sent(d)
-	j.log.attempted(d, &entry.AttemptEnded{AtPrefillServer: true}, httpconn.Broken.New("cut"))
+	j.log.dispatched(d)
+	j.log.attemptEnded(d, &entry.AttemptEnded{AtPrefillServer: true}, httpconn.Broken.New("cut"))
 	var fields map[string]any
 	if err := json.Unmarshal(out.Bytes(), &fields); err != nil {
 		t.Fatal(err)
 	}
 	if fields["server"] != "reads" || fields["incarnation"] != "life-2" {
-		t.Fatalf("the line blames %v, %v", fields["server"], fields["incarnation"])
+		t.Fatalf("the line names server %v, incarnation %v", fields["server"], fields["incarnation"])
 	}
 }
 
-// On call reads the lines of an entry that callers call dead. A request that waited until
-// its caller left must show how long it could have taken and whether it was the first of
-// its connection: an entry that leaves one new connection after the other without an
-// answer looks, to them, like one that accepts none.
-func TestFinalLineTellsLimitAndConnection(t *testing.T) {
+// Guards against a final log line from which an operator can't tell why callers take an entry
+// for dead. The line of a request that waited until its caller disconnected must show its time
+// limit and whether it was the first on its connection: to callers, an entry that leaves one new
+// connection after the other unanswered looks like one that accepts none.
+func TestFinalLogLineHasTimeLimitAndConnection(t *testing.T) {
 	var out bytes.Buffer
 	h := &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil)), Metrics: obs.NewMetrics("test"), Background: t.Context()}
 	j := &job{s: &Server{host: h}, req: &Request{ID: "r1", ConnectionSeq: 1}, route: &declaration.HostRoute{Name: "lookups"}}
 	j.arrived.Work.Arrived, j.arrived.Work.FinishBy = time.Second, 1600*time.Millisecond
 	j.log = newJobLog(j)
-	j.log.end("caller gone")
+	j.log.answered("caller gone")
 	j.log.refused(&outcome.Refusal{Status: 503})
 	for _, line := range bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n")) {
 		var fields map[string]any
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -9,46 +9,46 @@
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
 )
 
-// freeTimeout bounds the call that lets an engine drop a KV cache; it drops it by
+// freeTimeout bounds the call that frees a KV cache at an engine. The engine also frees it by
 // itself after some seconds.
 const freeTimeout = time.Second
 
-// prefill lets another engine prefill when the placement chose a pair, and asks the
-// reducer then which engine decodes; d names that one after it. Without a cache
-// ended tells that the prefill was not done. With another effect the reducer has
-// no engine for it.
+// prefill runs the prefill on a separate engine if the placement chose one. It then asks the
+// reducer which engine decodes and writes that one into d. If no cache is returned, ended says
+// that the attempt ended at the prefill engine. A non-nil effect means that the reducer has no
+// engine to decode.
 func (j *job) prefill(ctx context.Context, d *entry.Dispatch, ended *entry.AttemptEnded) (*KVCache, entry.Effect, error) {
 	if d.PrefillServer == "" {
 		return nil, nil, nil
 	}
-	reading := j.attemptAt(d.PrefillAddress, d.PrefillIncarnation)
-	reading.FetchAddress = d.FetchAddress
+	attempt := j.newAttempt(d.PrefillAddress, d.PrefillIncarnation)
+	attempt.FetchAddress = d.FetchAddress
 	sent := clock.Boot()
-	cache, said, err := j.s.backend.Prefill(ctx, reading)
+	cache, status, err := j.s.backend.Prefill(ctx, attempt)
 	if err == nil {
-		j.heard(d.PrefillServer, d.PrefillIncarnation, sent, said)
+		j.reportStatus(d.PrefillServer, d.PrefillIncarnation, sent, status)
 	}
 	if cache == nil {
-		j.log.notPrefilled(*d, err)
-		ended.AtPrefillServer, ended.ServerDied = true, said.OtherIncarnation
+		j.log.prefillFailed(*d, err)
+		ended.AtPrefillServer, ended.ServerDied = true, status.OtherIncarnation
 		return nil, nil, err
 	}
-	j.log.prefilled()
+	j.log.prefillDone()
 	next, err := j.decodeAt(ctx, d, ended)
 	if next != nil || err != nil {
-		j.free(cache)
+		j.freeCache(cache)
 		return nil, next, err
 	}
 	return cache, nil, nil
 }
 
-// decodeAt puts the engine that decodes into d, or gives what the reducer decided
-// in its place.
+// decodeAt writes the engine that decodes into d, or returns the effect that the reducer chose
+// instead.
 func (j *job) decodeAt(ctx context.Context, d *entry.Dispatch, ended *entry.AttemptEnded) (entry.Effect, error) {
 	j.s.host.RefreshPeersForDecode(ctx)
 	j.s.host.Post(entry.PrefillDone{RequestID: d.RequestID, Attempt: d.Attempt})
 	select {
-	case e := <-j.box:
+	case e := <-j.effects:
 		at, ok := e.(entry.DecodeAt)
 		if !ok {
 			return e, nil
@@ -63,21 +63,21 @@
 	}
 }
 
-// heard passes on what a server told of itself.
-func (j *job) heard(server, incarnation string, sent time.Duration, said ServerStatus) {
-	if said.OtherIncarnation {
+// reportStatus passes on to the reducer what a server's response says about the server.
+func (j *job) reportStatus(server, incarnation string, sent time.Duration, status ServerStatus) {
+	if status.OtherIncarnation {
 		return
 	}
-	heard := entry.ServerReported{Server: server, Incarnation: incarnation, FromResponse: true, SentAt: sent, Backpressure: said.Backpressure}
-	if said.HasLoad {
-		heard.State, heard.HasLoad = engineapi.StateServing, true
-		heard.Load = engineapi.Load{Running: uint32(said.Running), Queued: uint32(said.Queued)}
+	report := entry.ServerReported{Server: server, Incarnation: incarnation, FromResponse: true, SentAt: sent, Backpressure: status.Backpressure}
+	if status.HasLoad {
+		report.State, report.HasLoad = engineapi.StateServing, true
+		report.Load = engineapi.Load{Running: uint32(status.Running), Queued: uint32(status.Queued)}
 	}
-	j.s.host.Post(heard)
+	j.s.host.Post(report)
 }
 
-// free drops a KV cache that no engine took over.
-func (j *job) free(c *KVCache) {
+// freeCache frees a KV cache that no engine has fetched.
+func (j *job) freeCache(c *KVCache) {
 	if c == nil {
 		return
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is the life of a request that is passed on as it is: from its
-// arrival over its attempts at backend servers to its answer. It knows callers
-// and servers by ports only; drivers speak their protocols. The entry's reducer
-// (package entry, run by package host) takes every decision.
+// Package relay forwards requests to backend servers unchanged, from their arrival over the
+// attempts at servers to the answer. It reaches callers and servers only through the interfaces
+// Caller and Backend; their implementations speak the protocols. All decisions are taken by the
+// entry's reducer (package entry, run by package host).
 package relay
 
 import (
@@ -16,44 +16,45 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// Field is one header field; names are in their canonical case.
+// Field is one header field. Names are in canonical case.
 type Field struct{ Name, Value string }
 
-// Request is a caller's request as its driver read it.
+// Request is a caller's request as its protocol driver has read it.
 type Request struct {
-	// ID names this one try of the caller; servers echo it.
+	// ID identifies this try of the caller; a retry has another one. Servers echo it.
 	ID string
 	// Host is the Host header, Path the path without the query.
 	Host, Path string
 	Method     string
-	// URI is path and query as they were sent.
+	// URI is the path with the query, as received.
 	URI string
-	// Header holds the fields that go on to servers.
+	// Header holds the fields that are forwarded to servers.
 	Header []Field
 	Body   []byte
-	// Credential is what the caller shows for a member, empty for none. It goes no further
-	// than its hash, and into no line.
+	// Credential is the secret that proves the caller's membership, empty for none. Only its
+	// hash is passed on, and it is never logged.
 	Credential string
-	// CallerTimeout is how long the caller waits; 0: not told.
+	// CallerTimeout is how long the caller waits; 0 if it did not say.
 	CallerTimeout time.Duration
-	// Prompt is what a model is asked; nil for other requests.
+	// Prompt describes a model request; nil for other requests.
 	Prompt *Prompt
-	// ConnectionSeq counts the requests of its connection up to this one: 1 is the
-	// first on a new connection.
+	// ConnectionSeq numbers the requests on one connection, from 1.
 	ConnectionSeq uint64
-	// LastEventID is the last event of the stream that the caller has, empty for none.
+	// LastEventID is the id of the last event of the stream that the caller has received, empty
+	// for none.
 	LastEventID string
 }
 
-// Prompt is what is known of a model request without looking into its body.
+// Prompt describes a model request as far as its headers tell; the body is not parsed.
 type Prompt struct {
 	Model string
-	// Tokens are the prompt's, MaxOutputTokens the most that may be generated.
+	// Tokens is the length of the prompt, MaxOutputTokens the most that may be generated.
 	Tokens          int
 	MaxOutputTokens int
-	// ExpectedOutputTokens is the caller's estimate; 0: none.
+	// ExpectedOutputTokens is the caller's estimate of the output's length; 0 for none.
 	ExpectedOutputTokens int
-	// Parts are the prompt's in order; requests share them by id.
+	// Parts are the parts of the prompt, in order. Requests with equal leading parts share their
+	// KV cache.
 	Parts []Part
 }
 
@@ -63,111 +64,116 @@
 	Tokens int
 }
 
-// Head is an answer's head as it goes to the caller: the server's, unchanged.
+// Head is the status and header of a response. The caller gets the server's, unchanged.
 type Head struct {
 	Status int
 	Header []Field
 }
 
-// Caller is the side of one request that its answer goes to. Each request gets
-// one Respond, one Refuse, or one BeginStream with SendEvents and one EndStream.
+// Caller receives the answer to one request. Each request gets one Respond, one Refuse, or one
+// BeginStream with any number of SendEvent and one EndStream.
 type Caller interface {
-	// Respond gives a whole answer.
+	// Respond sends a complete response.
 	Respond(h *Head, body []byte)
-	// Refuse gives the final answer of a request that has none of a server's.
+	// Refuse sends the final answer of a request that no server has answered.
 	Refuse(r *outcome.Refusal)
-	// BeginStream begins a stream. Errors: the caller is gone.
+	// BeginStream sends the head of a stream. It fails if the caller has disconnected.
 	BeginStream(h *Head) error
-	// SendEvent hands bytes of the stream on at once. Errors: the caller is gone.
+	// SendEvent sends bytes of the stream without delay. It fails if the caller has
+	// disconnected.
 	SendEvent(data []byte) error
-	// EndStream ends the stream: as complete, or so that it can't be taken for that.
+	// EndStream ends the stream, either as complete or such that the caller can tell that it is
+	// truncated.
 	EndStream(complete bool)
 }
 
-// Target is the one life of a server that an attempt is for.
+// Target is the server incarnation that an attempt is for.
 type Target struct {
 	Address     string
 	Incarnation string
-	// MaxConns bounds this entry's connections to it; 0: no bound.
+	// MaxConns bounds this entry's connections to the server; 0 for no bound.
 	MaxConns int
-	// AcceptsRequests tells whether the server still wants requests; it is asked at the last moment
-	// before one is sent. nil: it does.
+	// AcceptsRequests reports whether the server still accepts requests. It is called just
+	// before the request is sent; nil means that it does.
 	AcceptsRequests func() bool
 }
 
-// Attempt is one sending of a request.
+// Attempt is one sending of a request to a server.
 type Attempt struct {
 	Target
 	Request *Request
-	// Timeout is the time that the server may take.
+	// Timeout is how long the server may take.
 	Timeout time.Duration
-	// AtMostOnce tells that the request must not run twice: it goes out on a
-	// connection that nothing can have happened to.
+	// AtMostOnce forbids running the request twice. It is then sent on a new connection, since
+	// one that was idle may have been closed and the request lost on it may have run.
 	AtMostOnce bool
-	// Member is for whom it runs, empty for none.
+	// Member is the member that the request runs for, empty for none.
 	Member string
-	// Rank orders work at the server, a lower one first.
+	// Rank is the priority at the server, lower values first.
 	Rank int
-	// ResumeAfter asks a stream to go on after that event; empty: from its start.
+	// ResumeAfter is the id of the event after which a stream resumes; empty for its start.
 	ResumeAfter string
-	// FetchAddress is the engine that the one which reads the prompt fetches cached parts of it
-	// from, host:port; empty: it reads what it does not hold.
+	// FetchAddress is the engine, host:port, from which the prefilling engine fetches cached
+	// parts of the prompt; empty if it computes what it does not hold.
 	FetchAddress string
-	// KVCache is where the prompt's KV cache lies; nil: the server prefills by itself.
+	// KVCache is the prompt's KV cache at the engine that prefilled it; nil if the server
+	// prefills by itself.
 	KVCache *KVCache
 }
 
-// KVCache is a prompt's KV cache that an engine holds for another one to fetch.
+// KVCache is the KV cache of one prompt, held by an engine until another one fetches it.
 type KVCache struct {
 	Address string
 	Handle  string
 }
 
-// ServerStatus is what a server told of itself with an answer.
+// ServerStatus is what a response says about the server that sent it.
 type ServerStatus struct {
-	// Load is how many requests run and wait there, if HasLoad.
+	// Running and Queued are the numbers of requests at the server, valid if HasLoad.
 	Running, Queued int
 	HasLoad         bool
-	// Backpressure is what it says of the work that it wants.
+	// Backpressure is the server's rate limit, back-off or announced leave.
 	Backpressure backpressure.Signal
-	// NotRun tells that the server did not run the request and never will.
+	// NotRun means that the server did not run the request and never will.
 	NotRun bool
-	// OtherIncarnation tells that another life of a server answered at the address.
+	// OtherIncarnation means that another incarnation of the server answered at the address.
 	OtherIncarnation bool
-	// Sealed tells that the answer bears the server's mark on what it made.
+	// Sealed means that the response bears the seal that a server sets on what it made itself.
 	Sealed bool
 }
 
-// Response is a server's answer whose head has been read.
+// Response is a server's response whose head has been read.
 type Response struct {
 	Head         Head
 	ServerStatus ServerStatus
-	// Body reads the answer's bytes. Its end is io.EOF only if it is whole.
+	// Body reads the body. It returns io.EOF only if the body is complete.
 	Body Body
 }
 
 // Body is the body of a Response.
 type Body interface {
 	Read(p []byte) (int, error)
-	// CloseDelimited tells that the body has no end but the connection's.
+	// CloseDelimited reports that the body ends only where the connection does, so that a
+	// truncated body can't be told from a complete one.
 	CloseDelimited() bool
-	// Close gives the connection back, or ends it and with it the server's work
-	// if the body has not been read to its end.
+	// Close returns the connection for reuse. If the body has not been read to its end, it
+	// closes the connection instead, which cancels the server's work.
 	Close()
 }
 
-// Backend is the port to servers. Errors are those of package httpconn. When ctx
-// ends the connection is closed, also while the body is read.
+// Backend sends requests to servers. Its errors are those of package httpconn. When ctx ends the
+// connection is closed, also while the body is read.
 type Backend interface {
 	Send(ctx context.Context, a Attempt) (*Response, error)
-	// Prefill asks an engine to prefill only and to hold the KV cache. The cache is
-	// nil if the engine did not do so.
+	// Prefill asks an engine to prefill only and to hold the KV cache. The cache is nil if the
+	// engine did not do so.
 	Prefill(ctx context.Context, a Attempt) (*KVCache, ServerStatus, error)
-	// FreeCache lets an engine drop a KV cache that nobody fetches.
+	// FreeCache tells an engine to free a KV cache that no engine will fetch.
 	FreeCache(ctx context.Context, c *KVCache)
-	// Health asks a server for its health on the path; false for none or a bad one.
+	// Health probes a server's health path. It returns false for a failed probe or an unhealthy
+	// answer.
 	Health(ctx context.Context, t Target, path string) bool
-	// CloseIdle closes connections that idle too long.
+	// CloseIdle closes connections that have been idle too long.
 	CloseIdle()
 }
 
@@ -175,36 +181,35 @@
 type Server struct {
 	host    *host.Host
 	backend Backend
-	// waiting counts requests that wait for a configuration.
+	// waiting counts the requests that wait for a configuration or for a view in force.
 	waiting atomic.Int64
 }
 
-// New makes the relay of an entry.
+// New returns the relay of an entry and starts its reducer.
 func New(h *host.Host, backend Backend) *Server {
 	s := &Server{host: h, backend: backend}
 	h.Start(entry.Config{
-		AbortOnDisconnect: true, AssumedPace: pace(h.Settings), RetryLimit: extraLimit(h.Settings.Repeats),
+		AbortOnDisconnect: true, AssumedPace: engineSpeed(h.Settings), RetryLimit: resendLimit(h.Settings.Repeats),
 		Credentials: credentialLimits(h.Settings.Credentials),
-	}, s.carryOut)
+	}, s.runEffect)
 	return s
 }
 
-// Snapshot is what the entry knows.
+// Snapshot returns what the entry knows at present.
 func (s *Server) Snapshot() *entry.Snapshot { return s.host.Snapshot() }
 
-// NotReady tells why the entry can't serve callers now, empty if it can.
+// NotReady returns why the entry can't serve callers at present, empty if it can.
 func (s *Server) NotReady() host.NotReady { return s.host.NotReady() }
 
-// Settings are the entry's.
+// Settings returns the entry's settings.
 func (s *Server) Settings() *settings.Entry { return s.host.Settings }
 
-// idleEvery is how often idle connections are looked at: half of the time that
-// they may idle.
-const idleEvery = time.Second
+// idleCheckInterval is half of the time that a connection may be idle.
+const idleCheckInterval = time.Second
 
-// CloseIdle closes connections to servers that idle, until ctx ends.
+// CloseIdle closes idle connections to servers until ctx ends.
 func (s *Server) CloseIdle(ctx context.Context) {
-	for host.Pause(ctx, idleEvery) {
+	for host.Pause(ctx, idleCheckInterval) {
 		s.backend.CloseIdle()
 	}
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,31 +15,29 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// relayed is what the caller has of a stream.
-type relayed struct {
-	// events counts them, lastID is the id of the last one.
+// streamProgress is what the caller has received of a stream.
+type streamProgress struct {
+	// events counts the events; lastID is the id of the last one that had an id.
 	events int
 	lastID string
 }
 
-// after is the event that an attempt goes on after.
-func (j *job) after() string {
-	if j.stream != nil {
-		return j.stream.lastID
+// resumeAfter returns the id of the event after which the next attempt resumes the stream.
+func (j *job) resumeAfter() string {
+	if j.streamed != nil {
+		return j.streamed.lastID
 	}
 	return j.req.LastEventID
 }
 
-// relay hands a stream's events on until its end or its failure.
-//
-// Only whole events go on: a server that stops in the middle of one leaves bytes
-// that the rest, from another server, could not follow.
-func (j *job) relay(a *Response, ended *entry.AttemptEnded, began time.Time) error {
+// Only complete events are forwarded: after half an event from a server that fails, the rest of
+// the stream from another server could not follow.
+func (j *job) relayStream(resp *Response, ended *entry.AttemptEnded, start time.Time) error {
 	ended.Outcome = outcome.Unknown
-	r := bufio.NewReader(a.Body)
+	r := bufio.NewReader(resp.Body)
 	for {
 		event, err := readEvent(r)
-		if errors.Is(err, io.EOF) && j.stream != nil && !a.Body.CloseDelimited() {
+		if errors.Is(err, io.EOF) && j.streamed != nil && !resp.Body.CloseDelimited() {
 			ended.Complete, ended.Outcome = true, outcome.Ran
 			return nil
 		}
@@ -47,39 +45,39 @@
 			return httpconn.Broken.Wrap(err, "stream")
 		}
 		if ended.FirstToken == 0 {
-			ended.FirstToken = time.Since(began)
-			j.log.first()
+			ended.FirstToken = time.Since(start)
+			j.log.firstEvent()
 		}
-		if err := j.hand(a, event); err != nil {
+		if err := j.sendEvent(resp, event); err != nil {
 			return err
 		}
 		j.s.host.Post(entry.AttemptProgress{
-			RequestID: ended.RequestID, Attempt: ended.Attempt, Tokens: j.stream.events,
+			RequestID: ended.RequestID, Attempt: ended.Attempt, Tokens: j.streamed.events,
 		})
 	}
 }
 
-// hand gives the caller one event, and the head before the first.
-func (j *job) hand(a *Response, event []byte) error {
-	if j.stream == nil {
-		j.stream = &relayed{}
-		j.begun.Store(true)
-		if err := j.caller.BeginStream(&a.Head); err != nil {
+// sendEvent sends one event to the caller, and the head before the first one.
+func (j *job) sendEvent(resp *Response, event []byte) error {
+	if j.streamed == nil {
+		j.streamed = &streamProgress{}
+		j.streamBegun.Store(true)
+		if err := j.caller.BeginStream(&resp.Head); err != nil {
 			return err
 		}
 	}
 	if err := j.caller.SendEvent(event); err != nil {
 		return err
 	}
-	j.stream.events++
+	j.streamed.events++
 	if id, ok := eventID(event); ok {
-		j.stream.lastID = id
+		j.streamed.lastID = id
 	}
 	return nil
 }
 
-// readEvent reads one server-sent event with the empty line that ends it. Errors:
-// io.EOF between two events, io.ErrUnexpectedEOF within one.
+// readEvent reads one server-sent event with the empty line that ends it. It returns io.EOF
+// between two events and io.ErrUnexpectedEOF within one.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for len(event) <= maxEventBytes {
@@ -100,7 +98,7 @@
 	return nil, bufio.ErrTooLong
 }
 
-// eventID gives the id of an event.
+// eventID returns the id of an event, if it has one.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -13,11 +13,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-func pace(set *settings.Entry) decision.EngineSpeed {
+func engineSpeed(set *settings.Entry) decision.EngineSpeed {
 	return decision.EngineSpeed{PrefillRate: set.Engines.PrefillRate, TokenTime: set.Engines.TokenTime}
 }
 
-func extraLimit(r settings.Repeats) *admission.ResendLimit {
+func resendLimit(r settings.Repeats) *admission.ResendLimit {
 	return &admission.ResendLimit{Ratio: r.Ratio, Constant: r.Extra, Window: r.Window}
 }
 
@@ -25,26 +25,27 @@
 	return entry.CredentialLimits{Strict: c.Strict, ConfirmedWithin: c.ConfirmedWithin}
 }
 
-// arrived describes the request, which came at that time since boot, to the reducer.
-func (s *Server) arrived(r *Request, at time.Duration, route *declaration.HostRoute, snap *entry.Snapshot) entry.RequestArrived {
+// requestArrived describes the request to the reducer. arrivedAt is its arrival as time since
+// boot.
+func (s *Server) requestArrived(r *Request, arrivedAt time.Duration, route *declaration.HostRoute, snap *entry.Snapshot) entry.RequestArrived {
 	service := snap.Declaration.Service(route.Target(r.ID))
 	profile := snap.Declaration.Profile(route.Profile)
-	limit := route.Timeout
+	timeout := route.Timeout
 	if r.CallerTimeout > 0 {
-		limit = min(limit, r.CallerTimeout-answerWay)
+		timeout = min(timeout, r.CallerTimeout-transitAllowance)
 	}
 	w := decision.Work{
 		RequestID: host.NewJobKey(r.ID), MemberWeight: 1, Service: service.Name, Profile: profile.Name,
 		ProfileShare: profile.Share, Class: profile.Class, Kind: service.Kind, Model: service.Model,
-		Arrived: at, FirstTokenBy: at + profile.FirstToken, FinishBy: at + limit,
-		SoftFirstTokenDeadline: true, EngineSpeed: pace(s.host.Settings), Rank: route.Rank,
+		Arrived: arrivedAt, FirstTokenBy: arrivedAt + profile.FirstToken, FinishBy: arrivedAt + timeout,
+		SoftFirstTokenDeadline: true, EngineSpeed: engineSpeed(s.host.Settings), Rank: route.Rank,
 	}
 	w.EngineSpeed.KVTransferRate = service.MoveRate
 	if r.Prompt != nil {
-		r.Prompt.describe(&w)
+		r.Prompt.addTo(&w)
 	}
 	return entry.RequestArrived{
-		Work: w, Retry: repeat(route), Fingerprint: fingerprint(r), RetryBudget: profile.RetryBudget,
+		Work: w, Retry: retryRule(route), Fingerprint: fingerprint(r), RetryBudget: profile.RetryBudget,
 		MaxRuns: route.MaxRuns, HardDeadline: true, MembersOnly: route.MembersOnly, Credential: credentialHash(r),
 	}
 }
@@ -56,16 +57,16 @@
 	return declaration.HashCredential(r.Credential)
 }
 
-func (p *Prompt) describe(w *decision.Work) {
+func (p *Prompt) addTo(w *decision.Work) {
 	w.PromptTokens, w.OutputTokens, w.OutputUncertain = p.Tokens, p.MaxOutputTokens, true
 	if p.ExpectedOutputTokens > 0 && (p.MaxOutputTokens == 0 || p.ExpectedOutputTokens < p.MaxOutputTokens) {
 		w.OutputTokens = p.ExpectedOutputTokens
 	}
-	// Parts are cached only behind all parts before them: each one's hash has
-	// those of its predecessors in it.
+	// A part's KV cache is valid only after the same preceding parts, so each hash covers all
+	// parts before it too.
 	chain := xxhash.New()
 	_, _ = chain.WriteString(p.Model)
-	// The last part is the request's own.
+	// The last part is not shared with other requests.
 	w.SharedBlocks = max(0, len(p.Parts)-1)
 	for _, part := range p.Parts {
 		_, _ = chain.WriteString("\x00" + part.ID)
@@ -74,7 +75,7 @@
 	}
 }
 
-func repeat(route *declaration.HostRoute) entry.RetryRule {
+func retryRule(route *declaration.HostRoute) entry.RetryRule {
 	switch route.Repeat {
 	case declaration.RepeatAllowed:
 		return entry.RetryAllowed
@@ -85,7 +86,7 @@
 	}
 }
 
-// fingerprint names what the caller asks, whichever try it is.
+// fingerprint hashes what the caller asks for, equal for all tries of one request.
 func fingerprint(r *Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Host, r.Method, r.URI} {
@@ -95,8 +96,9 @@
 	return h.Sum64()
 }
 
-// share is this entry's part of the connections that a server accepts.
-func share(service *declaration.Service, entries int) int {
+// connectionShare returns this entry's share of the connections that a server of the service
+// accepts; 0 for no bound.
+func connectionShare(service *declaration.Service, entries int) int {
 	if service == nil || service.MaxConnections == 0 {
 		return 0
 	}
--- a/internal/relay/work_test.go
+++ b/internal/relay/work_test.go
@@ -12,11 +12,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// A caller waits 600 ms from the moment it sends; the entry counted them from the moment
-// it had read the request. Its last word, at the end of the 600 ms, met a closed connection:
-// 541 of the requests of one day ended so ("how":"caller gone"), 12 with a refusal. What the
-// way there and back takes, up to 3 ms each, has to be left of the caller's time.
-func TestDeadlineLeavesTimeForTheAnswersWay(t *testing.T) {
+// Guards against an answer that reaches a caller after it has hung up. The caller counts its
+// time-out from when it sends; an entry that counts from when it has read the request sends its
+// last refusal on a closed connection. Up to 3 ms each way must be left of the caller's
+// time-out.
+func TestDeadlineLeavesTimeForResponseTransit(t *testing.T) {
 	const oneWay = 3 * time.Millisecond
 	d := &declaration.Declaration{
 		Profiles: []declaration.Profile{{Name: "lookups", Class: declaration.ClassLookup, FirstToken: 150 * time.Millisecond}},
@@ -24,48 +24,50 @@
 	}
 	s := &Server{host: &host.Host{Settings: &settings.Entry{}}}
 	route := &declaration.HostRoute{Name: "lookups", Profile: "lookups", Timeout: 2 * time.Second, Targets: []declaration.RouteTarget{{Service: "portal"}}}
-	at := time.Hour
-	for _, patience := range []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, time.Second} {
-		sent := at - oneWay
-		got := s.arrived(&Request{ID: "r1", CallerTimeout: patience}, at, route, &entry.Snapshot{Declaration: d})
-		if left := sent + patience - oneWay - got.Work.FinishBy; left < 0 {
-			t.Errorf("the last answer to a caller that waits %v comes %v too late", patience, -left)
+	arrivedAt := time.Hour
+	for _, callerTimeout := range []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, time.Second} {
+		sent := arrivedAt - oneWay
+		got := s.requestArrived(&Request{ID: "r1", CallerTimeout: callerTimeout}, arrivedAt, route, &entry.Snapshot{Declaration: d})
+		if margin := sent + callerTimeout - oneWay - got.Work.FinishBy; margin < 0 {
+			t.Errorf("an answer at the deadline reaches a caller that waits %v %v too late", callerTimeout, -margin)
 		}
 	}
 }
 
-// A stream that had begun was cut 20 ms before its caller left: the caller lost the events
-// that were under way and could have had until then, and no refusal can follow a stream.
-// Time is over for it only when its caller leaves, for a request without an answer before.
-func TestBegunStreamRunsUntilItsCallerLeaves(t *testing.T) {
-	const left = 30 * time.Millisecond
-	for _, begun := range []bool{false, true} {
+// Guards against a stream that is cut at its deadline, 20 ms before its caller disconnects: the
+// caller loses events that would have reached it, and no refusal can follow a stream. A request
+// without an answer ends at the deadline, a stream that has begun only when its caller
+// disconnects.
+func TestStartedStreamOutlivesDeadlineByTransitAllowance(t *testing.T) {
+	const remaining = 30 * time.Millisecond
+	for _, streamBegun := range []bool{false, true} {
 		j := &job{}
-		j.begun.Store(begun)
-		j.arrived.Work.FinishBy = clock.Boot() + left
-		ctx, cancel := j.withLimit(t.Context())
+		j.streamBegun.Store(streamBegun)
+		j.arrived.Work.FinishBy = clock.Boot() + remaining
+		ctx, cancel := j.withDeadline(t.Context())
 		<-ctx.Done()
-		over := clock.Boot() - j.arrived.Work.FinishBy
-		if over < 0 || begun && over < answerWay {
-			t.Errorf("begun %v: its time was over %v from its deadline", begun, over)
+		overrun := clock.Boot() - j.arrived.Work.FinishBy
+		if overrun < 0 || streamBegun && overrun < transitAllowance {
+			t.Errorf("stream begun %v: context ended %v after the deadline", streamBegun, overrun)
 		}
-		if callerLeft(ctx) {
-			t.Errorf("begun %v: the end of its time is taken for its caller's leaving", begun)
+		if callerDisconnected(ctx) {
+			t.Errorf("stream begun %v: the deadline is taken for a disconnect", streamBegun)
 		}
 		cancel()
 	}
 }
 
-// A caller that leaves ends its request at once, and is not answered.
-func TestLeavingCallerIsNotTakenForTheEndOfTime(t *testing.T) {
+// Guards against a disconnect of the caller that is taken for the deadline: the request must end
+// at once, without an answer.
+func TestCallerDisconnectIsNotTakenForDeadline(t *testing.T) {
 	j := &job{}
 	j.arrived.Work.FinishBy = clock.Boot() + time.Hour
-	served, leave := context.WithCancel(t.Context())
-	ctx, cancel := j.withLimit(served)
+	requestCtx, disconnect := context.WithCancel(t.Context())
+	ctx, cancel := j.withDeadline(requestCtx)
 	defer cancel()
-	leave()
+	disconnect()
 	<-ctx.Done()
-	if !callerLeft(ctx) {
-		t.Fatal("a caller that left is taken for one whose time is over")
+	if !callerDisconnected(ctx) {
+		t.Fatal("the disconnect is taken for the deadline")
 	}
 }
