--- a/internal/httpconn/client.go
+++ b/internal/httpconn/client.go
@@ -1,7 +1,6 @@
-// Package httpconn calls backend servers over HTTP/1.1 on connections that it
-// looks after itself. The HTTP library's client repeats calls and hides when
-// bytes were sent; a request that may run once must know both. Parsing and
-// writing of messages are the library's.
+// Package httpconn calls backend servers over HTTP/1.1 on connections that it pools itself. The
+// HTTP library's client retries calls and hides whether bytes were sent; a request that may run
+// at most once needs control of both. Messages are still parsed and written by the library.
 package httpconn
 
 import (
@@ -17,28 +16,28 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection: within a data centre it
-	// takes some milliseconds, and a lost first packet comes again after a second.
+	// dialTimeout bounds the opening of a connection. Within a data centre that takes some
+	// milliseconds, and a lost first packet is sent again after a second.
 	dialTimeout = 1500 * time.Millisecond
-	// idleLimit: a connection that idled longer is not used again, since
-	// something between the two ends may have lost track of it.
-	idleLimit = 2 * time.Second
-	// maxIdle bounds idle connections to one server.
-	maxIdle = 8
-	// bufferBytes is the size of a connection's buffers: answers' heads fit.
+	// defaultMaxIdleTime is how long a connection may be idle and still be reused. After a
+	// longer time a device between the two ends may have lost its state.
+	defaultMaxIdleTime = 2 * time.Second
+	// maxIdlePerHost bounds the idle connections to one server.
+	maxIdlePerHost = 8
+	// bufferBytes is the size of a connection's buffers; the head of a response must fit.
 	bufferBytes = 8 << 10
-	// maxSkipped bounds answers to earlier requests that are passed over while
-	// the one to this request is waited for.
-	maxSkipped = 3
-	// probeAfter, probeEvery and probes find a peer that is gone without a word:
-	// 2.5 s after its last sign a connection to it fails.
-	probeAfter = time.Second
-	probeEvery = 500 * time.Millisecond
-	probes     = 3
+	// maxSkippedResponses bounds how many responses to earlier requests are skipped while the
+	// one to this request is awaited.
+	maxSkippedResponses = 3
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes configure TCP keep-alive to detect a
+	// peer that vanished without closing: its connection fails 2.5 s after the last packet from
+	// it.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 3
 )
 
-// Client keeps connections to backend servers. Its methods may be called from
-// any goroutine.
+// Client pools connections to backend servers. It is safe for concurrent use.
 type Client struct {
 	dialer net.Dialer
 
@@ -49,67 +48,66 @@
 // hostConns are the connections to one address.
 type hostConns struct {
 	open int
-	// idle holds those that wait for a request, the last used at the end.
+	// idle holds the connections that carry no request, the most recently used one last.
 	idle []*conn
 }
 
-// New gives a client without connections.
+// New returns a client without connections.
 func New() *Client {
 	return &Client{
 		dialer: net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		}},
 		hosts: make(map[string]*hostConns),
 	}
 }
 
-// Call is one request as it is to be sent, once.
+// Call is one request, to be sent once.
 type Call struct {
 	Address string
 	Request *fasthttp.Request
-	// NewConnection asks for a connection that has carried nothing before: one that idled
-	// may have been closed, and a request that is lost on it may have run.
+	// NewConnection asks for a new connection: an idle one may have been closed, and a request
+	// that is lost on it may have run.
 	NewConnection bool
-	// MaxConns bounds the open connections to the address; 0: no bound.
+	// MaxConns bounds the open connections to the address; 0 for no bound.
 	MaxConns int
-	// AcceptsRequests is asked once there is a connection; if it tells that the server wants the
-	// request no more, none is sent. nil: it does.
+	// AcceptsRequests is called once there is a connection. If it returns false the request is
+	// not sent. nil means that the server accepts requests.
 	AcceptsRequests func() bool
-	// Matches tells whether an answer is to this request. A server may send a second
-	// answer to an earlier request where the answer to this one is due.
+	// Matches reports whether a response is to this request; nil accepts any. A server may send
+	// a second response to an earlier request where the one to this request is due.
 	Matches func(*fasthttp.ResponseHeader) bool
 }
 
 // conn is one connection.
 type conn struct {
 	net.Conn
-	address string
-	r       *bufio.Reader
-	w       *bufio.Writer
-	used    time.Time
-	// idleFor is how long it may idle, by its server's last answer.
-	idleFor time.Duration
+	address  string
+	r        *bufio.Reader
+	w        *bufio.Writer
+	lastUsed time.Time
+	// maxIdleTime is how long it may be idle, as the server's last response allows.
+	maxIdleTime time.Duration
 }
 
-// Do sends the request and reads the answer's head. When ctx ends the connection
-// is closed, also while the answer's body is read. Errors: NotSent, Refused,
-// Broken, Closed, Mismatched.
+// Do sends the request and reads the head of the response. When ctx ends the connection is
+// closed, also while the body is read. Errors: NotSent, Refused, Broken, Closed, Mismatched.
 func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	cn, err := c.connection(ctx, call)
 	if err != nil {
 		return nil, Classify(err)
 	}
 	if call.AcceptsRequests != nil && !call.AcceptsRequests() {
-		c.keep(cn, idleLimit)
-		return nil, NotSent.New("the server wants no more requests")
+		c.putIdle(cn, defaultMaxIdleTime)
+		return nil, NotSent.New("the server stopped accepting requests")
 	}
-	a := &Response{client: c, conn: cn}
-	a.unwatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
-	if err := a.exchange(call); err != nil {
-		a.Close()
+	resp := &Response{client: c, conn: cn}
+	resp.stopWatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	if err := resp.exchange(call); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
 func (c *Client) connection(ctx context.Context, call Call) (*conn, error) {
@@ -132,21 +130,19 @@
 	}, nil
 }
 
-// takeIdle gives the idle connection used last that is still good.
-//
-// Failure: a server closes a connection that idles, or sends bytes that nobody
-// asked for; the next request on it fails or gets another one's answer. Both show
-// on the connection before the request is written.
+// A server may close an idle connection or send unrequested bytes on it. The next request on it
+// would fail or get a response to another request. Both can be seen on the connection before the
+// request is written.
 func (c *Client) takeIdle(address string) *conn {
 	for {
 		cn := c.popIdle(address)
 		if cn == nil {
 			return nil
 		}
-		if time.Since(cn.used) < cn.idleFor && cn.r.Buffered() == 0 && peek.Idle(cn.Conn) {
+		if time.Since(cn.lastUsed) < cn.maxIdleTime && cn.r.Buffered() == 0 && peek.Idle(cn.Conn) {
 			return cn
 		}
-		c.drop(cn)
+		c.discard(cn)
 	}
 }
 
@@ -164,28 +160,28 @@
 	return cn
 }
 
-// reserve counts a connection that is about to be opened. With no room idle ones
-// are closed for it.
-func (c *Client) reserve(address string, most int) bool {
+// reserve counts a connection that is about to be opened. At the limit it closes an idle one to
+// make room; it returns false if there is none.
+func (c *Client) reserve(address string, limit int) bool {
 	c.mu.Lock()
 	h := c.hosts[address]
 	if h == nil {
 		h = &hostConns{}
 		c.hosts[address] = h
 	}
-	var spare *conn
-	if most > 0 && h.open >= most && len(h.idle) > 0 {
-		spare = h.idle[0]
+	var evicted *conn
+	if limit > 0 && h.open >= limit && len(h.idle) > 0 {
+		evicted = h.idle[0]
 		h.idle = h.idle[1:]
 		h.open--
 	}
-	ok := most <= 0 || h.open < most
+	ok := limit <= 0 || h.open < limit
 	if ok {
 		h.open++
 	}
 	c.mu.Unlock()
-	if spare != nil {
-		_ = spare.Close()
+	if evicted != nil {
+		_ = evicted.Close()
 	}
 	return ok
 }
@@ -200,37 +196,38 @@
 	}
 }
 
-func (c *Client) drop(cn *conn) {
+func (c *Client) discard(cn *conn) {
 	_ = cn.Close()
 	c.release(cn.address)
 }
 
-// keep puts a connection aside for the next request, which may come so much later.
-func (c *Client) keep(cn *conn, idleFor time.Duration) {
-	cn.used, cn.idleFor = time.Now(), idleFor
+// putIdle keeps a connection for later requests, for at most maxIdleTime.
+func (c *Client) putIdle(cn *conn, maxIdleTime time.Duration) {
+	cn.lastUsed, cn.maxIdleTime = time.Now(), maxIdleTime
 	c.mu.Lock()
 	h := c.hosts[cn.address]
-	if len(h.idle) < maxIdle {
+	if len(h.idle) < maxIdlePerHost {
 		h.idle = append(h.idle, cn)
 		c.mu.Unlock()
 		return
 	}
 	c.mu.Unlock()
-	c.drop(cn)
+	c.discard(cn)
 }
 
-// CloseIdle closes the connections that idle too long; call it now and then.
+// CloseIdle closes the connections that have been idle too long. It is to be called
+// periodically.
 func (c *Client) CloseIdle() {
 	c.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for _, h := range c.hosts {
-		for len(h.idle) > 0 && time.Since(h.idle[0].used) >= idleLimit {
-			old = append(old, h.idle[0])
+		for len(h.idle) > 0 && time.Since(h.idle[0].lastUsed) >= defaultMaxIdleTime {
+			expired = append(expired, h.idle[0])
 			h.idle = h.idle[1:]
 		}
 	}
 	c.mu.Unlock()
-	for _, cn := range old {
-		c.drop(cn)
+	for _, cn := range expired {
+		c.discard(cn)
 	}
 }
--- a/internal/httpconn/client_test.go
+++ b/internal/httpconn/client_test.go
@@ -16,11 +16,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// patience ends a test that hangs; it judges nothing.
-const patience = 10 * time.Second
+// testTimeout ends a test that hangs. No assertion depends on it.
+const testTimeout = 10 * time.Second
 
-// peer is a server of raw bytes: script writes the answer to request n of one
-// connection; false closes it.
+// peer is a server that writes raw bytes. script writes the response to request n of one
+// connection and returns false to close the connection.
 type peer struct {
 	address string
 	conns   atomic.Int32
@@ -62,10 +62,10 @@
 
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// call sends a request and reads its whole answer.
+// call sends a request and reads the complete response.
 func call(t *testing.T, c *Client, p *peer, change func(*Call)) (string, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -73,22 +73,22 @@
 	req.Header.SetRequestURI("/x")
 	req.Header.SetHost("h")
 	req.SetBodyString("body")
-	k := Call{Address: p.address, Request: req}
+	outgoing := Call{Address: p.address, Request: req}
 	if change != nil {
-		change(&k)
+		change(&outgoing)
 	}
-	a, err := c.Do(ctx, k)
+	resp, err := c.Do(ctx, outgoing)
 	if err != nil {
 		return "", err
 	}
-	defer a.Close()
-	body, err := io.ReadAll(a)
+	defer resp.Close()
+	body, err := io.ReadAll(resp)
 	return string(body), err
 }
 
-// Bodies come with a length, in chunks with a trailer, or up to the connection's
-// end; heads of 1xx go before. All are read whole, and only the first two kinds
-// leave a connection that can be used again.
+// Guards against a body that is read wrongly: framed by a length, by chunks with a trailer or by
+// the close of the connection, or preceded by a 1xx head. Only the first two framings, without
+// "Connection: close", leave a connection that can be reused.
 func TestBodiesOfEveryFraming(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
@@ -118,9 +118,9 @@
 	}
 }
 
-// A server breaks off. What was read must not pass for the whole, and the caller
-// must learn whether it may have run.
-func TestBrokenAnswersAreToldApart(t *testing.T) {
+// Guards against a truncated response that passes for a complete one, and against an error of
+// the wrong type: the type says whether the request may have run.
+func TestBrokenResponsesAreClassified(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		kind   *errorx.Type
@@ -140,28 +140,28 @@
 			t.Errorf("%s: %v, want %v", name, err, c.kind)
 		}
 	}
-	gone := newPeer(t, nil)
+	noListener := newPeer(t, nil)
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
-	gone.address = ln.Addr().String()
+	noListener.address = ln.Addr().String()
 	_ = ln.Close()
-	if _, err := call(t, New(), gone, nil); !errorx.IsOfType(err, Refused) || !ProcessGone(err) {
-		t.Errorf("nobody listens: %v", err)
+	if _, err := call(t, New(), noListener, nil); !errorx.IsOfType(err, Refused) || !ProcessGone(err) {
+		t.Errorf("no listener: %v", err)
 	}
 }
 
-// A server closes a kept connection, or sends bytes on it that nobody asked for. A
-// request must not go out on it: it would be lost, or get another one's answer.
-func TestSpoiltConnectionIsNotUsedAgain(t *testing.T) {
+// Guards against a request on an idle connection that the server has closed or on which it has
+// sent unrequested bytes: the request would be lost, or get a response to another request.
+func TestUnusableIdleConnectionIsNotReused(t *testing.T) {
 	for name, extra := range map[string]string{
 		"closed": "", "second answer": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother",
 	} {
 		t.Run(name, func(t *testing.T) {
-			spoilt := make(chan bool, 1)
+			written := make(chan bool, 1)
 			p := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
 				write(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfour")
 				time.Sleep(10 * time.Millisecond)
 				write(conn, extra)
-				spoilt <- true
+				written <- true
 				return extra != ""
 			})
 			client := New()
@@ -169,7 +169,7 @@
 				if body, err := call(t, client, p, nil); err != nil || body != "four" {
 					t.Fatalf("body %q, %v", body, err)
 				}
-				<-spoilt
+				<-written
 				time.Sleep(10 * time.Millisecond)
 			}
 			if n := p.conns.Load(); n != 3 {
@@ -179,9 +179,10 @@
 	}
 }
 
-// An answer to an earlier request stands where the one to this request is due: it is
-// passed over. On a connection that has carried nothing it is nobody's.
-func TestAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
+// Guards against a late response to an earlier request that is taken for the one to this
+// request: it must be skipped. On a new connection it can't be a late one, and the call must
+// fail.
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	id := func(n string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 1\r\n\r\n%s", n, n)
 	}
@@ -193,26 +194,26 @@
 		write(conn, id("1")+id(req.Header.Get("X-Id")))
 		return true
 	})
-	mine := func(n string) func(*Call) {
-		return func(k *Call) {
-			k.Request.Header.Set("X-Id", n)
-			k.Matches = func(h *fasthttp.ResponseHeader) bool { return string(h.Peek("X-Id")) == n }
+	matchID := func(n string) func(*Call) {
+		return func(outgoing *Call) {
+			outgoing.Request.Header.Set("X-Id", n)
+			outgoing.Matches = func(h *fasthttp.ResponseHeader) bool { return string(h.Peek("X-Id")) == n }
 		}
 	}
 	client := New()
 	for _, n := range []string{"1", "2"} {
-		if body, err := call(t, client, p, mine(n)); err != nil || body != n {
+		if body, err := call(t, client, p, matchID(n)); err != nil || body != n {
 			t.Fatalf("request %s: %q, %v", n, body, err)
 		}
 	}
 	wrong := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool { write(conn, id("9")); return true })
-	if _, err := call(t, client, wrong, mine("1")); !errorx.IsOfType(err, Mismatched) {
-		t.Fatalf("another one's answer on a new connection: %v", err)
+	if _, err := call(t, client, wrong, matchID("1")); !errorx.IsOfType(err, Mismatched) {
+		t.Fatalf("response to another request on a new connection: %v", err)
 	}
 }
 
-// A server accepts a bounded number of connections from all entries; one more would
-// be reset with the request on it.
+// Guards against more connections to a server than its limit, which covers all entries: the
+// server would reset the excess one together with its request.
 func TestConnectionsAreBounded(t *testing.T) {
 	release := make(chan bool)
 	p := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
@@ -222,18 +223,18 @@
 	})
 	client := New()
 	done := make(chan error, 2)
-	two := func(k *Call) { k.MaxConns = 2 }
+	atMostTwo := func(outgoing *Call) { outgoing.MaxConns = 2 }
 	for range 2 {
 		go func() {
-			_, err := call(t, client, p, two)
+			_, err := call(t, client, p, atMostTwo)
 			done <- err
 		}()
 	}
-	for end := time.Now().Add(patience); p.conns.Load() < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); p.conns.Load() < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := call(t, client, p, two); !errorx.IsOfType(err, NotSent) {
-		t.Fatalf("a third connection: %v", err)
+	if _, err := call(t, client, p, atMostTwo); !errorx.IsOfType(err, NotSent) {
+		t.Fatalf("connection above the limit: %v", err)
 	}
 	close(release)
 	for range 2 {
@@ -241,13 +242,13 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := call(t, client, p, two); err != nil {
-		t.Fatalf("with connections free again: %v", err)
+	if _, err := call(t, client, p, atMostTwo); err != nil {
+		t.Fatalf("after a connection became free: %v", err)
 	}
 }
 
-// The caller leaves while the answer's body is read: the connection ends at once,
-// and with it the server's work.
+// Guards against a server that goes on working after the caller has disconnected while the body
+// is read: the connection must be closed at once.
 func TestEndOfContextClosesTheConnection(t *testing.T) {
 	closed := make(chan bool, 1)
 	p := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
@@ -261,28 +262,28 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetRequestURI("/x")
 	req.Header.SetHost("h")
-	a, err := New().Do(ctx, Call{Address: p.address, Request: req})
+	resp, err := New().Do(ctx, Call{Address: p.address, Request: req})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	if _, err := io.ReadFull(a, make([]byte, 4)); err != nil {
+	defer resp.Close()
+	if _, err := io.ReadFull(resp, make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	if _, err := a.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") && !errorx.IsOfType(err, Broken) {
-		t.Fatalf("read after the end: %v", err)
+	if _, err := resp.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "EOF") && !errorx.IsOfType(err, Broken) {
+		t.Fatalf("read after the context ended: %v", err)
 	}
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the server's connection is still open")
 	}
 }
 
-// Guards against a request that waits for its connection while the server asks for rest, and
-// reaches it all the same.
-func TestNothingIsSentToAServerThatWantsNoMore(t *testing.T) {
+// Guards against a request that is sent although the server has asked for a back-off while the
+// request waited for its connection.
+func TestNothingIsSentToServerThatStoppedAccepting(t *testing.T) {
 	var got atomic.Int32
 	p := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
 		got.Add(1)
@@ -290,15 +291,15 @@
 		return true
 	})
 	c := New()
-	send := func(wanted bool) error {
+	send := func(accepts bool) error {
 		req := fasthttp.AcquireRequest()
 		defer fasthttp.ReleaseRequest(req)
 		req.SetRequestURI("/")
 		req.Header.SetHost(p.address)
-		a, err := c.Do(context.Background(), Call{Address: p.address, Request: req, AcceptsRequests: func() bool { return wanted }})
+		resp, err := c.Do(context.Background(), Call{Address: p.address, Request: req, AcceptsRequests: func() bool { return accepts }})
 		if err == nil {
-			_, _ = io.Copy(io.Discard, a)
-			a.Close()
+			_, _ = io.Copy(io.Discard, resp)
+			resp.Close()
 		}
 		return err
 	}
@@ -310,13 +311,13 @@
 	}
 }
 
-// Guards against a request on a connection that its server has said it closes by then: it is
-// reset, and may have run.
-func TestServersOwnIdleTimeIsKept(t *testing.T) {
+// Guards against a request on a connection that the server closes at that time, as its
+// Keep-Alive header has announced: the request is reset, and may have run.
+func TestServerKeepAliveTimeoutIsHonoured(t *testing.T) {
 	for _, c := range []struct {
-		says  string
-		after time.Duration
-		conns int32
+		keepAlive string
+		after     time.Duration
+		conns     int32
 	}{
 		{"timeout=1", 100 * time.Millisecond, 1},
 		{"timeout=1", 950 * time.Millisecond, 2},
@@ -325,10 +326,10 @@
 		{"timeout=soon", 950 * time.Millisecond, 1},
 		{"timeout=0", 0, 2},
 	} {
-		t.Run(fmt.Sprint(c.says, " ", c.after), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.keepAlive, " ", c.after), func(t *testing.T) {
 			t.Parallel()
 			p := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
-				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: "+c.says+"\r\nContent-Length: 0\r\n\r\n")
+				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: "+c.keepAlive+"\r\nContent-Length: 0\r\n\r\n")
 				return true
 			})
 			client := New()
@@ -336,12 +337,12 @@
 				req := fasthttp.AcquireRequest()
 				req.SetRequestURI("/")
 				req.Header.SetHost(p.address)
-				a, err := client.Do(context.Background(), Call{Address: p.address, Request: req})
+				resp, err := client.Do(context.Background(), Call{Address: p.address, Request: req})
 				if err != nil {
 					t.Fatal(err)
 				}
-				_, _ = io.Copy(io.Discard, a)
-				a.Close()
+				_, _ = io.Copy(io.Discard, resp)
+				resp.Close()
 				fasthttp.ReleaseRequest(req)
 				time.Sleep(c.after)
 			}
--- a/internal/httpconn/errors.go
+++ b/internal/httpconn/errors.go
@@ -15,29 +15,30 @@
 
 // Error types of calls to backend servers.
 var (
-	// NotSent: the connection could not be opened; no byte was sent.
+	// NotSent: no byte was sent, because no connection could be opened or the server stopped
+	// accepting requests.
 	NotSent = Namespace.NewType("not_sent")
 	// Refused: nothing listens at the address; the process is gone.
 	Refused = NotSent.NewSubtype("refused")
-	// Broken: the connection failed or went silent after bytes were sent.
+	// Broken: the connection failed or timed out after bytes were sent.
 	Broken = Namespace.NewType("broken")
-	// Closed: the connection was opened and then closed without any answer.
+	// Closed: the connection was opened and then closed without a response.
 	Closed = Broken.NewSubtype("closed")
-	// Mismatched: the answer is not to this request and attempt.
+	// Mismatched: the response is not to this request and attempt.
 	Mismatched = Namespace.NewType("mixed")
 )
 
-// DialError tells a failed dial from all that can fail later.
+// DialError is a failure to open a connection, as opposed to any later failure.
 type DialError struct{ Cause error }
 
-// Error gives the cause.
+// Error returns the cause's text.
 func (e *DialError) Error() string { return "dial: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// Classify gives an error of a call its type. Wrapping hides the cause from
-// errors.Is, so that a refused connection gets a type of its own here.
+// Classify wraps an error of a call in its error type. The wrapping hides the cause from
+// errors.Is, so a refused connection gets an error type of its own.
 func Classify(err error) error {
 	var dial *DialError
 	if errors.As(err, &dial) && errors.Is(err, syscall.ECONNREFUSED) {
@@ -46,13 +47,13 @@
 	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 		return NotSent.Wrap(err, "no connection")
 	}
-	if closedWithoutAnswer(err) {
+	if closedWithoutResponse(err) {
 		return Closed.Wrap(err, "call")
 	}
 	return Broken.Wrap(err, "call")
 }
 
-func closedWithoutAnswer(err error) bool {
+func closedWithoutResponse(err error) bool {
 	for _, known := range []error{
 		fasthttp.ErrConnectionClosed, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, net.ErrClosed,
 	} {
@@ -63,9 +64,9 @@
 	return false
 }
 
-// ProcessGone tells whether a new connection to a server shows that its process is
-// gone: nothing listens there, or what stands in between opens the connection
-// and closes it at once. A timeout does not show it: the server may be frozen.
+// ProcessGone reports whether the failure of a new connection shows that the server's process is
+// gone: nothing listens there, or a proxy in between accepts the connection and closes it at
+// once. A time-out does not show it, since the server may only be frozen.
 func ProcessGone(err error) bool {
 	return errorx.IsOfType(err, Refused) || errorx.IsOfType(err, Closed)
 }
--- a/internal/httpconn/idle.go
+++ b/internal/httpconn/idle.go
@@ -8,19 +8,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// idleMargin is how long before its server closes a connection it is used no more: a request is
-// under way then.
+// idleMargin is how long before the server closes an idle connection the client stops using it,
+// so that no request is in flight at that time.
 const idleMargin = 150 * time.Millisecond
 
-// idleTime is how long a connection may idle after that answer: idleLimit, or less where the
-// server says that it closes it sooner.
-func idleTime(h *fasthttp.ResponseHeader) time.Duration {
+// maxIdleTime returns how long a connection may be idle after this response: defaultMaxIdleTime,
+// or less if the server announces with Keep-Alive that it closes it sooner.
+func maxIdleTime(h *fasthttp.ResponseHeader) time.Duration {
 	for param := range strings.SplitSeq(string(h.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		secs, err := strconv.ParseUint(strings.TrimSpace(value), 10, 16)
 		if strings.EqualFold(name, "timeout") && err == nil {
-			return max(0, min(idleLimit, time.Duration(secs)*time.Second-idleMargin))
+			return max(0, min(defaultMaxIdleTime, time.Duration(secs)*time.Second-idleMargin))
 		}
 	}
-	return idleLimit
+	return defaultMaxIdleTime
 }
--- /dev/null
+++ b/internal/httpconn/response.go
@@ -0,0 +1,150 @@
+package httpconn
+
+import (
+	"errors"
+	"io"
+	"net/http/httputil"
+
+	"github.com/valyala/fasthttp"
+)
+
+// Special values of a body's length in fasthttp.
+const (
+	lengthChunked = -1
+	// lengthUntilClose is the length of a body that ends where the connection does.
+	lengthUntilClose = -2
+)
+
+// Response is a response whose head has been read. Close must be called.
+type Response struct {
+	Header    fasthttp.ResponseHeader
+	client    *Client
+	conn      *conn
+	stopWatch func() bool
+	body      io.Reader
+	length    int
+	// complete is set once the body has been read to its end.
+	complete bool
+}
+
+// exchange writes the request and reads the head of the response to it.
+func (resp *Response) exchange(call Call) error {
+	err := call.Request.Write(resp.conn.w)
+	if err == nil {
+		err = resp.conn.w.Flush()
+	}
+	if err != nil {
+		return Classify(err)
+	}
+	skipBody := call.Request.Header.IsHead()
+	for range maxSkippedResponses {
+		if err := resp.readHead(skipBody); err != nil {
+			return err
+		}
+		if call.Matches == nil || call.Matches(&resp.Header) {
+			return nil
+		}
+		// Only on a connection that has carried a request before can it be a late response to an
+		// earlier request, which is skipped.
+		if !resp.conn.lastUsed.IsZero() {
+			_, err = io.Copy(io.Discard, resp)
+		}
+		if resp.conn.lastUsed.IsZero() || err != nil || !resp.keepsAlive() {
+			return Mismatched.New("the response is to another request")
+		}
+	}
+	return Mismatched.New("%d responses are to other requests", maxSkippedResponses)
+}
+
+func (resp *Response) readHead(skipBody bool) error {
+	resp.complete = false
+	resp.Header.Reset()
+	// The library's reader returns 1xx heads as responses, but they only precede one.
+	for {
+		if err := resp.Header.Read(resp.conn.r); err != nil {
+			return Classify(err)
+		}
+		if status := resp.Header.StatusCode(); status >= 200 {
+			break
+		}
+	}
+	resp.length = resp.Header.ContentLength()
+	status := resp.Header.StatusCode()
+	if skipBody || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
+		resp.length = 0
+	}
+	switch resp.length {
+	case lengthChunked:
+		resp.body = httputil.NewChunkedReader(resp.conn.r)
+	case lengthUntilClose:
+		resp.body = resp.conn.r
+	default:
+		resp.body = io.LimitReader(resp.conn.r, int64(resp.length))
+	}
+	return nil
+}
+
+// Length returns the length of the body that is still to be read, negative if unknown.
+func (resp *Response) Length() int { return resp.length }
+
+// CloseDelimited reports that the body ends only where the connection does, so that a truncated
+// body can't be told from a complete one.
+func (resp *Response) CloseDelimited() bool { return resp.length == lengthUntilClose }
+
+// Read reads from the body and returns io.EOF once it is complete. It fails with Broken for a
+// truncated body.
+func (resp *Response) Read(p []byte) (int, error) {
+	if resp.complete {
+		return 0, io.EOF
+	}
+	n, err := resp.body.Read(p)
+	if resp.length >= 0 {
+		resp.length -= n
+	}
+	switch {
+	case errors.Is(err, io.EOF) && resp.length > 0:
+		return n, Broken.New("body truncated: %d bytes missing", resp.length)
+	case errors.Is(err, io.EOF):
+		return n, resp.readTrailer()
+	case err != nil:
+		return n, Broken.Wrap(err, "body")
+	}
+	return n, nil
+}
+
+// readTrailer reads what follows the last chunk of a body.
+func (resp *Response) readTrailer() error {
+	if resp.Header.ContentLength() == lengthChunked {
+		for {
+			line, err := resp.conn.r.ReadSlice('\n')
+			if err != nil {
+				return Broken.Wrap(err, "trailer")
+			}
+			if len(line) <= 2 {
+				break
+			}
+		}
+	}
+	resp.complete = true
+	return io.EOF
+}
+
+// keepsAlive reports whether another response may follow on the connection.
+func (resp *Response) keepsAlive() bool {
+	return resp.complete && resp.Header.ContentLength() != lengthUntilClose && !resp.Header.ConnectionClose()
+}
+
+// reusable reports whether the connection can carry another request: no unrequested bytes have
+// arrived on it.
+func (resp *Response) reusable() bool { return resp.keepsAlive() && resp.conn.r.Buffered() == 0 }
+
+// Close returns the connection for reuse if the body has been read to its end. Otherwise it
+// closes the connection, which makes the server stop its work.
+func (resp *Response) Close() {
+	watchStopped := resp.stopWatch()
+	if watchStopped && resp.reusable() {
+		resp.client.putIdle(resp.conn, maxIdleTime(&resp.Header))
+		return
+	}
+	resp.client.discard(resp.conn)
+}
