--- a/internal/rpc/count.go
+++ b/internal/rpc/count.go
@@ -13,21 +13,20 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Names of the counters of bytes on the wire between our own processes.
+// Names of the counters of bytes on the wire between processes of this system.
 const (
 	MetricBytesSent     = "rpc_bytes_sent"
 	MetricBytesReceived = "rpc_bytes_received"
 )
 
-// CountBytes counts the bytes of all connections that are opened from now on. They
-// are counted below TLS, so that they are what the network carries, less the
-// headers of TCP and IP.
+// CountBytes counts the bytes of all connections that are opened from here on. They are counted
+// below TLS, so that the count is what the network carries without the headers of TCP and IP.
 func (a *Auth) CountBytes(scope tally.Scope) {
 	a.sent = scope.Counter(MetricBytesSent)
 	a.received = scope.Counter(MetricBytesReceived)
 }
 
-// countedConn counts what a connection carries.
+// countedConn counts the bytes that a connection carries.
 type countedConn struct {
 	net.Conn
 	auth *Auth
@@ -45,14 +44,14 @@
 	return n, err
 }
 
-// count adds to a counter; an Auth that was not loaded from settings has none.
+// count adds to a counter. The counter is nil if CountBytes was not called.
 func count(counter tally.Counter, n int) {
 	if counter != nil {
 		counter.Inc(int64(n))
 	}
 }
 
-// countedListener counts the connections that it accepts.
+// countedListener accepts connections whose bytes are counted.
 type countedListener struct {
 	net.Listener
 	auth *Auth
@@ -66,7 +65,7 @@
 	return countedConn{Conn: conn, auth: l.auth}, nil
 }
 
-// dial opens a counted connection.
+// dial opens a connection whose bytes are counted.
 func (a *Auth) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -76,8 +75,8 @@
 	return countedConn{Conn: conn, auth: a}, nil
 }
 
-// Names of the counters of the calls that a process answers, by call; bytes are those of
-// bodies, without heads.
+// Names of the counters of the calls that a process answers, one series per call. Bytes are
+// those of bodies, without headers.
 const (
 	MetricCallsAnswered     = "rpc_calls_answered"
 	MetricCallBytesSent     = "rpc_call_bytes_sent"
@@ -85,19 +84,20 @@
 )
 
 const (
-	// maxCallNames bounds the calls that are told apart: a path may name anything.
+	// maxCallNames bounds the number of names that are counted separately, since a request's
+	// path is arbitrary. The others are counted as otherCalls.
 	maxCallNames = 64
 	otherCalls   = "other"
 )
 
-// CallTotals are what a process has answered of one call.
+// CallTotals are the number of answered calls of one name and the bytes of their bodies.
 type CallTotals struct {
 	Call           string
 	Calls          int64
 	Sent, Received int64
 }
 
-// CallCounters count what a process answers, by the name of the call.
+// CallCounters counts the calls that a process answers, by name.
 type CallCounters struct {
 	scope tally.Scope
 
@@ -105,64 +105,64 @@
 	byCall map[string]*CallTotals
 }
 
-// NewCallCounters writes to the scope too.
+// NewCallCounters returns counters that also write to the metrics scope.
 func NewCallCounters(scope tally.Scope) *CallCounters {
 	return &CallCounters{scope: scope, byCall: make(map[string]*CallTotals)}
 }
 
-// Wrap wraps a handler of calls.
+// Wrap returns a handler that counts the calls that next answers.
 func (c *CallCounters) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked := &countedBody{ReadCloser: r.Body}
-		r.Body = asked
-		told := &countedWriter{ResponseWriter: w}
-		next.ServeHTTP(told, r)
-		c.add(CallTotals{Call: path.Base(r.URL.Path), Calls: 1, Sent: told.bytes, Received: asked.bytes})
+		request := &countedBody{ReadCloser: r.Body}
+		r.Body = request
+		response := &countedWriter{ResponseWriter: w}
+		next.ServeHTTP(response, r)
+		c.add(CallTotals{Call: path.Base(r.URL.Path), Calls: 1, Sent: response.bytes, Received: request.bytes})
 	})
 }
 
 func (c *CallCounters) add(t CallTotals) {
-	name := c.sum(t)
+	name := c.addTotals(t)
 	scope := c.scope.Tagged(map[string]string{"call": name})
 	scope.Counter(MetricCallsAnswered).Inc(t.Calls)
 	scope.Counter(MetricCallBytesSent).Inc(t.Sent)
 	scope.Counter(MetricCallBytesReceived).Inc(t.Received)
 }
 
-// sum adds to the totals of the call and gives the name under which it is counted.
-func (c *CallCounters) sum(t CallTotals) string {
+// addTotals adds to the totals of the call and returns the name under which it is counted.
+func (c *CallCounters) addTotals(t CallTotals) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byCall[t.Call] == nil && len(c.byCall) >= maxCallNames {
 		t.Call = otherCalls
 	}
-	known := c.byCall[t.Call]
-	if known == nil {
-		known = &CallTotals{Call: t.Call}
-		c.byCall[t.Call] = known
+	totals := c.byCall[t.Call]
+	if totals == nil {
+		totals = &CallTotals{Call: t.Call}
+		c.byCall[t.Call] = totals
 	}
-	known.Calls += t.Calls
-	known.Sent += t.Sent
-	known.Received += t.Received
+	totals.Calls += t.Calls
+	totals.Sent += t.Sent
+	totals.Received += t.Received
 	return t.Call
 }
 
-// Take gives what was counted since the last Take, in order of name.
+// Take returns the totals since the last Take, ordered by name.
 func (c *CallCounters) Take() []CallTotals {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := make([]CallTotals, 0, len(c.byCall))
+	totals := make([]CallTotals, 0, len(c.byCall))
 	for _, call := range slices.Sorted(maps.Keys(c.byCall)) {
 		t := c.byCall[call]
 		if t.Calls > 0 {
-			list = append(list, *t)
+			totals = append(totals, *t)
 			*t = CallTotals{Call: call}
 		}
 	}
-	return list
+	return totals
 }
 
-// countedWriter counts the body that a handler writes.
+// countedWriter counts the bytes of the body that a handler writes.
 type countedWriter struct {
 	http.ResponseWriter
 	bytes int64
@@ -174,7 +174,7 @@
 	return n, err
 }
 
-// countedBody counts the body that a handler reads.
+// countedBody counts the bytes of the body that a handler reads.
 type countedBody struct {
 	io.ReadCloser
 	bytes int64
--- a/internal/rpc/count_test.go
+++ b/internal/rpc/count_test.go
@@ -12,19 +12,20 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Guards against bytes between processes that nobody can tell the call of.
+// Guards against bytes that can't be attributed to a call, against totals that are returned
+// twice, and against unbounded memory for arbitrary paths.
 func TestCallsAreCountedByName(t *testing.T) {
 	c := NewCallCounters(tally.NoopScope)
 	h := c.Wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, "answer")
 	}))
-	ask := func(path, body string) {
+	post := func(path, body string) {
 		h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
 	}
-	ask("/twirp/goldcrest.Control/Watch", "ask")
-	ask("/twirp/goldcrest.Control/Watch", "ask")
-	ask("/twirp/goldcrest.Replica/Step", "")
+	post("/twirp/goldcrest.Control/Watch", "ask")
+	post("/twirp/goldcrest.Control/Watch", "ask")
+	post("/twirp/goldcrest.Replica/Step", "")
 	want := []CallTotals{{Call: "Step", Calls: 1, Sent: 6}, {Call: "Watch", Calls: 2, Sent: 12, Received: 6}}
 	if got := c.Take(); !slices.Equal(got, want) {
 		t.Errorf("counted %+v, want %+v", got, want)
@@ -33,9 +34,9 @@
 		t.Errorf("counted twice: %+v", got)
 	}
 	for i := range 3 * maxCallNames {
-		ask(fmt.Sprint("/twirp/", i), "")
+		post(fmt.Sprint("/twirp/", i), "")
 	}
 	if got := c.Take(); len(got) > maxCallNames+1 {
-		t.Errorf("%d names are kept", len(got))
+		t.Errorf("%d names are counted separately", len(got))
 	}
 }
--- a/internal/rpc/packed.go
+++ b/internal/rpc/packed.go
@@ -11,31 +11,31 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// maxUnpacked bounds the encoding of a whole view: some ten times that of the largest
-// deployment that is aimed at.
-const maxUnpacked = 64 << 20
+// maxUnpackedBytes bounds the encoded size of a full view: about ten times that of the largest
+// supported deployment.
+const maxUnpackedBytes = 64 << 20
 
-// Unreadable is the type of errors of a packed answer that can't be read.
+// Unreadable is the type of errors about a compressed answer that can't be decoded.
 var Unreadable = Namespace.NewType("unreadable")
 
-// packers are kept: one takes up more memory than most answers.
-var packers = sync.Pool{New: func() any {
-	// The level is a valid one, so there is no error.
+// gzipWriters is a pool, since one writer takes more memory than most answers.
+var gzipWriters = sync.Pool{New: func() any {
+	// The level is valid, so there is no error.
 	w, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	return w
 }}
 
-// PackPart gives a part of an answer compressed. Parts that follow each other are an answer
-// too: it has all that their lists hold, and of single fields what the last part has. Errors:
-// those of encoding.
+// PackPart compresses a part of an answer. Concatenated parts are one answer again: their
+// repeated fields are joined, and a single field has the value of the last part. It fails if the
+// part can't be encoded.
 func PackPart(part *pb.WatchResponse) ([]byte, error) {
 	data, err := proto.Marshal(part)
 	if err != nil {
 		return nil, err
 	}
 	var buf bytes.Buffer
-	w := packers.Get().(*gzip.Writer)
-	defer packers.Put(w)
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
 	w.Reset(&buf)
 	if _, err := w.Write(data); err != nil {
 		return nil, err
@@ -46,8 +46,8 @@
 	return buf.Bytes(), nil
 }
 
-// UnpackView gives the answer that a packed one holds, or the answer itself if it is not
-// packed. Errors: Unreadable.
+// UnpackView returns the answer that a compressed one holds, or resp itself if it is not
+// compressed. Errors: Unreadable.
 func UnpackView(resp *pb.WatchResponse) (*pb.WatchResponse, error) {
 	if len(resp.GetPacked()) == 0 {
 		return resp, nil
@@ -56,16 +56,16 @@
 	if err != nil {
 		return nil, Unreadable.Wrap(err, "packed view")
 	}
-	data, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
+	data, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
 		return nil, Unreadable.Wrap(err, "packed view")
 	}
-	if len(data) > maxUnpacked {
-		return nil, Unreadable.New("packed view of more than %d bytes", maxUnpacked)
+	if len(data) > maxUnpackedBytes {
+		return nil, Unreadable.New("packed view of more than %d bytes", maxUnpackedBytes)
 	}
-	whole := &pb.WatchResponse{}
-	if err := proto.Unmarshal(data, whole); err != nil {
+	view := &pb.WatchResponse{}
+	if err := proto.Unmarshal(data, view); err != nil {
 		return nil, Unreadable.Wrap(err, "packed view")
 	}
-	return whole, nil
+	return view, nil
 }
--- a/internal/rpc/packed_test.go
+++ b/internal/rpc/packed_test.go
@@ -12,9 +12,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// A whole view of hundreds of entries must come out as it went in, in less than half of its bytes though each
-// entry has an incarnation of its own.
-func TestPackedViewIsTheView(t *testing.T) {
+// Guards against a compressed view that differs from the original or is hardly smaller: a view
+// of 200 entries must take less than half of its bytes, although each entry has a random
+// incarnation.
+func TestPackedViewUnpacksUnchanged(t *testing.T) {
 	view := &pb.WatchResponse{Version: 7, Full: true, Revision: 3, LeaseMs: 1500}
 	for i := range 200 {
 		view.Entries = append(view.Entries, &pb.EntryInfo{Identity: &pb.EntryIdentity{
@@ -26,19 +27,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all, most := proto.Size(packed), proto.Size(view)/2; all > most {
-		t.Errorf("%d bytes packed, at most %d", all, most)
+	if size, limit := proto.Size(packed), proto.Size(view)/2; size > limit {
+		t.Errorf("%d bytes compressed, want at most %d", size, limit)
 	}
 	got, err := UnpackView(packed)
 	if err != nil || !proto.Equal(got, view) {
 		t.Fatalf("unpacked %v, %v", got, err)
 	}
 	if same, err := UnpackView(view); err != nil || same != view {
-		t.Errorf("an answer that is not packed became %v, %v", same, err)
+		t.Errorf("uncompressed answer became %v, %v", same, err)
 	}
 }
 
-// Bytes that are cut, or that are no view, must not be taken for one.
+// Guards against truncated bytes, or bytes that are no view, that are accepted as one.
 func TestUnreadablePackedViewsAreRefused(t *testing.T) {
 	packed, err := packedAnswer(&pb.WatchResponse{Version: 7, Objects: []*pb.Object{{Name: "a"}}})
 	if err != nil {
@@ -52,12 +53,12 @@
 		"cut": packed.Packed[:len(packed.Packed)/2], "no gzip": []byte("view"), "no message": junk.Bytes(),
 	} {
 		if resp, err := UnpackView(&pb.WatchResponse{Packed: data}); err == nil {
-			t.Errorf("%s: taken for %v", name, resp)
+			t.Errorf("%s: decoded as %v", name, resp)
 		}
 	}
 }
 
-// packedAnswer gives an answer that is one packed part.
+// packedAnswer returns an answer that consists of one compressed part.
 func packedAnswer(resp *pb.WatchResponse) (*pb.WatchResponse, error) {
 	part, err := PackPart(resp)
 	return &pb.WatchResponse{Packed: part}, err
--- a/internal/rpc/silence_test.go
+++ b/internal/rpc/readtimeout_test.go
@@ -11,38 +11,39 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// Guards against a call that hangs at a peer that gives nothing, before its answer or in the middle of it.
-func TestSilentPeerEndsTheCall(t *testing.T) {
-	const most = 100 * time.Millisecond
-	for name, first := range map[string]string{"no answer": "", "half an answer": "half"} {
+// Guards against a call that hangs on a peer that sends no bytes, before the answer or in the
+// middle of it.
+func TestCallEndsWhenPeerSendsNoBytes(t *testing.T) {
+	const timeout = 100 * time.Millisecond
+	for name, partial := range map[string]string{"no answer": "", "half an answer": "half"} {
 		release := make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if first != "" {
-				_, _ = io.WriteString(w, first)
+			if partial != "" {
+				_, _ = io.WriteString(w, partial)
 				_ = http.NewResponseController(w).Flush()
 			}
 			<-release
 		}))
 		t.Cleanup(server.Close)
 		t.Cleanup(func() { close(release) })
-		if err := read(t, WithReadIdleTimeout(t.Context(), most), server.URL); err == nil {
-			t.Errorf("%s: read to its end", name)
+		if err := read(t, WithReadIdleTimeout(t.Context(), timeout), server.URL); err == nil {
+			t.Errorf("%s: the call did not fail", name)
 		}
 	}
 }
 
-// Guards against an answer that is given up though it keeps coming.
-func TestAnswerThatKeepsComingIsTaken(t *testing.T) {
-	const most = 200 * time.Millisecond
+// Guards against an answer that is abandoned although its bytes keep arriving.
+func TestSlowButSteadyResponseIsRead(t *testing.T) {
+	const timeout = 200 * time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for range 10 {
-			time.Sleep(most / 4)
+			time.Sleep(timeout / 4)
 			_, _ = io.WriteString(w, "piece")
 			_ = http.NewResponseController(w).Flush()
 		}
 	}))
 	t.Cleanup(server.Close)
-	if err := read(t, WithReadIdleTimeout(t.Context(), most), server.URL); err != nil {
+	if err := read(t, WithReadIdleTimeout(t.Context(), timeout), server.URL); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc sets up what the system's own processes talk over: Twirp on
-// net/http, protected by a shared key, by TLS or by both.
+// Package rpc sets up the calls between the processes of this system: Twirp on net/http,
+// protected by a shared key, by TLS or by both.
 package rpc
 
 import (
@@ -26,19 +26,19 @@
 // BadAuth is the type of errors about keys and certificates that can't be used.
 var BadAuth = Namespace.NewType("bad_auth")
 
-// headerKey carries the hex SHA-256 of the shared key.
+// headerKey is the header that carries the hex SHA-256 of the shared key.
 const headerKey = "X-Goldcrest-Key"
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// idleTimeout is short since a connection can go silent for good while it
-	// idles: one that has idled longer is not used again.
+	// idleTimeout is short because the peer of an idle connection can become unreachable without
+	// closing it. A connection that has been idle longer is not reused.
 	idleTimeout = 5 * time.Second
-	// maxIdlePerHost bounds idle connections to one process.
+	// maxIdlePerHost bounds the idle connections to one process.
 	maxIdlePerHost = 8
 )
 
-// Auth holds the loaded keys of one process.
+// Auth holds the keys and certificates of one process.
 type Auth struct {
 	keyHash string
 	cert    *tls.Certificate
@@ -77,7 +77,7 @@
 	return a, nil
 }
 
-// Scheme is the URL scheme that Client speaks.
+// Scheme returns the URL scheme that Client uses.
 func (a *Auth) Scheme() string {
 	if a.cert != nil {
 		return "https"
@@ -85,12 +85,12 @@
 	return "http"
 }
 
-// URL gives the base URL of the process at address.
+// URL returns the base URL of the process at address.
 func (a *Auth) URL(address string) string { return a.Scheme() + "://" + address }
 
-// Client gives an HTTP client that shows the key and certificate. Callers set
-// a deadline with the context of each call; Go's transport sends a call again
-// only when no byte of it was written on a connection that had idled.
+// Client returns an HTTP client that presents the key and certificate. Callers set a deadline
+// with the context of each call. Go's transport retries a call only if no byte of it was written
+// on a connection that had been idle.
 func (a *Auth) Client() *http.Client {
 	transport := &http.Transport{
 		DialContext:         a.dial,
@@ -105,14 +105,14 @@
 	return &http.Client{Transport: &keyTransport{next: transport, keyHash: a.keyHash}}
 }
 
-// Listen opens the listener for Handler.
+// Listen opens the listener for the process's handlers, with TLS if there is a certificate.
 func (a *Auth) Listen(ctx context.Context, address string) (net.Listener, error) {
 	var lc net.ListenConfig
-	plain, err := lc.Listen(ctx, "tcp", address)
+	tcp, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	ln := countedListener{Listener: plain, auth: a}
+	ln := countedListener{Listener: tcp, auth: a}
 	if a.cert == nil {
 		return ln, nil
 	}
@@ -122,12 +122,12 @@
 	}), nil
 }
 
-// RequireKey refuses requests that don't show the shared key. Without it a process
-// of another deployment that reuses an address could step into this one.
+// RequireKey rejects requests without the shared key. Otherwise a process of another deployment
+// that takes over an address could join this deployment.
 func (a *Auth) RequireKey(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		shown := r.Header.Get(headerKey)
-		if subtle.ConstantTimeCompare([]byte(shown), []byte(a.keyHash)) != 1 {
+		presented := r.Header.Get(headerKey)
+		if subtle.ConstantTimeCompare([]byte(presented), []byte(a.keyHash)) != 1 {
 			http.Error(w, "wrong or missing shared key", http.StatusUnauthorized)
 			return
 		}
@@ -145,8 +145,8 @@
 		r = r.Clone(r.Context())
 		r.Header.Set(headerKey, t.keyHash)
 	}
-	if most, ok := r.Context().Value(silenceKey{}).(time.Duration); ok {
-		return bounded(t.next, r, most)
+	if timeout, ok := r.Context().Value(readIdleTimeoutKey{}).(time.Duration); ok {
+		return roundTripWithReadIdleTimeout(t.next, r, timeout)
 	}
 	return t.next.RoundTrip(r)
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -32,7 +32,7 @@
 	return a
 }
 
-// serve answers 200 to whoever the auth lets in and gives the address.
+// serve answers 200 to every client that a admits and returns the address.
 func serve(t *testing.T, a *Auth) string {
 	t.Helper()
 	ln, err := a.Listen(context.Background(), "127.0.0.1:0")
@@ -55,9 +55,9 @@
 	return resp.StatusCode
 }
 
-// A process of another deployment takes over an address that this one still
-// knows. Its calls and answers must not be taken for this deployment's.
-func TestSharedKeyKeepsStrangersOut(t *testing.T) {
+// Guards against calls between two deployments. A process of another deployment takes over an
+// address that this one still uses. Its calls must be rejected.
+func TestSharedKeyRejectsOtherDeployments(t *testing.T) {
 	server := load(t, keyAuth(t, "0123456789abcdef"))
 	address := serve(t, server)
 	if got := status(server, address); got != http.StatusOK {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestTLSChecksBothSides(t *testing.T) {
+func TestTLSAuthenticatesBothSides(t *testing.T) {
 	own, err := devcert.Write(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 		t.Errorf("another CA: status %d, want no connection", got)
 	}
 	if got := status(load(t, settings.Auth{}), address); got == http.StatusOK {
-		t.Error("plain HTTP was let in")
+		t.Error("plain HTTP was admitted")
 	}
 }
 
@@ -109,8 +109,8 @@
 	scope := tally.NewTestScope("", nil)
 	server.CountBytes(scope)
 	status(server, serve(t, server))
-	// Client and server are the same process. The client may have the answer
-	// before the server has counted it.
+	// Client and server are the same process. The client may have the answer before the server
+	// has counted it.
 	var sent, received int64
 	for range 500 {
 		counters := scope.Snapshot().Counters()
