--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,5 +1,5 @@
-// Package peek looks at connections without taking bytes from them: whether the
-// other end is still there while nobody reads.
+// Package peek inspects connections without consuming bytes from them: whether the peer is still
+// there while no goroutine reads.
 package peek
 
 import (
@@ -12,29 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Idle tells whether the connection is open and has nothing to read, as one
-// must be that is to be used again: the peer has not closed it and has sent
-// nothing that was not asked for.
+// Idle reports whether the connection is open and has nothing to read, as is required to reuse
+// it: the peer has neither closed it nor sent unrequested bytes. A connection without a file
+// descriptor counts as idle.
 func Idle(conn net.Conn) bool {
-	raw := rawOf(conn)
+	raw := rawConn(conn)
 	if raw == nil {
 		return true
 	}
-	quiet := false
+	idle := false
 	err := raw.Read(func(fd uintptr) bool {
-		_, err := look(fd)
-		quiet = errors.Is(err, unix.EAGAIN)
+		_, err := peekByte(fd)
+		idle = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// Watch calls gone, once, when the peer closes the connection or resets it while
-// nobody reads from it. Bytes that come instead end the watch: a caller that has
-// sent its next request already is there. stop ends the watch and must be called
-// before anybody reads; after it gone is not called any more.
-func Watch(conn net.Conn, gone func()) (stop func()) {
-	raw := rawOf(conn)
+// Watch calls onClose, once, when the peer closes or resets the connection while no goroutine
+// reads from it. It ends without a call when bytes arrive instead: the peer has sent its next
+// request already, so it is there. stop ends the watch and must be called before the connection
+// is read; onClose is not called after it returns.
+func Watch(conn net.Conn, onClose func()) (stop func()) {
+	raw := rawConn(conn)
 	if raw == nil {
 		return func() {}
 	}
@@ -43,35 +43,35 @@
 	stopped := false
 	go func() {
 		defer close(done)
-		left := false
+		closed := false
 		err := raw.Read(func(fd uintptr) bool {
-			n, err := look(fd)
+			n, err := peekByte(fd)
 			if errors.Is(err, unix.EAGAIN) {
 				return false
 			}
-			left = err != nil || n == 0
+			closed = err != nil || n == 0
 			return true
 		})
 		mu.Lock()
 		defer mu.Unlock()
-		if err == nil && left && !stopped {
-			gone()
+		if err == nil && closed && !stopped {
+			onClose()
 		}
 	}()
 	return func() {
 		mu.Lock()
 		stopped = true
 		mu.Unlock()
-		// A deadline in the past ends the wait; the next reader sets its own.
+		// A deadline in the past ends the wait. The next reader sets its own.
 		_ = conn.SetReadDeadline(time.Unix(1, 0))
 		<-done
 		_ = conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// look reads one byte and leaves it where it is; 0 bytes mean that the peer has
-// closed.
-func look(fd uintptr) (int, error) {
+// peekByte peeks at the next byte without consuming it. 0 bytes mean that the peer has closed
+// the connection.
+func peekByte(fd uintptr) (int, error) {
 	var b [1]byte
 	for {
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -81,14 +81,14 @@
 	}
 }
 
-func rawOf(conn net.Conn) syscall.RawConn {
+func rawConn(conn net.Conn) syscall.RawConn {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		// A closed connection has none; whoever uses it next finds out.
+		// A closed connection has none; its next user gets the error.
 		return nil
 	}
 	return raw
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// patience ends a test that hangs; it judges nothing.
-const patience = 10 * time.Second
+// testTimeout ends a test that hangs. No assertion depends on it.
+const testTimeout = 10 * time.Second
 
 func pair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
@@ -28,43 +28,43 @@
 	return accepted.(*net.TCPConn), dialled.(*net.TCPConn)
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func until(t *testing.T, condition string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("still not: %s", what)
+	t.Fatalf("condition not met in time: %s", condition)
 }
 
-// A caller gives up while its request runs. Unless that is noticed the engine
-// works on for nobody until the answer can't be written.
-func TestGoneCallerIsNoticedWhileNobodyReads(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn){
+// Guards against a caller whose disconnect is not noticed while its request runs: the engine
+// would go on working for no one until the answer can't be written.
+func TestClosedConnectionIsNoticedWithoutReading(t *testing.T) {
+	for name, disconnect := range map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { _ = c.Close() },
 		"resets": func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := pair(t)
-			gone := make(chan struct{})
-			stop := Watch(near, func() { close(gone) })
+			noticed := make(chan struct{})
+			stop := Watch(near, func() { close(noticed) })
 			defer stop()
-			leave(far)
+			disconnect(far)
 			select {
-			case <-gone:
-			case <-time.After(patience):
-				t.Fatal("the caller's end went unnoticed")
+			case <-noticed:
+			case <-time.After(testTimeout):
+				t.Fatal("the disconnect was not noticed")
 			}
 		})
 	}
 }
 
-// A caller sends its next request before it has the answer to the first: the
-// watch must neither take a byte of it nor call it gone.
-func TestWatchTakesNoBytes(t *testing.T) {
+// Guards against a watch that consumes bytes of a request that the caller sends before it has
+// the answer to the first, or that takes such a caller for disconnected.
+func TestWatchConsumesNoBytes(t *testing.T) {
 	near, far := pair(t)
-	stop := Watch(near, func() { t.Error("called gone") })
+	stop := Watch(near, func() { t.Error("onClose called") })
 	if _, err := far.Write([]byte("next")); err != nil {
 		t.Fatal(err)
 	}
@@ -76,12 +76,12 @@
 	}
 }
 
-// A watch that is stopped leaves the connection as it was.
+// Guards against a stopped watch that leaves the connection unusable.
 func TestStoppedWatchLeavesTheConnectionUsable(t *testing.T) {
 	near, far := pair(t)
-	Watch(near, func() { t.Error("called gone") })()
+	Watch(near, func() { t.Error("onClose called") })()
 	if !Idle(near) {
-		t.Fatal("an idle connection is not quiet")
+		t.Fatal("an idle connection is not reported as idle")
 	}
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
@@ -90,5 +90,5 @@
 		t.Fatalf("read %d, %v", n, err)
 	}
 	_ = far.Close()
-	until(t, "a closed connection is not quiet", func() bool { return !Idle(near) })
+	until(t, "a closed connection is not idle", func() bool { return !Idle(near) })
 }
