--- a/internal/callerconn/callerconn.go
+++ b/internal/callerconn/callerconn.go
@@ -1,5 +1,5 @@
-// Package callerconn has callers' connections: writes to them are bounded, and
-// it is noticed when they close while their request runs.
+// Package callerconn handles callers' connections: it bounds writes to them, and reports when
+// they are closed while a request runs.
 package callerconn
 
 import (
@@ -9,13 +9,12 @@
 	"goldcrestseam.dev/goldcrestseam/internal/peek"
 )
 
-// stallLimit is how long a caller may take no bytes at all. It is long, since a
-// caller on a bad line is not gone; but without any limit a caller that is frozen,
-// or whose connection has gone silent, would hold its stream and the engine's
-// slot for ever: the write neither succeeds nor fails.
-const stallLimit = 30 * time.Second
+// writeTimeout bounds one write to a caller. It is long because a caller on a bad line has not
+// disconnected. Without a bound a frozen caller, or one whose connection is dead, would hold its
+// stream and the engine's slot for ever: the write neither succeeds nor fails.
+const writeTimeout = 30 * time.Second
 
-// Listener gives connections whose writes are bounded.
+// Listener accepts connections whose writes are bounded.
 type Listener struct{ net.Listener }
 
 // Accept waits for the next connection.
@@ -24,17 +23,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{Conn: conn, WriteTimeout: stallLimit}, nil
+	return &Conn{Conn: conn, WriteTimeout: writeTimeout}, nil
 }
 
 // Conn is a caller's connection.
 type Conn struct {
 	net.Conn
-	// WriteTimeout is how long a write may take.
+	// WriteTimeout bounds each write.
 	WriteTimeout time.Duration
 }
 
-// Write writes within WriteTimeout.
+// Write writes p within WriteTimeout.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.Conn.SetWriteDeadline(time.Now().Add(c.WriteTimeout)); err != nil {
 		return 0, err
@@ -42,11 +41,11 @@
 	return c.Conn.Write(p)
 }
 
-// Watch calls gone, once, when the caller closes its connection while its request
-// runs; see peek.Watch for stop.
-func Watch(conn net.Conn, gone func()) (stop func()) {
+// Watch calls onClose, once, when the caller closes its connection while its request runs. See
+// peek.Watch for stop.
+func Watch(conn net.Conn, onClose func()) (stop func()) {
 	if c, ok := conn.(*Conn); ok {
 		conn = c.Conn
 	}
-	return peek.Watch(conn, gone)
+	return peek.Watch(conn, onClose)
 }
