--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,7 +31,7 @@
 	// Header holds the fields that are forwarded to servers.
 	Header []Field
 	Body   []byte
-	// Credential is the secret that proves the caller's membership, empty for none. Only its
+	// Credential is the secret that identifies the caller's member, empty for none. Only its
 	// hash is passed on, and it is never logged.
 	Credential string
 	// CallerTimeout is how long the caller waits; 0 if it did not say.
