--- a/internal/traffic/answer.go
+++ b/internal/traffic/answer.go
@@ -13,18 +13,18 @@
 
 // completionRequest is the body of POST /v1/completions.
 type completionRequest struct {
-	// Model names the service.
+	// Model is the name of the service.
 	Model     string  `json:"model"`
 	Prompt    string  `json:"prompt"`
 	MaxTokens int     `json:"max_tokens"`
 	Stream    bool    `json:"stream"`
 	Seed      *uint64 `json:"seed,omitempty"`
-	// Chat asks for the answer in the form of chat completions. It stands in
-	// the kept body, so that a resume goes on in the same form.
+	// Chat selects the chat completion format for the answer. It is part of
+	// the body in the stream record, so a resume answers in the same format.
 	Chat bool `json:"chat,omitempty"`
 }
 
-// completionEvent is the data of one event of a stream, and the body of an
+// completionEvent is the data of one event of a stream, or the body of an
 // answer that is not streamed.
 type completionEvent struct {
 	ID        string             `json:"id"`
@@ -40,7 +40,8 @@
 type completionChoice struct {
 	Index int    `json:"index"`
 	Text  string `json:"text"`
-	// Delta and Message are for chat completions: a part and the whole.
+	// Delta and Message are used for chat completions only: Delta in a stream,
+	// Message in a body that is not streamed.
 	Delta        *chatMessage `json:"delta,omitempty"`
 	Message      *chatMessage `json:"message,omitempty"`
 	FinishReason *string      `json:"finish_reason"`
@@ -65,32 +66,33 @@
 	Content string `json:"content"`
 }
 
-// roleAssistant is the role of what a model says.
+// roleAssistant is the role of messages that the model generates.
 const roleAssistant = "assistant"
 
-// postChat takes a chat completion as a completion of its messages, one after
-// the other. The engines of this system take prompts; one whose model wants
-// another layout of messages needs it here.
+// postChat handles a chat completion by concatenating its messages into one
+// prompt, since the engines take plain prompts. All models share this layout;
+// a model that needs its own chat template needs it added here.
 func (s *Server) postChat(c *fiber.Ctx) error {
-	k, refusal := s.readCall(c)
+	call, refusal := s.readCall(c)
 	if refusal != nil {
 		return refusal
 	}
-	if refusal := chatToCompletion(k); refusal != nil {
+	if refusal := chatToCompletion(call); refusal != nil {
 		return refusal
 	}
-	req, service, refusal := parseCompletion(k)
+	req, service, refusal := parseCompletion(call)
 	if refusal != nil {
 		return refusal
 	}
-	wireID := engineapi.WireID(k.member.Name, k.requestID, uuid.NewString()[:8])
-	return s.answerModel(c, s.newModelJob(k, req, service, wireID))
+	wireID := engineapi.WireID(call.member.Name, call.requestID, uuid.NewString()[:8])
+	return s.answerModel(c, s.newModelJob(call, req, service, wireID))
 }
 
-// chatToCompletion puts the body of a completion in the place of the chat's.
-func chatToCompletion(k *call) *outcome.Refusal {
+// chatToCompletion replaces the body of the chat request with that of the
+// equivalent completion request.
+func chatToCompletion(call *callerCall) *outcome.Refusal {
 	var chat chatRequest
-	if err := json.Unmarshal(k.body, &chat); err != nil {
+	if err := json.Unmarshal(call.body, &chat); err != nil {
 		return invalid("the body is not the JSON of a chat completion request")
 	}
 	if len(chat.Messages) == 0 {
@@ -108,20 +110,21 @@
 	if err != nil {
 		return invalid("the messages can't be read")
 	}
-	k.body = body
+	call.body = body
 	return nil
 }
 
-// event gives a piece in the form that the caller asked for.
-func (j *modelJob) event(p piece) completionEvent {
+// event formats an answer part as the completion or chat event that the caller
+// asked for.
+func (j *modelJob) event(p answerPart) completionEvent {
 	_, requestID, _ := engineapi.SplitWireID(j.wireID)
 	event := completionEvent{
 		ID: "cmpl-" + requestID, Object: "text_completion", RequestID: requestID,
 		Offset: p.offset, Tokens: p.tokens, Text: p.text,
 		Choices: []completionChoice{{Text: p.text}},
 	}
-	if p.finish != "" {
-		event.Choices[0].FinishReason = &p.finish
+	if p.finishReason != "" {
+		event.Choices[0].FinishReason = &p.finishReason
 	}
 	if j.request.Chat {
 		event.ID, event.Object = "chatcmpl-"+requestID, "chat.completion.chunk"
@@ -130,13 +133,14 @@
 	return event
 }
 
-// whole gives the last piece with all of the answer's text, for one body.
-func (j *modelJob) whole(p piece, text string) completionEvent {
+// completeAnswer returns the body of an answer that is not streamed: the last
+// part with the answer's full text and usage.
+func (j *modelJob) completeAnswer(p answerPart, text string) completionEvent {
 	event := j.event(p)
 	choice := &event.Choices[0]
 	event.Text, choice.Text = text, text
-	event.Tokens = p.offset - j.from
-	event.Usage = &completionUsage{PromptTokens: promptTokens(j.request.Prompt), CompletionTokens: p.offset}
+	event.Tokens = p.offset - j.resumeOffset
+	event.Usage = &completionUsage{PromptTokens: estimatePromptTokens(j.request.Prompt), CompletionTokens: p.offset}
 	if j.request.Chat {
 		event.Object = "chat.completion"
 		choice.Delta, choice.Message = nil, &chatMessage{Role: roleAssistant, Content: text}
--- a/internal/traffic/cancels.go
+++ b/internal/traffic/cancels.go
@@ -9,64 +9,65 @@
 	"goldcrestseam.dev/goldcrestseam/internal/host"
 )
 
-// cancels holds the cancels that wait for their time. One is dropped when the
-// caller goes on with its stream, here or at another entry.
-type cancels struct {
+// cancelScheduler sends delayed cancels to engines. A pending cancel is dropped
+// when the caller resumes its stream, at this or at another entry.
+type cancelScheduler struct {
 	send func(address string, req engineapi.CancelRequest)
 
-	mu      sync.Mutex
-	waiting map[string]*time.Timer
-	// kept holds until when requests are not cancelled that their callers
-	// have gone on with.
-	kept map[string]time.Time
+	mu     sync.Mutex
+	timers map[string]*time.Timer
+	// suppressedUntil holds, per resumed request, the time until which delayed
+	// cancels are ignored.
+	suppressedUntil map[string]time.Time
 }
 
-// keepTime is longer than any cancel waits.
-const keepTime = 10 * time.Second
+// suppressFor is longer than the delay of any cancel, so a cancel that was
+// delayed from before the resume cannot reach the engine.
+const suppressFor = 10 * time.Second
 
-func newCancels(send func(string, engineapi.CancelRequest)) *cancels {
-	return &cancels{send: send, waiting: make(map[string]*time.Timer), kept: make(map[string]time.Time)}
+func newCancelScheduler(send func(string, engineapi.CancelRequest)) *cancelScheduler {
+	return &cancelScheduler{send: send, timers: make(map[string]*time.Timer), suppressedUntil: make(map[string]time.Time)}
 }
 
-func (c *cancels) plan(e entry.Cancel) {
+func (c *cancelScheduler) schedule(e entry.Cancel) {
 	wireID := host.WireIDOf(e.RequestID)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e.Delay > 0 && time.Now().Before(c.kept[wireID]) {
+	if e.Delay > 0 && time.Now().Before(c.suppressedUntil[wireID]) {
 		return
 	}
-	c.stop(wireID)
-	c.waiting[wireID] = time.AfterFunc(e.Delay, func() {
+	c.stopTimer(wireID)
+	c.timers[wireID] = time.AfterFunc(e.Delay, func() {
 		c.fire(wireID, e)
 	})
 }
 
-func (c *cancels) fire(wireID string, e entry.Cancel) {
+func (c *cancelScheduler) fire(wireID string, e entry.Cancel) {
 	c.mu.Lock()
-	delete(c.waiting, wireID)
+	delete(c.timers, wireID)
 	c.mu.Unlock()
 	c.send(e.Address, engineapi.CancelRequest{RequestID: wireID, Attempt: e.Attempt})
 }
 
-// keep drops a cancel that waits, and those planned within keepTime: the
-// caller goes on with its stream.
-func (c *cancels) keep(wireID string) {
+// suppress drops the pending cancel of a request and ignores delayed ones for
+// suppressFor, because the caller has resumed its stream.
+func (c *cancelScheduler) suppress(wireID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stop(wireID)
+	c.stopTimer(wireID)
 	now := time.Now()
-	for id, until := range c.kept {
+	for id, until := range c.suppressedUntil {
 		if now.After(until) {
-			delete(c.kept, id)
+			delete(c.suppressedUntil, id)
 		}
 	}
-	c.kept[wireID] = now.Add(keepTime)
+	c.suppressedUntil[wireID] = now.Add(suppressFor)
 }
 
-// stop must be called with mu held.
-func (c *cancels) stop(wireID string) {
-	if t := c.waiting[wireID]; t != nil {
+// stopTimer drops a pending cancel. The caller must hold mu.
+func (c *cancelScheduler) stopTimer(wireID string) {
+	if t := c.timers[wireID]; t != nil {
 		t.Stop()
-		delete(c.waiting, wireID)
+		delete(c.timers, wireID)
 	}
 }
--- a/internal/traffic/claims.go
+++ b/internal/traffic/claims.go
@@ -10,86 +10,91 @@
 )
 
 const (
-	// claimBatch bounds the claims or settlements of one call to control.
-	claimBatch = 256
-	// claimGather is how long a batch gathers: a fraction of a commit's time.
-	claimGather = time.Millisecond
-	// settleTry bounds one try to hand settlements over.
-	settleTry = time.Second
-	// settleGiveUp is when a settlement is dropped that control does not take.
-	// The claim then ends as unknown, which is safe.
-	settleGiveUp = 10 * time.Minute
-	// maxSettlements bounds settlements that wait for control.
+	// maxClaimBatch bounds the claims or settlements in one call to control.
+	maxClaimBatch = 256
+	// claimBatchDelay is how long claims and settlements are collected before
+	// a batch is sent. It is a fraction of the time of a commit at control.
+	claimBatchDelay = time.Millisecond
+	// settleAttemptTimeout bounds one attempt to deliver settlements.
+	settleAttemptTimeout = time.Second
+	// settlementTimeout is how long a settlement is retried before it is
+	// dropped. The claim then ends with an unknown outcome, which is safe.
+	settlementTimeout = 10 * time.Minute
+	// maxSettlements bounds the queue of settlements.
 	maxSettlements = 10000
 )
 
-// claim is one once-only call's right to run.
+// claim is the right to run one at-most-once call. Control grants it to a
+// single call per idempotency key.
 type claim struct{ pb *pb.Claim }
 
-type waitingClaim struct {
+type pendingClaim struct {
 	ctx    context.Context
 	claim  *claim
 	result chan *pb.ClaimResult
 }
 
-type waitingSettlement struct {
-	pb    *pb.Settlement
-	since time.Time
-	done  chan struct{}
+type pendingSettlement struct {
+	pb       *pb.Settlement
+	queuedAt time.Time
+	done     chan struct{}
 }
 
-// claims hands claims and settlements to control, in batches.
-type claims struct {
-	control *host.ControlClient
-	cluster string
-	wake    chan struct{}
-	wakeSet chan struct{}
-
-	mu       sync.Mutex
-	claims   []*waitingClaim
-	settling []*waitingSettlement
-	// underWay counts settlements that control has not taken yet.
-	underWay int
+// claimClient sends claims and settlements to control in batches.
+type claimClient struct {
+	control         *host.ControlClient
+	cluster         string
+	wakeClaims      chan struct{}
+	wakeSettlements chan struct{}
+
+	mu                 sync.Mutex
+	pendingClaims      []*pendingClaim
+	pendingSettlements []*pendingSettlement
+	// unsettledCount counts queued settlements that are neither accepted by
+	// control nor dropped.
+	unsettledCount int
 }
 
-func newClaims(control *host.ControlClient, cluster string) *claims {
-	return &claims{
+func newClaimClient(control *host.ControlClient, cluster string) *claimClient {
+	return &claimClient{
 		control: control, cluster: cluster,
-		wake: make(chan struct{}, 1), wakeSet: make(chan struct{}, 1),
+		wakeClaims: make(chan struct{}, 1), wakeSettlements: make(chan struct{}, 1),
 	}
 }
 
-// claim waits until control has committed the claim. The same claim is sent
-// again while no answer comes: control grants it again to the same call.
-func (c *claims) claim(ctx context.Context, cl *claim) (*pb.ClaimResult, error) {
-	w := &waitingClaim{ctx: ctx, claim: cl, result: make(chan *pb.ClaimResult, 1)}
+// acquire waits until control has committed the claim and returns the result.
+// The claim is retried while no answer comes; control is idempotent and grants
+// it again to the same call.
+func (c *claimClient) acquire(ctx context.Context, claim *claim) (*pb.ClaimResult, error) {
+	pending := &pendingClaim{ctx: ctx, claim: claim, result: make(chan *pb.ClaimResult, 1)}
 	c.mu.Lock()
-	c.claims = append(c.claims, w)
+	c.pendingClaims = append(c.pendingClaims, pending)
 	c.mu.Unlock()
-	signal(c.wake)
+	signal(c.wakeClaims)
 	select {
-	case r := <-w.result:
+	case r := <-pending.result:
 		return r, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// settle hands over how a claimed call ended, as often as it takes. The channel
-// is closed once control has it.
-func (c *claims) settle(cl *claim, status pb.ClaimStatus, answer *pb.StoredAnswer) <-chan struct{} {
-	w := &waitingSettlement{
-		pb: &pb.Settlement{Claim: cl.pb, Status: status, Answer: answer}, since: time.Now(),
+// settle reports how a claimed call ended, with retries up to
+// settlementTimeout. The channel is closed once control has committed the
+// settlement.
+func (c *claimClient) settle(claim *claim, status pb.ClaimStatus, answer *pb.StoredAnswer) <-chan struct{} {
+	pending := &pendingSettlement{
+		pb: &pb.Settlement{Claim: claim.pb, Status: status, Answer: answer}, queuedAt: time.Now(),
 		done: make(chan struct{}),
 	}
 	c.mu.Lock()
-	if len(c.settling) < maxSettlements {
-		c.settling = append(c.settling, w)
-		c.underWay++
+	if len(c.pendingSettlements) < maxSettlements {
+		c.pendingSettlements = append(c.pendingSettlements, pending)
+		c.unsettledCount++
 	}
 	c.mu.Unlock()
-	signal(c.wakeSet)
-	return w.done
+	signal(c.wakeSettlements)
+	return pending.done
 }
 
 func signal(wake chan struct{}) {
@@ -99,46 +104,49 @@
 	}
 }
 
-// unsettled is how many settlements control has not taken yet.
-func (c *claims) unsettled() int {
+// unsettled returns the number of settlements that are neither accepted by
+// control nor dropped.
+func (c *claimClient) unsettled() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.underWay
+	return c.unsettledCount
 }
 
-// runClaims sends claims until ctx ends, run it with go to have batches side by
-// side.
-func (c *claims) runClaims(ctx context.Context, spawn func(func())) {
+// runClaims sends batches of claims until ctx ends. Each batch is sent in a
+// goroutine of its own, so batches run in parallel.
+func (c *claimClient) runClaims(ctx context.Context, spawn func(func())) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.wake:
+		case <-c.wakeClaims:
 		}
-		host.Pause(ctx, claimGather)
-		for batch := takeBatch(c, &c.claims); len(batch) > 0; batch = takeBatch(c, &c.claims) {
+		host.Pause(ctx, claimBatchDelay)
+		for batch := takeBatch(c, &c.pendingClaims); len(batch) > 0; batch = takeBatch(c, &c.pendingClaims) {
 			spawn(func() { c.sendClaims(ctx, batch) })
 		}
 	}
 }
 
-// takeBatch takes the first claimBatch of what waits in the list.
-func takeBatch[T any](c *claims, list *[]T) []T {
+// takeBatch removes and returns up to maxClaimBatch items from the head of the
+// list.
+func takeBatch[T any](c *claimClient, list *[]T) []T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := min(claimBatch, len(*list))
+	n := min(maxClaimBatch, len(*list))
 	batch := (*list)[:n:n]
 	*list = (*list)[n:]
 	return batch
 }
 
-// sendClaims sends one batch until control answers or no caller waits any more.
-func (c *claims) sendClaims(ctx context.Context, batch []*waitingClaim) {
-	ctx, cancel := context.WithTimeout(ctx, claimWait)
+// sendClaims sends one batch with retries until control answers or claimTimeout
+// expires. After a failure, the claims whose callers still wait are requeued.
+func (c *claimClient) sendClaims(ctx context.Context, batch []*pendingClaim) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	req := &pb.ClaimRequest{ClusterId: c.cluster}
-	for _, w := range batch {
-		req.Claims = append(req.Claims, w.claim.pb)
+	for _, pending := range batch {
+		req.Claims = append(req.Claims, pending.claim.pb)
 	}
 	var resp *pb.ClaimResponse
 	err := c.control.Call(ctx, host.ControlTry, func(ctx context.Context, control pb.Control) error {
@@ -148,59 +156,59 @@
 	})
 	if err != nil || len(resp.Results) != len(batch) {
 		host.Pause(ctx, host.ControlPause)
-		c.askAgain(batch)
+		c.requeue(batch)
 		return
 	}
-	for i, w := range batch {
-		w.result <- resp.Results[i]
+	for i, pending := range batch {
+		pending.result <- resp.Results[i]
 	}
 }
 
-// askAgain puts back the claims whose callers still wait.
-func (c *claims) askAgain(batch []*waitingClaim) {
+// requeue puts the claims whose callers still wait back into the queue.
+func (c *claimClient) requeue(batch []*pendingClaim) {
 	c.mu.Lock()
-	for _, w := range batch {
-		if w.ctx.Err() == nil {
-			c.claims = append(c.claims, w)
+	for _, pending := range batch {
+		if pending.ctx.Err() == nil {
+			c.pendingClaims = append(c.pendingClaims, pending)
 		}
 	}
 	c.mu.Unlock()
-	signal(c.wake)
+	signal(c.wakeClaims)
 }
 
-// runSettlements hands settlements over until ctx ends.
-func (c *claims) runSettlements(ctx context.Context) {
+// runSettlements sends batches of settlements, one at a time, until ctx ends.
+func (c *claimClient) runSettlements(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.wakeSet:
+		case <-c.wakeSettlements:
 		}
-		host.Pause(ctx, claimGather)
-		for batch := takeBatch(c, &c.settling); len(batch) > 0; batch = takeBatch(c, &c.settling) {
+		host.Pause(ctx, claimBatchDelay)
+		for batch := takeBatch(c, &c.pendingSettlements); len(batch) > 0; batch = takeBatch(c, &c.pendingSettlements) {
 			c.sendSettlements(ctx, batch)
 		}
 	}
 }
 
-func (c *claims) sendSettlements(ctx context.Context, batch []*waitingSettlement) {
-	ctx, cancel := context.WithTimeout(ctx, settleGiveUp)
+func (c *claimClient) sendSettlements(ctx context.Context, batch []*pendingSettlement) {
+	ctx, cancel := context.WithTimeout(ctx, settlementTimeout)
 	defer cancel()
 	req := &pb.SettleRequest{ClusterId: c.cluster}
-	for _, w := range batch {
-		req.Settlements = append(req.Settlements, w.pb)
+	for _, pending := range batch {
+		req.Settlements = append(req.Settlements, pending.pb)
 	}
-	err := c.control.Call(ctx, settleTry, func(ctx context.Context, control pb.Control) error {
+	err := c.control.Call(ctx, settleAttemptTimeout, func(ctx context.Context, control pb.Control) error {
 		_, err := control.Settle(ctx, req)
 		return err
 	})
 	c.mu.Lock()
-	c.underWay -= len(batch)
+	c.unsettledCount -= len(batch)
 	c.mu.Unlock()
 	if err != nil {
 		return
 	}
-	for _, w := range batch {
-		close(w.done)
+	for _, pending := range batch {
+		close(pending.done)
 	}
 }
--- a/internal/traffic/completions.go
+++ b/internal/traffic/completions.go
@@ -24,44 +24,46 @@
 )
 
 const (
-	// headWait is how long an answer's head is held back for the first token
-	// or a refusal. After it the stream begins with comments, so that callers
-	// see that the request is under way and vanished callers are noticed.
-	headWait = time.Second
-	// commentEvery is how often a stream without tokens shows that it lives.
-	commentEvery = time.Second
-	// pieceBuffer smooths bursts between engine and caller; a caller that
-	// reads slower than that holds its engine's stream back.
-	pieceBuffer = 32
-	// defaultMaxTokens is used when a caller names none.
+	// maxHeaderDelay is how long a stream's response headers are held back for
+	// the first token or a refusal. After that the stream starts with
+	// comments: callers see that the request is in progress, and the failing
+	// writes reveal callers that have disconnected.
+	maxHeaderDelay = time.Second
+	// keepAliveInterval is how often a stream without tokens sends a comment.
+	keepAliveInterval = time.Second
+	// partBuffer is the number of answer parts buffered between engine and
+	// caller to smooth bursts. When it is full, a slow caller applies
+	// back-pressure to the engine's stream.
+	partBuffer = 32
+	// defaultMaxTokens applies when the request sets no max_tokens.
 	defaultMaxTokens = 256
 )
 
 func (s *Server) postCompletions(c *fiber.Ctx) error {
-	k, refusal := s.readCall(c)
+	call, refusal := s.readCall(c)
 	if refusal != nil {
 		return refusal
 	}
-	req, service, refusal := parseCompletion(k)
+	req, service, refusal := parseCompletion(call)
 	if refusal != nil {
 		return refusal
 	}
-	job := s.newModelJob(k, req, service, engineapi.WireID(k.member.Name, k.requestID, uuid.NewString()[:8]))
+	job := s.newModelJob(call, req, service, engineapi.WireID(call.member.Name, call.requestID, uuid.NewString()[:8]))
 	return s.answerModel(c, job)
 }
 
-// parseCompletion checks the body. A request that is out of bounds never
-// reaches a backend server.
-func parseCompletion(k *call) (*completionRequest, *declaration.Service, *outcome.Refusal) {
+// parseCompletion parses and validates the body. A request that exceeds the
+// profile's limits never reaches a backend server.
+func parseCompletion(call *callerCall) (*completionRequest, *declaration.Service, *outcome.Refusal) {
 	req := &completionRequest{}
-	if err := json.Unmarshal(k.body, req); err != nil {
+	if err := json.Unmarshal(call.body, req); err != nil {
 		return nil, nil, invalid("the body is not the JSON of a completion request")
 	}
-	service, refusal := k.service(req.Model, declaration.KindModel)
+	service, refusal := call.service(req.Model, declaration.KindModel)
 	if refusal != nil {
 		return nil, nil, refusal
 	}
-	profile := k.snap.Declaration.Profile(service.Profile)
+	profile := call.snap.Declaration.Profile(service.Profile)
 	if req.MaxTokens == 0 {
 		req.MaxTokens = min(defaultMaxTokens, profile.MaxOutputTokens)
 	}
@@ -70,7 +72,7 @@
 		return nil, nil, invalid("prompt is missing")
 	case req.MaxTokens < 0 || req.MaxTokens > profile.MaxOutputTokens:
 		return nil, nil, invalid("max_tokens must be 1 to " + strconv.Itoa(profile.MaxOutputTokens))
-	case promptTokens(req.Prompt) > profile.MaxPromptTokens:
+	case estimatePromptTokens(req.Prompt) > profile.MaxPromptTokens:
 		return nil, nil, &outcome.Refusal{
 			Status: http.StatusRequestEntityTooLarge, Code: outcome.CodeTooLarge, Outcome: outcome.NotRun,
 			Message: "the prompt is longer than the profile allows",
@@ -79,62 +81,65 @@
 	return req, service, nil
 }
 
-func promptTokens(prompt string) int { return len(prompt)/engineapi.BytesPerToken + 1 }
+func estimatePromptTokens(prompt string) int { return len(prompt)/engineapi.BytesPerToken + 1 }
 
-// newModelJob puts together what the reducer and the engine need.
-func (s *Server) newModelJob(k *call, req *completionRequest, service *declaration.Service, wireID string) *modelJob {
-	profile := k.snap.Declaration.Profile(service.Profile)
-	salt := cacheSalt(s.host.Settings.Cluster, k.member.Name)
+// newModelJob builds the job of a model request: the reducer's event, the
+// engine's request and the stream record.
+func (s *Server) newModelJob(call *callerCall, req *completionRequest, service *declaration.Service, wireID string) *modelJob {
+	profile := call.snap.Declaration.Profile(service.Profile)
+	salt := cacheSalt(s.host.Settings.Cluster, call.member.Name)
 	now := clock.Boot()
-	seed := fingerprint(k.member.Name, k.requestID)
+	seed := fingerprint(call.member.Name, call.requestID)
 	if req.Seed != nil {
 		seed = *req.Seed
 	}
 	j := &modelJob{
-		s: s, request: req, wireID: wireID, pieces: make(chan piece, pieceBuffer),
+		server: s, request: req, wireID: wireID, parts: make(chan answerPart, partBuffer),
 		arrived: entry.RequestArrived{
 			Work: decision.Work{
-				RequestID: host.NewJobKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
+				RequestID: host.NewJobKey(wireID), Member: call.member.Name, MemberWeight: call.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
 				Class: profile.Class, Kind: declaration.KindModel, Model: service.Model,
-				Adapter: service.Adapter, PromptTokens: promptTokens(req.Prompt),
+				Adapter: service.Adapter, PromptTokens: estimatePromptTokens(req.Prompt),
 				OutputTokens: req.MaxTokens, Prefix: engineapi.PrefixChain(salt, req.Prompt),
 				Arrived: now, FirstTokenBy: now + profile.FirstToken, FinishBy: now + profile.Deadline,
 			},
 			Retry:       entry.RetryResuming,
-			Fingerprint: fingerprint(k.member.Name, service.Name, req.Prompt),
-			Credential:  k.credential, MembersOnly: true,
+			Fingerprint: fingerprint(call.member.Name, service.Name, req.Prompt),
+			Credential:  call.credential, MembersOnly: true,
 			RetryBudget: profile.RetryBudget,
 		},
-		engine: engineapi.CompletionRequest{
+		baseRequest: engineapi.CompletionRequest{
 			RequestID: wireID, Model: service.Model, Adapter: service.Adapter, Prompt: req.Prompt,
-			MaxTokens: req.MaxTokens, Seed: seed, Priority: priority(profile.Class),
+			MaxTokens: req.MaxTokens, Seed: seed, Priority: enginePriority(profile.Class),
 			CacheSalt: salt, Stream: true,
 		},
 	}
 	j.record = newStreamRecord(&pb.StreamRecord{
-		Member: k.member.Name, RequestId: k.requestID, WireId: wireID, Service: service.Name,
-		Owner: s.host.Identity.Name, Body: k.body, CreatedUnixMs: time.Now().UnixMilli(),
+		Member: call.member.Name, RequestId: call.requestID, WireId: wireID, Service: service.Name,
+		Owner: s.host.Identity.Name, Body: call.body, CreatedUnixMs: time.Now().UnixMilli(),
 	})
-	s.records.put(j.record)
+	s.records.addOwn(j.record)
 	return j
 }
 
-// cacheSalt keeps members' prefix caches apart: with a shared cache a member
-// could tell from the time to the first token what another has asked.
+// cacheSalt returns the salt that isolates a member's prefix cache. With a
+// shared cache, a member could infer another member's prompts from the time to
+// first token.
 func cacheSalt(cluster, member string) string {
 	return strconv.FormatUint(fingerprint(cluster, member), 16)
 }
 
-// priority: people who wait go before dossiers.
-func priority(class declaration.Class) int {
+// enginePriority returns the engine's scheduling priority for a class. Urgent
+// requests, for which a person waits, go before all others, such as bulk work.
+func enginePriority(class declaration.Class) int {
 	if class == declaration.ClassUrgent {
 		return 10
 	}
 	return 0
 }
 
-// answerModel drives the job and answers its caller.
+// answerModel runs the job and answers its caller.
 func (s *Server) answerModel(c *fiber.Ctx, j *modelJob) error {
 	ctx, cancel := context.WithCancel(s.host.Background)
 	done := s.jobs.add(j.wireID, cancel)
@@ -142,41 +147,41 @@
 		defer done()
 		defer cancel()
 		j.run(ctx)
-		s.records.ended(j.record, time.Now())
+		s.records.expireOwn(j.record, time.Now())
 	})
 	if !j.request.Stream {
-		return s.answerWhole(c, j)
+		return s.answerInOneBody(c, j)
 	}
 	return s.answerStream(c, j, cancel)
 }
 
-func (s *Server) answerWhole(c *fiber.Ctx, j *modelJob) error {
+func (s *Server) answerInOneBody(c *fiber.Ctx, j *modelJob) error {
 	var text strings.Builder
-	for p := range j.pieces {
+	for p := range j.parts {
 		text.WriteString(p.text)
-		if !p.end {
+		if !p.last {
 			continue
 		}
 		if p.refusal != nil {
 			return p.refusal
 		}
-		s.head(c, outcome.Ran)
-		return c.JSON(j.whole(p, text.String()))
+		s.setCommonHeaders(c, outcome.Ran)
+		return c.JSON(j.completeAnswer(p, text.String()))
 	}
-	return j.handedOn()
+	return j.handOffRefusal()
 }
 
-// handedOn ends a request that this entry lets go of at its stop. One that was
-// never sent to a server is told so.
-func (j *modelJob) handedOn() *outcome.Refusal {
-	refusal := handedOn()
+// handOffRefusal returns the refusal for a request that this entry hands off at
+// its stop. Its outcome is "not run" if no attempt was sent to a server.
+func (j *modelJob) handOffRefusal() *outcome.Refusal {
+	refusal := handOffRefusal()
 	if j.record.neverSent() {
 		refusal.Outcome = outcome.NotRun
 	}
 	return refusal
 }
 
-func handedOn() *outcome.Refusal {
+func handOffRefusal() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: outcome.CodeLeaving, Outcome: outcome.Unknown,
 		Message:    "this entry hands the request on; resume it at another entry with its request id",
@@ -184,59 +189,60 @@
 	}
 }
 
-// answerStream holds the head back until it is known how the answer begins.
-func (s *Server) answerStream(c *fiber.Ctx, j *modelJob, gone context.CancelFunc) error {
-	var first *piece
+// answerStream streams the answer. It holds the response headers back until the
+// first token, a refusal or maxHeaderDelay.
+func (s *Server) answerStream(c *fiber.Ctx, j *modelJob, cancelJob context.CancelFunc) error {
+	var firstPart *answerPart
 	select {
-	case p, ok := <-j.pieces:
+	case p, ok := <-j.parts:
 		if !ok {
-			return j.handedOn()
+			return j.handOffRefusal()
 		}
 		if p.refusal != nil {
 			return p.refusal
 		}
-		first = &p
-	case <-time.After(headWait):
+		firstPart = &p
+	case <-time.After(maxHeaderDelay):
 	}
-	s.peers.await(j.record)
-	s.head(c, outcome.Ran)
+	s.peers.awaitReplication(j.record)
+	s.setCommonHeaders(c, outcome.Ran)
 	c.Set("Content-Type", "text/event-stream")
 	c.Set("Cache-Control", "no-store")
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
-		out := &eventWriter{w: w, job: j}
-		if err := out.relay(first); err != nil {
-			// The caller is gone: the flush failed. The job's end lets the
-			// reducer stop the engine's work.
-			gone()
+		writer := &eventWriter{w: w, job: j}
+		if err := writer.relay(firstPart); err != nil {
+			// The write failed because the caller has disconnected. Ending the
+			// job lets the reducer cancel the engine's work.
+			cancelJob()
 		}
 	})
 	return nil
 }
 
-// eventWriter writes one stream of server-sent events to a caller.
+// eventWriter writes a stream of server-sent events to a caller.
 type eventWriter struct {
 	w   *bufio.Writer
 	job *modelJob
 }
 
-func (e *eventWriter) relay(first *piece) error {
-	comments := time.NewTicker(commentEvery)
-	defer comments.Stop()
-	if first != nil {
-		if done, err := e.piece(*first); done || err != nil {
+func (e *eventWriter) relay(firstPart *answerPart) error {
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
+	if firstPart != nil {
+		if done, err := e.writePart(*firstPart); done || err != nil {
 			return err
 		}
 	}
 	for {
 		select {
-		case p, ok := <-e.job.pieces:
+		case p, ok := <-e.job.parts:
 			if !ok {
-				return e.refusal(e.job.handedOn())
+				return e.writeRefusal(e.job.handOffRefusal())
 			}
-			if done, err := e.piece(p); done || err != nil {
+			if done, err := e.writePart(p); done || err != nil {
 				return err
 			}
-		case <-comments.C:
+		case <-keepAlive.C:
 			if _, err := e.w.WriteString(": waiting\n\n"); err != nil {
 				return err
 			}
@@ -247,14 +253,14 @@
 	}
 }
 
-func (e *eventWriter) piece(p piece) (done bool, err error) {
+func (e *eventWriter) writePart(p answerPart) (done bool, err error) {
 	if p.refusal != nil {
-		return true, e.refusal(p.refusal)
+		return true, e.writeRefusal(p.refusal)
 	}
-	if err := e.event("", p.offset, e.job.event(p)); err != nil {
+	if err := e.writeEvent("", p.offset, e.job.event(p)); err != nil {
 		return true, err
 	}
-	if !p.end {
+	if !p.last {
 		return false, nil
 	}
 	if _, err := e.w.WriteString("data: " + engineapi.DoneMarker + "\n\n"); err != nil {
@@ -263,8 +269,9 @@
 	return true, e.w.Flush()
 }
 
-// refusal ends the stream with an event that tells the outcome and how to go on.
-func (e *eventWriter) refusal(r *outcome.Refusal) error {
+// writeRefusal ends the stream with an error event that carries the outcome
+// and, if a retry makes sense, how to resume.
+func (e *eventWriter) writeRefusal(r *outcome.Refusal) error {
 	_, requestID, _ := engineapi.SplitWireID(e.job.wireID)
 	body := errorEvent{Body: r.Body(requestID)}
 	if r.RetryAfter > 0 {
@@ -274,13 +281,13 @@
 			RetryAfterSeconds: r.RetryAfter.Seconds(),
 		}
 	}
-	return e.event("error", -1, body)
+	return e.writeEvent("error", -1, body)
 }
 
 // errorEvent is the data of an error event.
 type errorEvent struct {
 	outcome.Body
-	// Resume tells how to go on; it is left out when nothing would come of it.
+	// Resume says how to resume; it is omitted when a retry is of no use.
 	Resume *resumeHint `json:"resume,omitempty"`
 }
 
@@ -290,7 +297,7 @@
 	RetryAfterSeconds float64 `json:"retry_after_seconds"`
 }
 
-func (e *eventWriter) event(name string, id int, body any) error {
+func (e *eventWriter) writeEvent(name string, id int, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
--- a/internal/traffic/carryout.go
+++ b/internal/traffic/effects.go
@@ -11,16 +11,16 @@
 	cancelTimeout = time.Second
 )
 
-// carryOut does what the reducer decided beside the requests' own effects. It
-// is called by the control goroutine and must not block it.
-func (s *Server) carryOut(e entry.Effect) {
+// applyEffect executes effects of the reducer that belong to no single request
+// goroutine. The reducer's goroutine calls it, so it must not block.
+func (s *Server) applyEffect(e entry.Effect) {
 	switch e := e.(type) {
 	case entry.Probe:
 		s.host.Spawn(func() { s.probe(e) })
 	case entry.PollCache:
 		s.host.Spawn(func() { s.pollCache(e) })
 	case entry.Cancel:
-		s.cancels.plan(e)
+		s.cancels.schedule(e)
 	}
 }
 
--- a/internal/traffic/entries.go
+++ b/internal/traffic/entries.go
@@ -15,21 +15,23 @@
 )
 
 const (
-	// keepSpread shortens the keep time by up to this share at random: callers
-	// whose answers ran out together would come back together.
-	keepSpread = 0.3
-	// maxName bounds names in announcements.
-	maxName = 128
-	// maxNames bounds lists in announcements.
-	maxNames = 64
-	// maxSlots is more than any engine runs at once.
+	// validityJitter is the largest share by which the validity of an address
+	// answer is shortened at random. Without it, callers whose answers expire
+	// together would all refresh at the same time.
+	validityJitter = 0.3
+	// maxNameBytes bounds the length of names in announcements.
+	maxNameBytes = 128
+	// maxListItems bounds the length of lists in announcements.
+	maxListItems = 64
+	// maxSlots bounds the slots in an announcement. No engine runs as many
+	// requests at once.
 	maxSlots = 1 << 16
 )
 
 // entriesAnswer is the body of GET /v1/entries.
 type entriesAnswer struct {
 	Entries []entryAnswer `json:"entries"`
-	// KeepSeconds is how long the answer may be used.
+	// KeepSeconds is how long the answer may be cached.
 	KeepSeconds float64 `json:"keep_seconds"`
 }
 
@@ -40,8 +42,8 @@
 	Weight     float64 `json:"weight"`
 }
 
-// getEntries tells callers where to connect. They may name their own data
-// centre; else the entry's counts.
+// getEntries returns the entries to which callers should connect. Callers may
+// name their own data centre; the default is the entry's data centre.
 func (s *Server) getEntries(c *fiber.Ctx) error {
 	dataCentre := c.Query("data_centre", s.host.Settings.DataCentre)
 	answer := entriesAnswer{Entries: []entryAnswer{}}
@@ -51,14 +53,14 @@
 			Weight: math.Round(e.Weight*1000) / 1000,
 		})
 	}
-	keep := s.host.Settings.AnswerKeep.Seconds() * (1 - keepSpread*rand.Float64())
-	answer.KeepSeconds = math.Round(keep*10) / 10
-	s.head(c, outcome.Ran)
+	validSeconds := s.host.Settings.AnswerKeep.Seconds() * (1 - validityJitter*rand.Float64())
+	answer.KeepSeconds = math.Round(validSeconds*10) / 10
+	s.setCommonHeaders(c, outcome.Ran)
 	return c.JSON(answer)
 }
 
-// postAnnounce takes a backend server's word. One that is malformed or of
-// another cluster changes nothing.
+// postAnnounce handles the announcement of a backend server. A malformed one,
+// or one for another cluster, has no effect.
 func (s *Server) postAnnounce(c *fiber.Ctx) error {
 	var a engineapi.Announcement
 	decoder := json.NewDecoder(bytes.NewReader(c.Request().Body()))
@@ -76,14 +78,15 @@
 		return invalid(problem)
 	}
 	s.host.Post(entry.Announced{Announcement: a})
-	s.head(c, outcome.Ran)
+	s.setCommonHeaders(c, outcome.Ran)
 	return c.JSON(s.host.Snapshot().AnnounceAnswer(a.ID))
 }
 
-// checkAnnouncement gives what is wrong, or "".
+// checkAnnouncement validates an announcement. It returns a description of the
+// first problem, or "" if there is none.
 func checkAnnouncement(a *engineapi.Announcement) string {
 	for _, name := range []string{a.ID, a.Incarnation, a.DataCentre} {
-		if name == "" || len(name) > maxName {
+		if name == "" || len(name) > maxNameBytes {
 			return "id, incarnation and data_centre must have 1 to 128 bytes"
 		}
 	}
@@ -95,7 +98,7 @@
 	default:
 		return "state must be serving, leaving or changing"
 	}
-	if len(a.Services) > maxNames || len(a.Adapters) > maxNames || a.Slots > maxSlots {
+	if len(a.Services) > maxListItems || len(a.Adapters) > maxListItems || a.Slots > maxSlots {
 		return "too many services, adapters or slots"
 	}
 	return checkKind(a)
--- a/internal/traffic/harness_test.go
+++ b/internal/traffic/harness_test.go
@@ -25,23 +25,24 @@
 )
 
 const (
-	testCluster = "test"
-	testLife    = "life-1"
-	// patience ends a test that hangs; it judges nothing.
-	patience = 20 * time.Second
+	testCluster     = "test"
+	testIncarnation = "life-1"
+	// testTimeout ends a test that hangs. No assertion depends on it.
+	testTimeout = 20 * time.Second
 )
 
-// fakeControl is control in memory: one view, claims that are granted once.
+// fakeControl is an in-memory control with one view. It grants each claim once.
 type fakeControl struct {
 	pb.Control
 	mu      sync.Mutex
 	view    *pb.WatchResponse
 	claims  map[string]*fakeClaim
 	reports []*pb.ReportRequest
-	// silent control answers no poll.
-	silent bool
-	// loseClaims drops the answers of the first claims after granting them.
-	loseClaims int
+	// unresponsive makes polls for the view block without an answer.
+	unresponsive bool
+	// dropClaimAnswers is the number of claim calls whose answers are lost
+	// after the claims were granted.
+	dropClaimAnswers int
 }
 
 type fakeClaim struct {
@@ -52,7 +53,7 @@
 
 func (f *fakeControl) Watch(ctx context.Context, req *pb.WatchRequest) (*pb.WatchResponse, error) {
 	f.mu.Lock()
-	view, silent := f.view, f.silent
+	view, silent := f.view, f.unresponsive
 	f.mu.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -90,8 +91,8 @@
 			resp.Results = append(resp.Results, &pb.ClaimResult{Status: known.status, Answer: known.answer})
 		}
 	}
-	if f.loseClaims > 0 {
-		f.loseClaims--
+	if f.dropClaimAnswers > 0 {
+		f.dropClaimAnswers--
 		return nil, context.DeadlineExceeded
 	}
 	return resp, nil
@@ -117,8 +118,8 @@
 	return pb.ClaimStatus_CLAIM_STATUS_UNSPECIFIED
 }
 
-// addServer makes a new view with one more server.
-func (f *fakeControl) addServer(p *pb.BackendServer) {
+// publishServer publishes a new view with one more server.
+func (f *fakeControl) publishServer(p *pb.BackendServer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view = &pb.WatchResponse{
@@ -137,14 +138,14 @@
 	return list
 }
 
-// bench is one entry between a fake control and fake backend servers.
-type bench struct {
-	t       *testing.T
-	control *fakeControl
-	server  *Server
-	base    string
-	stop    context.CancelFunc
-	ended   chan error
+// fixture runs one entry between a fake control and fake backend servers.
+type fixture struct {
+	t         *testing.T
+	control   *fakeControl
+	server    *Server
+	baseURL   string
+	stop      context.CancelFunc
+	runResult chan error
 }
 
 func testDeclaration() *declaration.Declaration {
@@ -175,26 +176,26 @@
 	}
 }
 
-// newBench starts an entry that routes to the given engine and plain service;
-// either may be nil.
-func newBench(t *testing.T, engine, plain http.Handler) *bench {
+// newFixture starts an entry that routes to the given engine and plain service.
+// Either may be nil.
+func newFixture(t *testing.T, engine, plain http.Handler) *fixture {
 	t.Helper()
 	view := &pb.WatchResponse{Version: 1, Full: true, Revision: 1, LeaseMs: 1500, Objects: testDeclaration().ToProto().Objects}
 	if engine != nil {
 		view.Servers = append(view.Servers, &pb.BackendServer{
 			Id: "engine-1", Kind: pb.ServerKind_SERVER_KIND_MODEL, Model: "review", Role: pb.EngineRole_ENGINE_ROLE_MIXED,
-			Incarnation: testLife, Address: serve(t, engine), State: pb.ServerState_SERVER_STATE_SERVING, Slots: 64, DataCentre: "dc-a",
+			Incarnation: testIncarnation, Address: serve(t, engine), State: pb.ServerState_SERVER_STATE_SERVING, Slots: 64, DataCentre: "dc-a",
 		})
 	}
 	if plain != nil {
 		view.Servers = append(view.Servers, &pb.BackendServer{
 			Id: "plain-1", Kind: pb.ServerKind_SERVER_KIND_PLAIN, Services: []string{"portal"},
-			Incarnation: testLife, Address: serve(t, plain), State: pb.ServerState_SERVER_STATE_SERVING, Slots: 64, DataCentre: "dc-a",
+			Incarnation: testIncarnation, Address: serve(t, plain), State: pb.ServerState_SERVER_STATE_SERVING, Slots: 64, DataCentre: "dc-a",
 		})
 	}
-	b := &bench{t: t, control: &fakeControl{view: view, claims: make(map[string]*fakeClaim)}, ended: make(chan error, 1)}
-	b.start()
-	return b
+	f := &fixture{t: t, control: &fakeControl{view: view, claims: make(map[string]*fakeClaim)}, runResult: make(chan error, 1)}
+	f.start()
+	return f
 }
 
 func serve(t *testing.T, h http.Handler) string {
@@ -203,7 +204,7 @@
 	return s.Listener.Addr().String()
 }
 
-// keyFile gives a file with the shared key of the bench.
+// keyFile creates a file with the shared key and returns its path.
 func keyFile(t *testing.T) string {
 	t.Helper()
 	key := filepath.Join(t.TempDir(), "key")
@@ -213,41 +214,41 @@
 	return key
 }
 
-func (b *bench) start() {
-	b.t.Helper()
-	key := keyFile(b.t)
+func (f *fixture) start() {
+	f.t.Helper()
+	key := keyFile(f.t)
 	set := &settings.Entry{
 		Common: settings.Common{
 			Cluster: testCluster, Name: "entry-a1", Region: "r", DataCentre: "dc-a",
-			Control: []string{serve(b.t, pb.NewControlServer(b.control))}, Auth: settings.Auth{SharedKeyFile: key},
+			Control: []string{serve(f.t, pb.NewControlServer(f.control))}, Auth: settings.Auth{SharedKeyFile: key},
 		},
 		CallerAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", MaxBodyBytes: 1 << 20, MaxStreams: 100,
 		AnswerKeep: 100 * time.Millisecond, StopTimeout: time.Second,
 	}
 	server, err := New(set, slog.New(slog.DiscardHandler))
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.server, b.base = server, "http://"+server.CallerAddress()
+	f.server, f.baseURL = server, "http://"+server.CallerAddress()
 	ctx, stop := context.WithCancel(context.Background())
-	b.stop = stop
-	b.t.Cleanup(stop)
-	go func() { b.ended <- server.Run(ctx) }()
-	b.until("the entry is ready", func() bool { return server.host.Snapshot().Ready() })
+	f.stop = stop
+	f.t.Cleanup(stop)
+	go func() { f.runResult <- server.Run(ctx) }()
+	f.waitFor("the entry is ready", func() bool { return server.host.Snapshot().Ready() })
 }
 
-// until waits for something that must come about.
-func (b *bench) until(what string, done func() bool) {
-	b.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+// waitFor polls until the condition holds and fails the test after testTimeout.
+func (f *fixture) waitFor(what string, done func() bool) {
+	f.t.Helper()
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	b.t.Fatalf("still not: %s", what)
+	f.t.Fatalf("timed out waiting until %s", what)
 }
 
-// answer is a caller's whole answer.
+// answer is a complete answer as the caller receives it.
 type answer struct {
 	status int
 	header http.Header
@@ -266,50 +267,51 @@
 
 type headers map[string]string
 
-func as(member string) headers { return headers{"Authorization": "Bearer token-" + member} }
+func asMember(member string) headers { return headers{"Authorization": "Bearer token-" + member} }
 
 func (h headers) with(name, value string) headers {
 	h[name] = value
 	return h
 }
 
-func (b *bench) request(method, path string, h headers, body string) *http.Response {
-	b.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	b.t.Cleanup(cancel)
-	req, err := http.NewRequestWithContext(ctx, method, b.base+path, bytes.NewBufferString(body))
+func (f *fixture) request(method, path string, h headers, body string) *http.Response {
+	f.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	f.t.Cleanup(cancel)
+	req, err := http.NewRequestWithContext(ctx, method, f.baseURL+path, bytes.NewBufferString(body))
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	for name, value := range h {
 		req.Header.Set(name, value)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.t.Cleanup(func() { _ = resp.Body.Close() })
+	f.t.Cleanup(func() { _ = resp.Body.Close() })
 	return resp
 }
 
-func (b *bench) do(method, path string, h headers, body string) answer {
-	b.t.Helper()
-	resp := b.request(method, path, h, body)
+func (f *fixture) do(method, path string, h headers, body string) answer {
+	f.t.Helper()
+	resp := f.request(method, path, h, body)
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return answer{resp.StatusCode, resp.Header, string(data)}
 }
 
-// ask asks the model service for a stream's text and whether it was whole.
-func (b *bench) ask(h headers, prompt string, tokens int) (text string, whole bool) {
-	b.t.Helper()
+// askStream sends a streaming completion. It returns the text and whether the
+// stream ended with the end marker.
+func (f *fixture) askStream(h headers, prompt string, tokens int) (text string, complete bool) {
+	f.t.Helper()
 	body := fmt.Sprintf(`{"model":"eligibility","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
-	return streamText(b.do("POST", "/v1/completions", h, body).body)
+	return streamText(f.do("POST", "/v1/completions", h, body).body)
 }
 
-func streamText(body string) (text string, whole bool) {
+func streamText(body string) (text string, complete bool) {
 	for _, line := range strings.Split(body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
@@ -326,19 +328,19 @@
 	return text, false
 }
 
-// sse writes chunks as an engine does.
-type sse struct {
+// sseWriter writes chunks as server-sent events, in the format of an engine.
+type sseWriter struct {
 	w       http.ResponseWriter
 	id      string
 	attempt uint32
 }
 
-func newSSE(w http.ResponseWriter, r *http.Request) *sse {
+func newSSEWriter(w http.ResponseWriter, r *http.Request) *sseWriter {
 	var attempt uint32
 	_, _ = fmt.Sscan(r.Header.Get(outcome.HeaderAttempt), &attempt)
 	setServerHeaders(w, r)
 	w.WriteHeader(http.StatusOK)
-	return &sse{w: w, id: r.Header.Get(outcome.HeaderRequestID), attempt: attempt}
+	return &sseWriter{w: w, id: r.Header.Get(outcome.HeaderRequestID), attempt: attempt}
 }
 
 func setServerHeaders(w http.ResponseWriter, r *http.Request) {
@@ -346,19 +348,19 @@
 		w.Header().Set(name, r.Header.Get(name))
 	}
 	w.Header().Set(engineapi.HeaderState, string(engineapi.StateServing))
-	w.Header().Set(engineapi.HeaderIncarnation, testLife)
+	w.Header().Set(engineapi.HeaderIncarnation, testIncarnation)
 }
 
-func (s *sse) chunk(offset int, text, finish string) {
-	s.raw(engineapi.Chunk{
+func (s *sseWriter) writeText(offset int, text, finish string) {
+	s.writeChunk(engineapi.Chunk{
 		RequestID: s.id, Attempt: s.attempt, Offset: offset, Tokens: len(text), Text: text, FinishReason: finish,
 	})
 }
 
-func (s *sse) raw(c engineapi.Chunk) {
+func (s *sseWriter) writeChunk(c engineapi.Chunk) {
 	data, _ := json.Marshal(c)
 	_, _ = fmt.Fprintf(s.w, "id: %d\ndata: %s\n\n", c.Offset+c.Tokens, data)
 	_ = http.NewResponseController(s.w).Flush()
 }
 
-func (s *sse) done() { _, _ = fmt.Fprintf(s.w, "data: %s\n\n", engineapi.DoneMarker) }
+func (s *sseWriter) writeDone() { _, _ = fmt.Fprintf(s.w, "data: %s\n\n", engineapi.DoneMarker) }
--- a/internal/traffic/http.go
+++ b/internal/traffic/http.go
@@ -18,36 +18,38 @@
 )
 
 const (
-	// readTimeout bounds how long a caller may take to send a request: slow
-	// senders must not hold connections.
-	readTimeout = 30 * time.Second
-	// callerIdle closes callers' connections that idle.
-	callerIdle = 60 * time.Second
-	// callerBuffer is the size of a caller connection's buffers: headers that
-	// don't fit are refused.
-	callerBuffer = 16 << 10
-	// readLimitFactor: a body up to this many times the limit is read before
-	// it is refused. The library closes on what is larger without reading it,
-	// and the caller then often sees a reset connection and not the 413.
+	// callerReadTimeout bounds how long a caller may take to send a request, so
+	// that slow senders do not hold connections.
+	callerReadTimeout = 30 * time.Second
+	// callerIdleTimeout is how long a caller's idle connection stays open.
+	callerIdleTimeout = 60 * time.Second
+	// callerBufferBytes is the size of the read buffer of a caller's
+	// connection. Requests whose headers do not fit are refused.
+	callerBufferBytes = 16 << 10
+	// readLimitFactor is the multiple of the body limit up to which a body is
+	// read before it is refused. The library closes the connection on a larger
+	// body without reading it; the caller then often sees a connection reset in
+	// place of the 413.
 	readLimitFactor = 4
 )
 
-// requestIDForm is what a caller may choose as a request id.
-var requestIDForm = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+// requestIDPattern matches the request ids that callers may choose.
+var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 func (s *Server) newApp() *fiber.App {
 	app := fiber.New(fiber.Config{
-		// fiber reuses a request's buffers for the next one. A string kept from
-		// a request would turn into another member's: Immutable copies, and
-		// readCall clones what outlives the handler besides.
+		// fiber reuses a request's buffers for the next request. A string that
+		// still points into them would change to data of another member.
+		// Immutable makes fiber copy its strings; readCall also clones
+		// everything that outlives the handler.
 		Immutable:             true,
 		DisableStartupMessage: true,
 		CaseSensitive:         true,
 		StrictRouting:         true,
 		BodyLimit:             readLimitFactor * s.host.Settings.MaxBodyBytes,
-		ReadBufferSize:        callerBuffer,
-		ReadTimeout:           readTimeout,
-		IdleTimeout:           callerIdle,
+		ReadBufferSize:        callerBufferBytes,
+		ReadTimeout:           callerReadTimeout,
+		IdleTimeout:           callerIdleTimeout,
 		ErrorHandler:          s.httpError,
 		DisableKeepalive:      false,
 	})
@@ -57,19 +59,21 @@
 	app.Post("/v1/completions", s.postCompletions)
 	app.Post("/v1/chat/completions", s.postChat)
 	app.Post("/v1/requests/:id/resume", s.postResume)
-	app.All("/svc/:service/*", s.anyPlain)
+	app.All("/svc/:service/*", s.handlePlain)
 	app.Use(func(*fiber.Ctx) error { return notFound("there is no such path") })
 	return app
 }
 
-// call is what is kept of a caller's request; nothing in it points into
-// fiber's buffers.
-type call struct {
+// callerCall is a copy of a caller's request. Nothing in it points into fiber's
+// buffers.
+type callerCall struct {
 	snap *entry.Snapshot
-	// inForce tells that the view that snap is of counted when the call came.
-	inForce bool
-	member  *declaration.Member
-	// credential is the hash of its token.
+	// viewLeaseValid reports whether the entry's lease on its view of the cluster
+	// was valid when the call arrived. Without a valid lease the view may be
+	// outdated.
+	viewLeaseValid bool
+	member         *declaration.Member
+	// credential is the hash of the bearer token.
 	credential string
 	requestID  string
 	method     string
@@ -79,74 +83,77 @@
 	body       []byte
 }
 
-// forwarded are the request headers that go on to plain services.
-var forwarded = []string{"Content-Type", "Accept", "Accept-Language", "If-None-Match", "If-Modified-Since"}
+// forwardedHeaders are the request headers that are forwarded to plain
+// services.
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", "If-None-Match", "If-Modified-Since"}
 
-// readCall copies the request and finds its member by the credential. The
-// member never comes from the body.
-func (s *Server) readCall(c *fiber.Ctx) (*call, *outcome.Refusal) {
-	inForce := s.host.ViewInForce()
+// readCall copies the request and authenticates its member by the bearer token.
+// The member is never taken from the body.
+func (s *Server) readCall(c *fiber.Ctx) (*callerCall, *outcome.Refusal) {
+	leaseValid := s.host.ViewInForce()
 	snap := s.host.Snapshot()
-	k := &call{
-		snap: snap, inForce: inForce, method: strings.Clone(c.Method()), path: strings.Clone(c.Params("*")),
+	call := &callerCall{
+		snap: snap, viewLeaseValid: leaseValid, method: strings.Clone(c.Method()), path: strings.Clone(c.Params("*")),
 		query: string(c.Request().URI().QueryString()), body: bytes.Clone(c.Request().Body()),
 		headers: make(map[string]string),
 	}
-	for _, name := range append(forwarded, outcome.HeaderIdempotencyKey, "Last-Event-ID") {
+	for _, name := range append(forwardedHeaders, outcome.HeaderIdempotencyKey, "Last-Event-ID") {
 		if v := c.Get(name); v != "" {
-			k.headers[name] = strings.Clone(v)
+			call.headers[name] = strings.Clone(v)
 		}
 	}
-	k.requestID = strings.Clone(c.Get(outcome.HeaderRequestID))
-	if k.requestID == "" {
-		k.requestID = uuid.NewString()
+	call.requestID = strings.Clone(c.Get(outcome.HeaderRequestID))
+	if call.requestID == "" {
+		call.requestID = uuid.NewString()
 	}
-	if !requestIDForm.MatchString(k.requestID) {
-		k.requestID = uuid.NewString()
-		return k, invalid("X-Request-Id must be 1 to 64 letters, digits, dots, dashes or underscores")
+	if !requestIDPattern.MatchString(call.requestID) {
+		call.requestID = uuid.NewString()
+		return call, invalid("X-Request-Id must be 1 to 64 letters, digits, dots, dashes or underscores")
 	}
-	c.Set(outcome.HeaderRequestID, k.requestID)
-	if len(k.body) > s.host.Settings.MaxBodyBytes {
-		k.body = nil
-		return k, &outcome.Refusal{
+	c.Set(outcome.HeaderRequestID, call.requestID)
+	if len(call.body) > s.host.Settings.MaxBodyBytes {
+		call.body = nil
+		return call, &outcome.Refusal{
 			Status: http.StatusRequestEntityTooLarge, Code: outcome.CodeTooLarge, Outcome: outcome.NotRun,
 			Message: "the request is too large",
 		}
 	}
 	if !snap.Ready() {
-		return k, outcome.NoConfiguration()
+		return call, outcome.NoConfiguration()
 	}
 	token, ok := strings.CutPrefix(c.Get("Authorization"), "Bearer ")
 	if ok {
-		k.credential = declaration.HashCredential(token)
-		k.member = snap.Members[k.credential]
+		call.credential = declaration.HashCredential(token)
+		call.member = snap.Members[call.credential]
 	}
-	if k.member == nil {
-		return k, k.byView(&outcome.Refusal{
+	if call.member == nil {
+		return call, call.unlessViewOutdated(&outcome.Refusal{
 			Status: http.StatusUnauthorized, Code: outcome.CodeUnauthenticated, Outcome: outcome.NotRun,
 			Message: "the bearer token is missing or unknown",
 		})
 	}
-	return k, nil
+	return call, nil
 }
 
-// byView gives a refusal that is final by what the view does not hold, or, if the view may
-// have missed a change, one that says so.
-func (k *call) byView(final *outcome.Refusal) *outcome.Refusal {
-	if k.inForce {
+// unlessViewOutdated returns the given final refusal, which rests on something
+// missing from the view. If the view may be outdated, it returns a refusal that
+// says so, because the missing object may have been declared in the meantime.
+func (c *callerCall) unlessViewOutdated(final *outcome.Refusal) *outcome.Refusal {
+	if c.viewLeaseValid {
 		return final
 	}
 	return outcome.OutdatedView()
 }
 
-// service gives the service that the member may call.
-func (k *call) service(name, kind string) (*declaration.Service, *outcome.Refusal) {
-	service := k.snap.Declaration.Service(name)
+// service returns the named service if it exists, is of the given kind and may
+// be called by the member.
+func (c *callerCall) service(name, kind string) (*declaration.Service, *outcome.Refusal) {
+	service := c.snap.Declaration.Service(name)
 	if service == nil || service.Kind != kind {
-		return nil, k.byView(notFound("there is no such service"))
+		return nil, c.unlessViewOutdated(notFound("there is no such service"))
 	}
-	if !k.member.Allows(name) {
-		return nil, k.byView(&outcome.Refusal{
+	if !c.member.Allows(name) {
+		return nil, c.unlessViewOutdated(&outcome.Refusal{
 			Status: http.StatusForbidden, Code: outcome.CodeForbidden, Outcome: outcome.NotRun,
 			Message: "this member may not call the service",
 		})
@@ -166,17 +173,17 @@
 	}
 }
 
-// httpError answers what handlers and the HTTP library refuse.
+// httpError writes the answer for an error of a handler or of the HTTP library.
 func (s *Server) httpError(c *fiber.Ctx, err error) error {
 	var refusal *outcome.Refusal
 	if errors.As(err, &refusal) {
 		return s.sendRefusal(c, refusal)
 	}
 	refusal = invalid("the request can't be read")
-	var fe *fiber.Error
-	if errors.As(err, &fe) {
-		refusal.Status = fe.Code
-		switch fe.Code {
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		refusal.Status = fiberErr.Code
+		switch fiberErr.Code {
 		case http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
 			refusal.Code, refusal.Message = outcome.CodeTooLarge, "the request is too large"
 		case http.StatusNotFound, http.StatusMethodNotAllowed:
@@ -186,9 +193,9 @@
 	return s.sendRefusal(c, refusal)
 }
 
-// sendRefusal writes the error body and the headers that go with it.
+// sendRefusal writes a refusal's status, headers and error body.
 func (s *Server) sendRefusal(c *fiber.Ctx, refusal *outcome.Refusal) error {
-	s.head(c, refusal.Outcome)
+	s.setCommonHeaders(c, refusal.Outcome)
 	if refusal.RetryAfter > 0 {
 		c.Set(outcome.HeaderRetryAfter, refusal.RetryAfterSeconds())
 	}
@@ -196,8 +203,9 @@
 	return c.Status(refusal.Status).JSON(refusal.Body(id))
 }
 
-// head sets the headers that every answer carries.
-func (s *Server) head(c *fiber.Ctx, o outcome.Outcome) {
+// setCommonHeaders sets the headers that every answer carries. A leaving entry
+// also closes the connection.
+func (s *Server) setCommonHeaders(c *fiber.Ctx, o outcome.Outcome) {
 	c.Set(outcome.HeaderOutcome, string(o))
 	c.Set(outcome.HeaderEntry, s.host.Identity.Name)
 	if s.host.Snapshot().Leaving {
@@ -207,7 +215,7 @@
 
 func (s *Server) getHealth(c *fiber.Ctx) error {
 	snap := s.host.Snapshot()
-	s.head(c, outcome.Ran)
+	s.setCommonHeaders(c, outcome.Ran)
 	status := http.StatusOK
 	if !snap.Ready() || snap.Leaving {
 		status = http.StatusServiceUnavailable
--- a/internal/traffic/jobs.go
+++ b/internal/traffic/jobs.go
@@ -5,9 +5,10 @@
 	"sync"
 )
 
-// jobs knows the model requests that this entry drives, so that a caller that
-// comes back takes its request over from the connection that it lost.
-type jobs struct {
+// jobRegistry tracks the model requests that run at this entry. When a caller
+// resumes a request, the job that still serves its broken connection is
+// cancelled through it.
+type jobRegistry struct {
 	mu   sync.Mutex
 	byID map[string]*runningJob
 }
@@ -17,38 +18,40 @@
 	done   chan struct{}
 }
 
-func newJobs() *jobs { return &jobs{byID: make(map[string]*runningJob)} }
+func newJobRegistry() *jobRegistry { return &jobRegistry{byID: make(map[string]*runningJob)} }
 
-// add notes a job and gives what its goroutine must call at its end.
-func (j *jobs) add(wireID string, cancel context.CancelFunc) func() {
+// add registers a job. The job's goroutine must call the returned function when
+// it ends.
+func (r *jobRegistry) add(wireID string, cancel context.CancelFunc) func() {
 	job := &runningJob{cancel: cancel, done: make(chan struct{})}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.byID[wireID] = job
-	return func() { j.remove(wireID, job) }
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.byID[wireID] = job
+	return func() { r.remove(wireID, job) }
 }
 
-func (j *jobs) remove(wireID string, job *runningJob) {
+func (r *jobRegistry) remove(wireID string, job *runningJob) {
 	close(job.done)
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.byID[wireID] == job {
-		delete(j.byID, wireID)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.byID[wireID] == job {
+		delete(r.byID, wireID)
 	}
 }
 
-// runs tells whether this entry runs the request.
-func (j *jobs) runs(wireID string) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.byID[wireID] != nil
+// isRunning reports whether the request runs at this entry.
+func (r *jobRegistry) isRunning(wireID string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.byID[wireID] != nil
 }
 
-// takeOver ends the job if this entry runs it and waits until it has ended.
-func (j *jobs) takeOver(ctx context.Context, wireID string) {
-	j.mu.Lock()
-	job := j.byID[wireID]
-	j.mu.Unlock()
+// cancelAndWait cancels the request's job, if it runs at this entry, and waits
+// until it has ended.
+func (r *jobRegistry) cancelAndWait(ctx context.Context, wireID string) {
+	r.mu.Lock()
+	job := r.byID[wireID]
+	r.mu.Unlock()
 	if job == nil {
 		return
 	}
@@ -59,17 +62,17 @@
 	}
 }
 
-// cancelAll ends all jobs, for the end of a planned stop.
-func (j *jobs) cancelAll() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, job := range j.byID {
+// cancelAll cancels all jobs, at the end of a planned stop.
+func (r *jobRegistry) cancelAll() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, job := range r.byID {
 		job.cancel()
 	}
 }
 
-func (j *jobs) count() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return len(j.byID)
+func (r *jobRegistry) count() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.byID)
 }
--- a/internal/traffic/model.go
+++ b/internal/traffic/model.go
@@ -15,237 +15,251 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// piece is a part of an answer on its way to the caller, or its end.
-type piece struct {
-	// offset is the offset after it.
-	offset int
-	tokens int
-	text   string
-	finish string
-	// end is set on the last one; refusal then says why it is not whole.
-	end     bool
+// answerPart is a part of an answer on its way to the caller, or the answer's
+// end.
+type answerPart struct {
+	// offset is the number of tokens of the answer up to the end of this part.
+	offset       int
+	tokens       int
+	text         string
+	finishReason string
+	// last is set on the final part. refusal is then set if the answer is
+	// incomplete.
+	last    bool
 	refusal *outcome.Refusal
 }
 
-// modelJob is one model request as its goroutine drives it.
+// modelJob is a model request with the state that its goroutine keeps.
 type modelJob struct {
-	s       *Server
-	request *completionRequest
-	wireID  string
-	arrived entry.RequestArrived
-	engine  engineapi.CompletionRequest
-	record  *streamRecord
-	pieces  chan piece
-	// text and offset are what the caller has; from is where it began here.
-	text   []byte
-	from   int
-	offset int
-	finish string
-	// lacksText tells that the text before offset is not known; known is the
-	// part that is.
-	lacksText bool
-	known     knownText
+	server      *Server
+	request     *completionRequest
+	wireID      string
+	arrived     entry.RequestArrived
+	baseRequest engineapi.CompletionRequest
+	record      *streamRecord
+	parts       chan answerPart
+	// text and offset are the answer that the caller has: its text and its
+	// number of tokens. resumeOffset is the offset at which the request was
+	// resumed at this entry, or 0.
+	text         []byte
+	resumeOffset int
+	offset       int
+	finishReason string
+	// textIncomplete is set when the text before offset is not fully known.
+	// knownPrefix is then the part that is known.
+	textIncomplete bool
+	knownPrefix    textPrefix
 }
 
-// errCallerGone ends a job whose caller takes no more.
-var errCallerGone = errors.New("caller gone")
+// errCallerDisconnected ends a job whose caller no longer reads.
+var errCallerDisconnected = errors.New("caller gone")
 
-// run drives the request until its final effect and ends with a last piece.
+// run processes the reducer's effects up to the final one. The last part that
+// it sends ends the answer; if ctx ends first, the parts channel is closed
+// without one.
 func (j *modelJob) run(ctx context.Context) {
 	key := j.arrived.Work.RequestID
-	box := j.s.host.Open(key)
-	defer j.s.host.Close(key)
-	defer close(j.pieces)
-	j.s.host.Post(j.arrived)
+	effects := j.server.host.Open(key)
+	defer j.server.host.Close(key)
+	defer close(j.parts)
+	j.server.host.Post(j.arrived)
 	for {
 		select {
 		case <-ctx.Done():
-			j.s.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
+			j.server.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
 			return
-		case e := <-box:
-			if j.take(ctx, e) {
+		case e := <-effects:
+			if j.applyEffect(ctx, e) {
 				return
 			}
 		}
 	}
 }
 
-// take carries out one effect; true after the final one.
-func (j *modelJob) take(ctx context.Context, e entry.Effect) bool {
+// applyEffect executes one effect. It returns true if the job has ended.
+func (j *modelJob) applyEffect(ctx context.Context, e entry.Effect) bool {
 	switch e := e.(type) {
 	case entry.Dispatch:
-		ended, err := j.attempt(ctx, e)
-		if errors.Is(err, errCallerGone) {
-			j.s.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
+		result, err := j.runAttempt(ctx, e)
+		if errors.Is(err, errCallerDisconnected) {
+			j.server.host.Post(entry.CallerDisconnected{RequestID: j.arrived.Work.RequestID})
 			return true
 		}
-		if ended.Complete {
-			j.finished()
+		if result.Complete {
+			j.recordFinished()
 		}
-		j.s.host.Post(ended)
+		j.server.host.Post(result)
 		return false
 	case entry.Refuse:
-		_ = j.send(ctx, piece{offset: j.offset, end: true, refusal: e.Refusal})
+		_ = j.sendPart(ctx, answerPart{offset: j.offset, last: true, refusal: e.Refusal})
 		return true
 	default:
-		_ = j.send(ctx, piece{offset: j.offset, end: true, finish: j.finish})
+		_ = j.sendPart(ctx, answerPart{offset: j.offset, last: true, finishReason: j.finishReason})
 		return true
 	}
 }
 
-// send hands a piece to the caller's side; errCallerGone when nobody takes it.
-func (j *modelJob) send(ctx context.Context, p piece) error {
+// sendPart passes a part to the caller's side. It returns errCallerDisconnected
+// if ctx ends first.
+func (j *modelJob) sendPart(ctx context.Context, p answerPart) error {
 	select {
-	case j.pieces <- p:
+	case j.parts <- p:
 		return nil
 	case <-ctx.Done():
-		return errCallerGone
+		return errCallerDisconnected
 	}
 }
 
-// attempt runs the request at one server and tells how that ended.
-func (j *modelJob) attempt(ctx context.Context, d entry.Dispatch) (entry.AttemptEnded, error) {
-	began := time.Now()
-	a := &modelAttempt{modelJob: j, d: d, began: began, start: j.offset}
-	a.ended = entry.AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Outcome: outcome.NotRun}
-	j.record.dispatched(d)
-	j.s.peers.begin(j.record)
+// runAttempt runs the request at one server and returns the result for the
+// reducer.
+func (j *modelJob) runAttempt(ctx context.Context, dispatch entry.Dispatch) (entry.AttemptEnded, error) {
+	startedAt := time.Now()
+	a := &modelAttempt{modelJob: j, dispatch: dispatch, startedAt: startedAt, startOffset: j.offset}
+	a.result = entry.AttemptEnded{RequestID: dispatch.RequestID, Attempt: dispatch.Attempt, Outcome: outcome.NotRun}
+	j.record.setDispatched(dispatch)
+	j.server.peers.startReplication(j.record)
 	err := a.run(ctx)
-	a.ended.Tokens = j.offset - a.start
-	a.ended.Elapsed = time.Since(began)
-	if a.first > 0 {
-		a.ended.FirstToken, a.ended.Decode = a.first, a.ended.Elapsed-a.first
+	a.result.Tokens = j.offset - a.startOffset
+	a.result.Elapsed = time.Since(startedAt)
+	if a.timeToFirstToken > 0 {
+		a.result.FirstToken, a.result.Decode = a.timeToFirstToken, a.result.Elapsed-a.timeToFirstToken
 	}
-	return a.ended, err
+	return a.result, err
 }
 
-// modelAttempt is one attempt at one server.
+// modelAttempt is one attempt of a model request at one server.
 type modelAttempt struct {
 	*modelJob
-	d     entry.Dispatch
-	began time.Time
-	start int
-	first time.Duration
-	ended entry.AttemptEnded
+	dispatch         entry.Dispatch
+	startedAt        time.Time
+	startOffset      int
+	timeToFirstToken time.Duration
+	result           entry.AttemptEnded
 }
 
 func (a *modelAttempt) run(ctx context.Context) error {
-	if a.offset >= a.engine.MaxTokens {
-		// The connection broke between the last token and the end marker.
-		a.finish, a.ended.Complete, a.ended.Outcome = finishLength, true, outcome.Ran
+	if a.offset >= a.baseRequest.MaxTokens {
+		// All tokens have arrived; the previous connection broke before the end
+		// marker.
+		a.finishReason, a.result.Complete, a.result.Outcome = finishLength, true, outcome.Ran
 		return nil
 	}
-	if a.lacksText && !a.d.Reconnect {
+	if a.textIncomplete && !a.dispatch.Reconnect {
 		return a.regenerate(ctx)
 	}
-	handle, err := a.prefill(ctx)
+	handle, err := a.runPrefill(ctx)
 	if err != nil {
 		return err
 	}
-	if a.ended.AtPrefillServer || a.ended.Complete {
+	if a.result.AtPrefillServer || a.result.Complete {
 		return nil
 	}
-	stream, err := a.open(handle)
+	stream, err := a.openStream(handle)
 	if err != nil {
-		a.failed(err)
+		a.recordFailure(err)
 		return nil
 	}
 	defer stream.close()
-	if !a.accepted(stream, a.d.Server, a.d.Incarnation) {
+	if !a.checkAccepted(stream, a.dispatch.Server, a.dispatch.Incarnation) {
 		return nil
 	}
-	return a.relay(ctx, stream)
+	return a.relayTokens(ctx, stream)
 }
 
-func (a *modelAttempt) open(kvHandle string) (*engineStream, error) {
-	if a.d.Reconnect {
-		return a.s.engines.rejoinStream(a.d.Address, a.wireID, a.d.EngineAttempt, a.offset)
+func (a *modelAttempt) openStream(kvHandle string) (*engineStream, error) {
+	if a.dispatch.Reconnect {
+		return a.server.engines.reconnectStream(a.dispatch.Address, a.wireID, a.dispatch.EngineAttempt, a.offset)
 	}
-	req := a.engineRequest(a.d.EngineAttempt)
+	req := a.engineRequest(a.dispatch.EngineAttempt)
 	req.KVHandle = kvHandle
-	return a.s.engines.openStream(a.d.Address, req)
+	return a.server.engines.openStream(a.dispatch.Address, req)
 }
 
-// engineRequest is what the engine is asked: to go on from what the caller has.
+// engineRequest returns the engine's request, which continues after the text
+// that the caller has.
 func (a *modelAttempt) engineRequest(attempt uint32) engineapi.CompletionRequest {
-	req := a.engine
+	req := a.baseRequest
 	req.Attempt = attempt
 	req.GeneratedText, req.GeneratedTokens = string(a.text), a.offset
 	return req
 }
 
-// failed notes how a connection failed. A connection that could not be opened
-// has sent nothing; one that is refused tells that the process is gone.
-func (a *modelAttempt) failed(err error) {
-	a.ended.ServerDied = errorx.IsOfType(err, httpconn.Refused) || (a.d.Reconnect && httpconn.Gone(err))
-	if errorx.IsOfType(err, httpconn.NotSent) && !a.d.Reconnect {
+// recordFailure records why a connection failed. If it could not be opened,
+// nothing was sent. If it was refused, the server's process is gone.
+func (a *modelAttempt) recordFailure(err error) {
+	a.result.ServerDied = errorx.IsOfType(err, httpconn.Refused) || (a.dispatch.Reconnect && httpconn.Gone(err))
+	if errorx.IsOfType(err, httpconn.NotSent) && !a.dispatch.Reconnect {
 		return
 	}
-	a.ended.Outcome = outcome.Unknown
+	a.result.Outcome = outcome.Unknown
 }
 
-// accepted reads the answer's head; false when the server does not run it.
-func (a *modelAttempt) accepted(stream *engineStream, server, incarnation string) bool {
-	a.s.heard(server, incarnation, stream.said)
+// checkAccepted evaluates the response status and headers. It returns false if
+// the server does not run the request.
+func (a *modelAttempt) checkAccepted(stream *engineStream, server, incarnation string) bool {
+	a.server.reportServerStatus(server, incarnation, stream.serverStatus)
 	switch {
-	case stream.said.incarnation != "" && stream.said.incarnation != incarnation:
-		// Another life of the server: what ran in the old one is gone.
-		a.ended.ServerDied, a.ended.StreamUnknown = a.d.Reconnect, true
-		a.ended.Outcome = outcome.Unknown
+	case stream.serverStatus.incarnation != "" && stream.serverStatus.incarnation != incarnation:
+		// The server has restarted: the new incarnation knows nothing of
+		// requests that ran in the old one.
+		a.result.ServerDied, a.result.StreamUnknown = a.dispatch.Reconnect, true
+		a.result.Outcome = outcome.Unknown
 	case stream.status == fasthttp.StatusOK:
 		return true
-	case stream.status == fasthttp.StatusConflict, stream.status == fasthttp.StatusTooManyRequests, stream.said.notStarted:
-		a.ended.Outcome = outcome.NotRun
-	case stream.status == fasthttp.StatusNotFound && a.d.Reconnect:
-		a.ended.StreamUnknown, a.ended.Outcome = true, outcome.Unknown
+	case stream.status == fasthttp.StatusConflict, stream.status == fasthttp.StatusTooManyRequests, stream.serverStatus.notStarted:
+		a.result.Outcome = outcome.NotRun
+	case stream.status == fasthttp.StatusNotFound && a.dispatch.Reconnect:
+		a.result.StreamUnknown, a.result.Outcome = true, outcome.Unknown
 	case stream.status < fasthttp.StatusInternalServerError:
-		a.ended.Invalid = true
+		a.result.Invalid = true
 	default:
-		a.ended.Outcome = outcome.Unknown
+		a.result.Outcome = outcome.Unknown
 	}
 	return false
 }
 
-// relay hands the stream's tokens on until its end or its failure.
-func (a *modelAttempt) relay(ctx context.Context, stream *engineStream) error {
-	a.ended.Outcome = outcome.Unknown
-	a.s.host.Post(entry.AttemptProgress{RequestID: a.d.RequestID, Attempt: a.d.Attempt})
-	finish := ""
+// relayTokens passes the stream's tokens to the caller until the stream ends or
+// breaks.
+func (a *modelAttempt) relayTokens(ctx context.Context, stream *engineStream) error {
+	a.result.Outcome = outcome.Unknown
+	a.server.host.Post(entry.AttemptProgress{RequestID: a.dispatch.RequestID, Attempt: a.dispatch.Attempt})
+	finishReason := ""
 	for {
 		if ctx.Err() != nil {
-			return errCallerGone
+			return errCallerDisconnected
 		}
 		chunk, done, err := stream.next()
 		if err != nil {
-			a.s.host.Log.Info("stream broke", "request_id", a.wireID, "server", a.d.Server, "error", err.Error())
+			a.server.host.Log.Info("engine stream failed before its end marker", "request_id", a.wireID, "server", a.dispatch.Server, "error", err.Error())
 			return nil
 		}
 		if done {
-			a.ended.Complete = finish != ""
-			a.finish, a.ended.Outcome = finish, outcome.Ran
+			a.result.Complete = finishReason != ""
+			a.finishReason, a.result.Outcome = finishReason, outcome.Ran
 			return nil
 		}
-		fresh, ok := a.joins(chunk)
+		isNew, ok := a.checkContinuity(chunk)
 		if !ok {
 			return nil
 		}
 		if chunk.FinishReason != "" {
-			finish = chunk.FinishReason
+			finishReason = chunk.FinishReason
 		}
-		if !fresh {
+		if !isNew {
 			continue
 		}
-		if err := a.hand(ctx, chunk); err != nil {
+		if err := a.forward(ctx, chunk); err != nil {
 			return err
 		}
 	}
 }
 
-// joins checks that a chunk goes on where the answer stands. One that the
-// caller has already is left out; a gap, or a chunk that overlaps, breaks the
-// attempt, and a fresh connection asks for what is missing from the offset on.
-// Otherwise a lost or doubled chunk would go unseen into the caller's text.
-func (a *modelAttempt) joins(chunk engineapi.Chunk) (fresh, ok bool) {
+// checkContinuity checks that a chunk starts at the current offset of the
+// answer. A chunk that the caller already has is skipped (isNew is false). A
+// gap or a partial overlap fails the attempt (ok is false); the next attempt
+// asks for the missing tokens by offset. Without the check, a lost or duplicate
+// chunk would corrupt the caller's text unnoticed.
+func (a *modelAttempt) checkContinuity(chunk engineapi.Chunk) (isNew, ok bool) {
 	switch {
 	case chunk.Heartbeat || chunk.Tokens == 0:
 		return false, true
@@ -258,32 +272,33 @@
 	}
 }
 
-func (a *modelAttempt) hand(ctx context.Context, chunk engineapi.Chunk) error {
-	if a.first == 0 {
-		a.first = time.Since(a.began)
+func (a *modelAttempt) forward(ctx context.Context, chunk engineapi.Chunk) error {
+	if a.timeToFirstToken == 0 {
+		a.timeToFirstToken = time.Since(a.startedAt)
 	}
 	a.offset += chunk.Tokens
 	a.text = append(a.text, chunk.Text...)
-	a.noteProgress()
-	a.s.host.Post(entry.AttemptProgress{RequestID: a.d.RequestID, Attempt: a.d.Attempt, Tokens: a.offset - a.start})
-	return a.send(ctx, piece{offset: a.offset, tokens: chunk.Tokens, text: chunk.Text})
+	a.recordProgress()
+	a.server.host.Post(entry.AttemptProgress{RequestID: a.dispatch.RequestID, Attempt: a.dispatch.Attempt, Tokens: a.offset - a.startOffset})
+	return a.sendPart(ctx, answerPart{offset: a.offset, tokens: chunk.Tokens, text: chunk.Text})
 }
 
-// noteProgress keeps in the record only text that is known from the start on:
-// another entry goes on from it.
-func (j *modelJob) noteProgress() {
-	if !j.lacksText {
-		j.record.progress(j.text, j.offset)
+// recordProgress updates the stream record, from which another entry may
+// resume. It does so only while the text is known from the start.
+func (j *modelJob) recordProgress() {
+	if !j.textIncomplete {
+		j.record.setProgress(j.text, j.offset)
 	}
 }
 
-func (j *modelJob) finished() {
-	if !j.lacksText {
-		j.record.finish(j.text, j.offset)
+func (j *modelJob) recordFinished() {
+	if !j.textIncomplete {
+		j.record.setFinished(j.text, j.offset)
 	}
 }
 
-// fingerprint names content under its member.
+// fingerprint hashes its parts, separated so that they cannot run together.
+// Where members must not share a fingerprint, the member's name is a part.
 func fingerprint(parts ...string) uint64 {
 	h := xxhash.New()
 	for _, p := range parts {
--- a/internal/traffic/once.go
+++ b/internal/traffic/once.go
@@ -14,83 +14,89 @@
 )
 
 const (
-	// claimWait bounds the wait for a claim: a change of control's leader fits
-	// in. After it the caller is told to repeat under its key.
-	claimWait = 3 * time.Second
-	// settleWait is how long an answer waits for its settlement to be
-	// committed. A caller that repeats at once then gets the stored answer;
-	// after it the settlement goes on in the background.
-	settleWait = 300 * time.Millisecond
-	// uuidVersion: a version 7 UUID carries the time of its making.
+	// claimTimeout bounds the wait for a claim. It is longer than a leader
+	// change at control. After it the caller is told to repeat the call under
+	// the same key.
+	claimTimeout = 3 * time.Second
+	// answerSettleWait is how long an answer is held back until its settlement
+	// is committed. A caller that repeats the call right after the answer then
+	// gets the stored answer. After the wait the settlement continues in the
+	// background.
+	answerSettleWait = 300 * time.Millisecond
+	// uuidVersion is the required version of idempotency keys. A version 7 UUID
+	// carries its creation time.
 	uuidVersion = 7
 )
 
-// answerOnce runs a call at most once per key.
+// answerAtMostOnce runs a call at most once per idempotency key.
 //
-// For these calls the outcome on an answer speaks of the key and not of this
-// one send: "not run" means that no call under the key has run.
-func (s *Server) answerOnce(c *fiber.Ctx, j *plainJob) error {
-	key, refusal := onceKey(j.call)
+// For these calls the outcome in an answer refers to the key and not to this
+// request alone: "not run" means that no call under the key has run.
+func (s *Server) answerAtMostOnce(c *fiber.Ctx, j *plainJob) error {
+	key, refusal := idempotencyKey(j.call)
 	if refusal != nil {
 		return refusal
 	}
 	j.arrived.Retry = entry.RetryNever
 	j.claim = s.newClaim(j, key)
-	ctx, cancel := context.WithTimeout(s.host.Background, claimWait)
+	ctx, cancel := context.WithTimeout(s.host.Background, claimTimeout)
 	defer cancel()
-	result, err := s.claims.claim(ctx, j.claim)
+	result, err := s.claims.acquire(ctx, j.claim)
 	if err != nil {
-		s.host.Spawn(func() { s.giveBack(j.claim) })
-		return refuseNoControl()
+		s.host.Spawn(func() { s.releaseClaim(j.claim) })
+		return refuseControlUnreachable()
 	}
 	if result.Status != pb.ClaimStatus_CLAIM_STATUS_GRANTED {
-		return s.answerTaken(c, result)
+		return s.answerClaimed(c, result)
 	}
 	return s.runClaimed(c, j)
 }
 
-// giveBack settles a claim as not run that may yet be granted after this call
-// was given up: without it the key would stay taken for as long as the entry
-// lives. Control grants the same claim again, so that asking once more tells.
-func (s *Server) giveBack(c *claim) {
-	ctx, cancel := context.WithTimeout(s.host.Background, settleGiveUp)
+// releaseClaim settles a claim as not run if control granted it after the call
+// had timed out. Otherwise the key would stay claimed for as long as the entry
+// lives. Control grants the same claim again, so sending it once more reveals
+// whether it was granted.
+func (s *Server) releaseClaim(claim *claim) {
+	ctx, cancel := context.WithTimeout(s.host.Background, settlementTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		result, err := s.claims.claim(ctx, c)
+		result, err := s.claims.acquire(ctx, claim)
 		if err != nil {
 			continue
 		}
 		if result.Status == pb.ClaimStatus_CLAIM_STATUS_GRANTED {
-			s.claims.settle(c, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, nil)
+			s.claims.settle(claim, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN, nil)
 		}
 		return
 	}
 }
 
-// onceKey gives the key in its canonical form, so that one key in two
-// spellings is one claim.
-func onceKey(k *call) (string, *outcome.Refusal) {
-	id, err := uuid.Parse(k.headers[outcome.HeaderIdempotencyKey])
+// idempotencyKey returns the key in canonical form, so that two spellings of
+// one key lead to the same claim.
+func idempotencyKey(call *callerCall) (string, *outcome.Refusal) {
+	id, err := uuid.Parse(call.headers[outcome.HeaderIdempotencyKey])
 	if err != nil || id.Version() != uuidVersion {
 		return "", invalid("this route runs at most once and needs an Idempotency-Key that is a version 7 UUID")
 	}
 	return id.String(), nil
 }
 
-// newClaim names this one call by an id of its own. The caller's request id
-// won't do: control grants a claim again to the same owner and request id
-// (the answer may have been lost), and a caller that repeats its call with the
-// same request id would be granted a second run.
+// newClaim returns a claim with a request id that is unique to this call. The
+// caller's request id must not be used: control grants a claim again to the
+// same owner and request id, since the answer to the first grant may have been
+// lost. A caller that repeats its call under the same request id would then be
+// granted a second run.
 func (s *Server) newClaim(j *plainJob, key string) *claim {
-	k := j.call
+	call := j.call
 	return &claim{pb: &pb.Claim{
-		Member: k.member.Name, Service: j.arrived.Work.Service, Key: key,
+		Member: call.member.Name, Service: j.arrived.Work.Service, Key: key,
 		RequestId: uuid.NewString(), Owner: s.host.Identity,
-		Fingerprint: fingerprint(k.method, j.uri, string(k.body)),
+		Fingerprint: fingerprint(call.method, j.uri, string(call.body)),
 	}}
 }
 
-// runClaimed sends a granted call and settles the claim by what came of it.
+// runClaimed runs a call whose claim was granted, and settles the claim with
+// the result.
 func (s *Server) runClaimed(c *fiber.Ctx, j *plainJob) error {
 	refusal := j.run(s.host.Background)
 	status, stored := pb.ClaimStatus_CLAIM_STATUS_DONE, (*pb.StoredAnswer)(nil)
@@ -105,12 +111,12 @@
 	settled := s.claims.settle(j.claim, status, stored)
 	select {
 	case <-settled:
-	case <-time.After(settleWait):
+	case <-time.After(answerSettleWait):
 	}
 	if refusal != nil {
 		return refusal
 	}
-	return s.sendPlain(c, j.answer)
+	return s.writePlainAnswer(c, j.answer)
 }
 
 func (s *Server) storedAnswer(j *plainJob) *pb.StoredAnswer {
@@ -121,17 +127,17 @@
 	return a
 }
 
-// answerTaken answers a call whose key was claimed before.
-func (s *Server) answerTaken(c *fiber.Ctx, r *pb.ClaimResult) error {
+// answerClaimed answers a call whose key was already claimed.
+func (s *Server) answerClaimed(c *fiber.Ctx, r *pb.ClaimResult) error {
 	if r.Status == pb.ClaimStatus_CLAIM_STATUS_DONE && r.Answer != nil && !r.Answer.Truncated && r.Answer.Status != 0 {
-		return s.sendPlain(c, &plainAnswer{
+		return s.writePlainAnswer(c, &plainAnswer{
 			status: int(r.Answer.Status), contentType: r.Answer.ContentType, body: r.Answer.Body, replayed: true,
 		})
 	}
-	return refuseTaken(r.Status)
+	return refuseClaimed(r.Status)
 }
 
-func refuseTaken(status pb.ClaimStatus) *outcome.Refusal {
+func refuseClaimed(status pb.ClaimStatus) *outcome.Refusal {
 	switch status {
 	case pb.ClaimStatus_CLAIM_STATUS_DONE:
 		return &outcome.Refusal{
@@ -166,9 +172,10 @@
 	}
 }
 
-// refuseNoControl: an earlier call under the key may have run, and without
-// control it can't be known, so that the outcome is unknown.
-func refuseNoControl() *outcome.Refusal {
+// refuseControlUnreachable returns the refusal for a call whose claim got no
+// answer. Its outcome is unknown because an earlier call under the key may have
+// run, which only control can tell.
+func refuseControlUnreachable() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: outcome.CodeControlUnreachable, Outcome: outcome.Unknown,
 		Message:    "this call was not sent, but whether one ran under its key can't be told now; repeat it under the same key",
--- a/internal/traffic/peers.go
+++ b/internal/traffic/peers.go
@@ -16,36 +16,39 @@
 )
 
 const (
-	// rememberTry bounds one peer's answer before a stream's first byte.
-	rememberTry = 150 * time.Millisecond
-	// rememberHolders is how many peers are asked, one after the other.
-	rememberHolders = 2
-	// rememberWait bounds what a first byte may wait for a holder. Without one
-	// the stream goes on, and a caller whose entry dies starts anew.
-	rememberWait = 350 * time.Millisecond
-	// renewTick paces renewals.
-	renewTick = 100 * time.Millisecond
-	// renewTry bounds one batch of renewals.
-	renewTry = time.Second
-	// lookupTry bounds a look-up at all peers.
-	lookupTry = 700 * time.Millisecond
+	// replicateAttemptTimeout bounds one attempt to replicate a record to a peer.
+	replicateAttemptTimeout = 150 * time.Millisecond
+	// maxReplicaAttempts is how many peers are tried, one after the other.
+	maxReplicaAttempts = 2
+	// replicationWait bounds how long a stream's first byte waits for its
+	// record to be replicated. If no peer accepts the record in time, the
+	// stream starts anyway; if this entry then dies, the caller has to start
+	// over.
+	replicationWait = 350 * time.Millisecond
+	// renewalCheckInterval is the interval between checks for records whose
+	// replica is due for renewal.
+	renewalCheckInterval = 100 * time.Millisecond
+	// renewalTimeout bounds one call that renews a batch of records.
+	renewalTimeout = time.Second
+	// lookupTimeout bounds a lookup at all peers.
+	lookupTimeout = 700 * time.Millisecond
 )
 
-// peers calls other entries.
-type peers struct {
+// peerClient calls other entries.
+type peerClient struct {
 	cluster  string
 	identity *pb.EntryIdentity
 	auth     *rpc.Auth
 	http     *http.Client
 	snapshot func() *entry.Snapshot
 	log      *slog.Logger
-	run      func(func())
+	spawn    func(func())
 
 	mu      sync.Mutex
 	clients map[string]pb.Peer
 }
 
-func (p *peers) client(address string) pb.Peer {
+func (p *peerClient) client(address string) pb.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.clients[address]
@@ -56,113 +59,118 @@
 	return c
 }
 
-// holders gives the peers in other data centres that may keep a record.
-func (p *peers) holders(wireID string, n int) []entry.EntryWeight {
+// replicaCandidates returns peers in other data centres that may hold a replica
+// of a request's record, in the order in which to try them.
+func (p *peerClient) replicaCandidates(wireID string, n int) []entry.EntryWeight {
 	return p.snapshot().SelectEntries(wireID, n, p.identity.DataCentre)
 }
 
-// begin hands a record to a peer, once.
-func (p *peers) begin(r *streamRecord) {
+// startReplication replicates a record to a peer in the background. It does so
+// only once per record.
+func (p *peerClient) startReplication(r *streamRecord) {
 	r.mu.Lock()
-	begun := r.begun
-	r.begun = true
+	alreadyStarted := r.replicationStarted
+	r.replicationStarted = true
 	r.mu.Unlock()
-	if begun {
+	if alreadyStarted {
 		return
 	}
-	p.run(func() {
+	p.spawn(func() {
 		defer close(r.replicated)
 		p.replicate(r)
 	})
 }
 
-// await holds a stream's first byte back until another entry knows it. If this
-// entry then dies, the caller goes on there.
-func (p *peers) await(r *streamRecord) {
-	p.begin(r)
+// awaitReplication delays a stream's first byte until the replication of its
+// record has ended, but for no longer than replicationWait. With a replica, the
+// caller can resume at another entry if this entry dies.
+func (p *peerClient) awaitReplication(r *streamRecord) {
+	p.startReplication(r)
 	select {
 	case <-r.replicated:
-	case <-time.After(rememberWait):
-		p.log.Warn("no peer has taken a stream's record in time", "request_id", r.pb.WireId)
+	case <-time.After(replicationWait):
+		p.log.Warn("stream record not replicated in time; starting the stream without a confirmed replica", "request_id", r.pb.WireId)
 	}
 }
 
-func (p *peers) replicate(r *streamRecord) {
-	for _, holder := range p.holders(r.pb.WireId, rememberHolders) {
-		ctx, cancel := context.WithTimeout(context.Background(), rememberTry)
-		record := r.whole()
-		err := p.remember(ctx, holder.PeerAddress, []*pb.StreamRecord{record})
+func (p *peerClient) replicate(r *streamRecord) {
+	for _, peer := range p.replicaCandidates(r.pb.WireId, maxReplicaAttempts) {
+		ctx, cancel := context.WithTimeout(context.Background(), replicateAttemptTimeout)
+		record := r.snapshot()
+		err := p.sendRecords(ctx, peer.PeerAddress, []*pb.StreamRecord{record})
 		cancel()
 		if err == nil {
-			r.taken(holder.PeerAddress, record)
+			r.acknowledged(peer.PeerAddress, record)
 			return
 		}
 	}
-	p.log.Warn("no peer holds a stream's record", "request_id", r.pb.WireId)
+	p.log.Warn("stream record could not be replicated to any peer", "request_id", r.pb.WireId)
 }
 
-func (p *peers) remember(ctx context.Context, address string, records []*pb.StreamRecord) error {
+func (p *peerClient) sendRecords(ctx context.Context, address string, records []*pb.StreamRecord) error {
 	_, err := p.client(address).Remember(ctx, &pb.RememberRequest{
 		ClusterId: p.cluster, From: p.identity, Records: records,
 	})
 	return err
 }
 
-// renew tells holders how far streams have got, in batches.
-func (p *peers) renew(ctx context.Context, store *recordStore) {
-	for host.Pause(ctx, renewTick) {
-		byHolder := make(map[string][]*streamRecord)
+// runRenewals sends stream progress to the peers that hold replicas, in batches
+// per peer.
+func (p *peerClient) runRenewals(ctx context.Context, store *recordStore) {
+	for host.Pause(ctx, renewalCheckInterval) {
+		byAddress := make(map[string][]*streamRecord)
 		for _, r := range store.sweep(time.Now()) {
-			holder := r.heldBy()
-			byHolder[holder] = append(byHolder[holder], r)
+			address := r.replicaHolder()
+			byAddress[address] = append(byAddress[address], r)
 		}
-		for address, records := range byHolder {
-			p.run(func() { p.renewAt(address, records) })
+		for address, records := range byAddress {
+			p.spawn(func() { p.renewReplica(address, records) })
 		}
 	}
 }
 
-// renewAt renews records at their holder. When that fails another holder is
-// sought: else the loss of holder and owner, one after the other, would lose the
-// streams.
-func (p *peers) renewAt(address string, records []*streamRecord) {
-	ctx, cancel := context.WithTimeout(context.Background(), renewTry)
+// renewReplica renews records at the peer that holds their replicas. If that
+// fails, the records are replicated anew. Otherwise the streams would be lost
+// if first this peer and then the owner failed.
+func (p *peerClient) renewReplica(address string, records []*streamRecord) {
+	ctx, cancel := context.WithTimeout(context.Background(), renewalTimeout)
 	defer cancel()
 	list := make([]*pb.StreamRecord, 0, len(records))
 	for _, r := range records {
-		list = append(list, r.renewal())
+		list = append(list, r.delta())
 	}
-	err := p.remember(ctx, address, list)
+	err := p.sendRecords(ctx, address, list)
 	if err == nil {
 		for i, r := range records {
-			r.taken(address, list[i])
+			r.acknowledged(address, list[i])
 		}
 		return
 	}
 	p.log.Warn("renewal of stream records failed", "peer", address, "records", len(records), "error", err)
 	for _, r := range records {
-		p.run(func() { p.replicate(r) })
+		p.spawn(func() { p.replicate(r) })
 	}
 }
 
 // lookup asks all other entries for a member's record.
-func (p *peers) lookup(ctx context.Context, member, requestID string) *pb.StreamRecord {
+func (p *peerClient) lookup(ctx context.Context, member, requestID string) *pb.StreamRecord {
 	var others []entry.EntryWeight
 	for _, e := range p.snapshot().Entries {
 		if e.Name != p.identity.Name {
 			others = append(others, e)
 		}
 	}
-	return p.ask(ctx, others, member, requestID)
+	return p.lookupAt(ctx, others, member, requestID)
 }
 
-// ask asks all at once and takes the record that is furthest.
-func (p *peers) ask(ctx context.Context, others []entry.EntryWeight, member, requestID string) *pb.StreamRecord {
-	ctx, cancel := context.WithTimeout(ctx, lookupTry)
+// lookupAt asks the given entries in parallel and returns the most advanced
+// record.
+func (p *peerClient) lookupAt(ctx context.Context, others []entry.EntryWeight, member, requestID string) *pb.StreamRecord {
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	found := make(chan *pb.StreamRecord, len(others))
 	for _, e := range others {
-		p.run(func() {
+		p.spawn(func() {
 			resp, err := p.client(e.PeerAddress).Lookup(ctx, &pb.LookupRequest{
 				ClusterId: p.cluster, Member: member, RequestId: requestID,
 			})
@@ -173,23 +181,24 @@
 			found <- resp.Record
 		})
 	}
-	return furthest(ctx, found, len(others))
+	return mostAdvanced(ctx, found, len(others))
 }
 
-// settleTime is how long a look-up waits for a better record after the first.
-const settleTime = 20 * time.Millisecond
+// lookupGrace is how long a lookup waits for a more advanced record after it
+// got the first one.
+const lookupGrace = 20 * time.Millisecond
 
-func furthest(ctx context.Context, found <-chan *pb.StreamRecord, n int) *pb.StreamRecord {
+func mostAdvanced(ctx context.Context, found <-chan *pb.StreamRecord, n int) *pb.StreamRecord {
 	var best *pb.StreamRecord
-	var settled <-chan time.Time
+	var graceOver <-chan time.Time
 	for range n {
 		select {
 		case r := <-found:
-			best = further(best, r)
-			if best != nil && settled == nil {
-				settled = time.After(settleTime)
+			best = moreAdvanced(best, r)
+			if best != nil && graceOver == nil {
+				graceOver = time.After(lookupGrace)
 			}
-		case <-settled:
+		case <-graceOver:
 			return best
 		case <-ctx.Done():
 			return best
@@ -198,9 +207,9 @@
 	return best
 }
 
-// further gives the record of the later attempt, then of more tokens; either
-// may be nil.
-func further(a, b *pb.StreamRecord) *pb.StreamRecord {
+// moreAdvanced returns the record with the later attempt or, in the same
+// attempt, with more tokens. Either record may be nil.
+func moreAdvanced(a, b *pb.StreamRecord) *pb.StreamRecord {
 	switch {
 	case a == nil:
 		return b
@@ -213,14 +222,15 @@
 	}
 }
 
-// handOver tells the entry that ran a stream that it goes on here.
-func (p *peers) handOver(owner, member, requestID string) {
+// notifyPreviousOwner tells the entry that ran a stream that the stream
+// continues at this entry.
+func (p *peerClient) notifyPreviousOwner(owner, member, requestID string) {
 	for _, e := range p.snapshot().Entries {
 		if e.Name != owner || e.Name == p.identity.Name {
 			continue
 		}
-		p.run(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), renewTry)
+		p.spawn(func() {
+			ctx, cancel := context.WithTimeout(context.Background(), renewalTimeout)
 			defer cancel()
 			_, _ = p.client(e.PeerAddress).Forget(ctx, &pb.ForgetRequest{
 				ClusterId: p.cluster, Member: member, RequestIds: []string{requestID},
@@ -229,24 +239,24 @@
 	}
 }
 
-// peerService answers other entries.
-type peerService struct{ s *Server }
+// peerService implements the RPCs that other entries call.
+type peerService struct{ server *Server }
 
 var _ pb.Peer = peerService{}
 
-func (p peerService) wrongCluster(id string) error {
-	if id != p.s.host.Settings.Cluster {
+func (p peerService) checkCluster(id string) error {
+	if id != p.server.host.Settings.Cluster {
 		return twirp.PermissionDenied.Error("another cluster")
 	}
 	return nil
 }
 
-// Remember keeps other entries' stream records.
+// Remember stores replicas of other entries' stream records.
 func (p peerService) Remember(_ context.Context, req *pb.RememberRequest) (*pb.RememberResponse, error) {
-	if err := p.wrongCluster(req.ClusterId); err != nil {
+	if err := p.checkCluster(req.ClusterId); err != nil {
 		return nil, err
 	}
-	if p.s.host.Snapshot().Leaving {
+	if p.server.host.Snapshot().Leaving {
 		return nil, twirp.Unavailable.Error("this entry stops")
 	}
 	kept := true
@@ -254,7 +264,7 @@
 		if r.Member == "" || r.RequestId == "" {
 			return nil, twirp.RequiredArgumentError("member and request_id")
 		}
-		kept = p.s.records.remember(r, time.Now()) && kept
+		kept = p.server.records.storeReplica(r, time.Now()) && kept
 	}
 	if !kept {
 		return nil, twirp.NotFoundError("a record that is renewed is not held here")
@@ -262,15 +272,16 @@
 	return &pb.RememberResponse{}, nil
 }
 
-// Forget lets streams go that another entry goes on with.
+// Forget drops streams that continue at another entry: their jobs are cancelled
+// here, and delayed cancels at the engine are suppressed.
 func (p peerService) Forget(ctx context.Context, req *pb.ForgetRequest) (*pb.ForgetResponse, error) {
-	if err := p.wrongCluster(req.ClusterId); err != nil {
+	if err := p.checkCluster(req.ClusterId); err != nil {
 		return nil, err
 	}
 	for _, id := range req.RequestIds {
-		if r := p.s.records.lookup(req.Member, id); r != nil {
-			p.s.cancels.keep(r.WireId)
-			p.s.jobs.takeOver(ctx, r.WireId)
+		if r := p.server.records.lookup(req.Member, id); r != nil {
+			p.server.cancels.suppress(r.WireId)
+			p.server.jobs.cancelAndWait(ctx, r.WireId)
 		}
 	}
 	return &pb.ForgetResponse{}, nil
@@ -278,10 +289,10 @@
 
 // Lookup finds a member's record.
 func (p peerService) Lookup(_ context.Context, req *pb.LookupRequest) (*pb.LookupResponse, error) {
-	if err := p.wrongCluster(req.ClusterId); err != nil {
+	if err := p.checkCluster(req.ClusterId); err != nil {
 		return nil, err
 	}
-	r := p.s.records.lookup(req.Member, req.RequestId)
+	r := p.server.records.lookup(req.Member, req.RequestId)
 	if r == nil {
 		return nil, twirp.NotFoundError("no such stream")
 	}
--- a/internal/traffic/plain.go
+++ b/internal/traffic/plain.go
@@ -25,14 +25,15 @@
 )
 
 const (
-	// lookupTries is into how many tries an idempotent call's time is split: a
-	// silent connection or a frozen server costs one part and not all of it.
-	lookupTries = 4
-	// minTry is the least time for one try.
-	minTry = 300 * time.Millisecond
+	// idempotentAttempts is the number of attempts among which the deadline of an
+	// idempotent call is divided. A silent connection or a frozen server then
+	// costs only a part of the time.
+	idempotentAttempts = 4
+	// minAttemptTimeout is the shortest timeout for one attempt.
+	minAttemptTimeout = 300 * time.Millisecond
 )
 
-// plainAnswer is a backend server's whole answer to a call.
+// plainAnswer is the complete answer of a backend server to a call.
 type plainAnswer struct {
 	status      int
 	contentType string
@@ -41,55 +42,56 @@
 	replayed    bool
 }
 
-// plainJob is one call of a plain service as its handler drives it.
+// plainJob is a call of a plain service with the state that its handler keeps.
 type plainJob struct {
-	s       *Server
-	call    *call
+	server  *Server
+	call    *callerCall
 	wireID  string
 	arrived entry.RequestArrived
-	// uri is path and query at the server.
-	uri    string
-	claim  *claim
-	until  time.Time
-	answer *plainAnswer
+	// uri is the path and query that are sent to the server.
+	uri      string
+	claim    *claim
+	deadline time.Time
+	answer   *plainAnswer
 }
 
-func (s *Server) anyPlain(c *fiber.Ctx) error {
+func (s *Server) handlePlain(c *fiber.Ctx) error {
 	name := strings.Clone(c.Params("service"))
-	k, refusal := s.readCall(c)
-	if refusal != nil && refusal.Status >= http.StatusInternalServerError && k.headers[outcome.HeaderIdempotencyKey] != "" {
+	call, refusal := s.readCall(c)
+	if refusal != nil && refusal.Status >= http.StatusInternalServerError && call.headers[outcome.HeaderIdempotencyKey] != "" {
 		// An earlier call under the key may have run at another entry.
-		return asUnknown(refusal)
+		return withUnknownOutcome(refusal)
 	}
 	if refusal != nil {
 		return refusal
 	}
-	service, refusal := k.service(name, declaration.KindPlain)
+	service, refusal := call.service(name, declaration.KindPlain)
 	if refusal != nil {
 		return refusal
 	}
-	target, refusal := plainPath(k.path)
+	target, refusal := canonicalPath(call.path)
 	if refusal != nil {
 		return refusal
 	}
-	route := findRoute(service, k.method, target)
+	route := findRoute(service, call.method, target)
 	if route == nil {
-		return k.byView(notFound("the service has no such route"))
+		return call.unlessViewOutdated(notFound("the service has no such route"))
 	}
-	job := s.newPlainJob(k, service, target)
+	job := s.newPlainJob(call, service, target)
 	if route.Repeat == declaration.RepeatOnce {
-		return s.answerOnce(c, job)
+		return s.answerAtMostOnce(c, job)
 	}
 	if refusal := job.run(s.host.Background); refusal != nil {
 		return refusal
 	}
-	return s.sendPlain(c, job.answer)
+	return s.writePlainAnswer(c, job.answer)
 }
 
-// plainPath decodes a path once and takes only its plain form. Dots, doubled
-// slashes or an encoding within the encoding could mean one route to the entry
-// and another, which may not be repeated, to the server.
-func plainPath(raw string) (string, *outcome.Refusal) {
+// canonicalPath decodes a path once and rejects paths that are not canonical.
+// Dot segments, double slashes or nested encodings could select one route at
+// the entry and a different route at the server, possibly one that must not be
+// retried.
+func canonicalPath(raw string) (string, *outcome.Refusal) {
 	decoded, err := url.PathUnescape(raw)
 	target := "/" + decoded
 	if err != nil || path.Clean(target) != strings.TrimSuffix(target, "/") && target != "/" {
@@ -101,60 +103,61 @@
 	return target, nil
 }
 
-// findRoute gives the route with the longest path prefix that fits, or nil.
+// findRoute returns the matching route with the longest path prefix, or nil.
 func findRoute(service *declaration.Service, method, target string) *declaration.Route {
 	var best *declaration.Route
 	for i := range service.Routes {
 		r := &service.Routes[i]
 		prefix := strings.TrimSuffix(r.Path, "/")
-		fits := target == prefix || strings.HasPrefix(target, prefix+"/")
-		if r.Method == method && fits && (best == nil || len(r.Path) > len(best.Path)) {
+		matches := target == prefix || strings.HasPrefix(target, prefix+"/")
+		if r.Method == method && matches && (best == nil || len(r.Path) > len(best.Path)) {
 			best = r
 		}
 	}
 	return best
 }
 
-func (s *Server) newPlainJob(k *call, service *declaration.Service, target string) *plainJob {
-	profile := k.snap.Declaration.Profile(service.Profile)
+func (s *Server) newPlainJob(call *callerCall, service *declaration.Service, target string) *plainJob {
+	profile := call.snap.Declaration.Profile(service.Profile)
 	now := clock.Boot()
-	wireID := engineapi.WireID(k.member.Name, k.requestID, uuid.NewString()[:8])
+	wireID := engineapi.WireID(call.member.Name, call.requestID, uuid.NewString()[:8])
 	uri := (&url.URL{Path: target}).EscapedPath()
-	if k.query != "" {
-		uri += "?" + k.query
+	if call.query != "" {
+		uri += "?" + call.query
 	}
 	return &plainJob{
-		s: s, call: k, wireID: wireID, uri: uri, until: time.Now().Add(profile.Deadline),
+		server: s, call: call, wireID: wireID, uri: uri, deadline: time.Now().Add(profile.Deadline),
 		arrived: entry.RequestArrived{
 			Work: decision.Work{
-				RequestID: host.NewJobKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
+				RequestID: host.NewJobKey(wireID), Member: call.member.Name, MemberWeight: call.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
 				Class: profile.Class, Kind: declaration.KindPlain, Arrived: now,
 				FirstTokenBy: now + profile.FirstToken, FinishBy: now + profile.Deadline,
 			},
 			Retry:       entry.RetryAllowed,
-			Fingerprint: fingerprint(k.member.Name, service.Name, k.method, uri, string(k.body)),
-			Credential:  k.credential, MembersOnly: true,
+			Fingerprint: fingerprint(call.member.Name, service.Name, call.method, uri, string(call.body)),
+			Credential:  call.credential, MembersOnly: true,
 			RetryBudget: profile.RetryBudget,
 		},
 	}
 }
 
-// run drives the call until its final effect; nil when there is an answer.
+// run processes the reducer's effects up to the final one. It returns nil if
+// the job has an answer.
 func (j *plainJob) run(ctx context.Context) *outcome.Refusal {
 	key := j.arrived.Work.RequestID
-	box := j.s.host.Open(key)
-	defer j.s.host.Close(key)
-	j.s.host.Post(j.arrived)
+	effects := j.server.host.Open(key)
+	defer j.server.host.Close(key)
+	j.server.host.Post(j.arrived)
 	for {
 		select {
 		case <-ctx.Done():
-			j.s.host.Post(entry.CallerDisconnected{RequestID: key})
-			return handedOn()
-		case e := <-box:
+			j.server.host.Post(entry.CallerDisconnected{RequestID: key})
+			return handOffRefusal()
+		case e := <-effects:
 			switch e := e.(type) {
 			case entry.Dispatch:
-				j.s.host.Post(j.attempt(e))
+				j.server.host.Post(j.runAttempt(e))
 			case entry.Refuse:
 				return e.Refusal
 			case entry.Finish:
@@ -164,53 +167,56 @@
 	}
 }
 
-func (j *plainJob) attempt(d entry.Dispatch) entry.AttemptEnded {
-	began := time.Now()
-	ended := entry.AttemptEnded{RequestID: d.RequestID, Attempt: d.Attempt, Outcome: outcome.NotRun}
-	answer, err := j.send(d)
-	ended.Elapsed = time.Since(began)
+func (j *plainJob) runAttempt(dispatch entry.Dispatch) entry.AttemptEnded {
+	startedAt := time.Now()
+	result := entry.AttemptEnded{RequestID: dispatch.RequestID, Attempt: dispatch.Attempt, Outcome: outcome.NotRun}
+	answer, err := j.sendAttempt(dispatch)
+	result.Elapsed = time.Since(startedAt)
 	switch {
 	case err == nil:
-		j.answer, ended.Complete, ended.Outcome = answer, true, outcome.Ran
+		j.answer, result.Complete, result.Outcome = answer, true, outcome.Ran
 	case errorx.IsOfType(err, httpconn.NotSent):
-		ended.ServerDied = errorx.IsOfType(err, httpconn.Refused)
+		result.ServerDied = errorx.IsOfType(err, httpconn.Refused)
 	case errors.Is(err, errNotStarted):
 	default:
-		ended.Outcome = outcome.Unknown
-		ended.ServerDied = errorx.IsOfType(err, httpconn.Closed) && j.s.engines.looksGone(d.Address)
+		result.Outcome = outcome.Unknown
+		result.ServerDied = errorx.IsOfType(err, httpconn.Closed) && j.server.engines.processGone(dispatch.Address)
 	}
-	return ended
+	return result
 }
 
-// errNotStarted: the server said that it did not start the call.
-var errNotStarted = errors.New("not started")
+// errNotStarted is returned when the server reports that it did not start the
+// call.
+var errNotStarted = errors.New("server did not start the call")
 
-// send makes one call, once. Errors: NotSent, Broken, Mixed, errNotStarted.
-func (j *plainJob) send(d entry.Dispatch) (*plainAnswer, error) {
+// sendAttempt sends the call once, without retries. Errors: httpconn.NotSent,
+// httpconn.Broken, httpconn.Mixed, errNotStarted.
+func (j *plainJob) sendAttempt(dispatch entry.Dispatch) (*plainAnswer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	j.fill(req, d)
-	client, timeout := j.s.engines.pooled, j.tryTime()
-	if j.arrived.Retry == entry.RetryNever || d.Attempt > 1 {
-		// A fresh connection: one that idled may be silent or closed, and a
-		// once-only call that fails on it would be unknown for nothing.
-		client = j.s.engines.fresh
+	j.buildRequest(req, dispatch)
+	client, timeout := j.server.engines.pooled, j.attemptTimeout()
+	if j.arrived.Retry == entry.RetryNever || dispatch.Attempt > 1 {
+		// Use a fresh connection: a pooled one may have been closed or gone
+		// silent while it was idle. An at-most-once call that fails on it would
+		// end with an unknown outcome for no good reason.
+		client = j.server.engines.fresh
 		req.SetConnectionClose()
 	}
 	if timeout <= 0 {
-		return nil, httpconn.NotSent.New("no time is left")
+		return nil, httpconn.NotSent.New("deadline expired before the call was sent")
 	}
-	sent := clock.Boot()
+	sentAt := clock.Boot()
 	if err := client.DoTimeout(req, resp, timeout); err != nil {
 		return nil, httpconn.Classify(err)
 	}
-	word := readSaid(&resp.Header, sent)
-	j.s.heard(d.Server, d.Incarnation, word)
-	if !echoes(&resp.Header, j.wireID, d.Attempt) {
-		return nil, httpconn.Mixed.New("the answer is to another request")
+	status := readServerStatus(&resp.Header, sentAt)
+	j.server.reportServerStatus(dispatch.Server, dispatch.Incarnation, status)
+	if !answersAttempt(&resp.Header, j.wireID, dispatch.Attempt) {
+		return nil, httpconn.Mixed.New("the response belongs to another request or attempt")
 	}
-	if word.notStarted {
+	if status.notStarted {
 		return nil, errNotStarted
 	}
 	return &plainAnswer{
@@ -219,35 +225,36 @@
 	}, nil
 }
 
-func (j *plainJob) fill(req *fasthttp.Request, d entry.Dispatch) {
+func (j *plainJob) buildRequest(req *fasthttp.Request, dispatch entry.Dispatch) {
 	req.Header.SetMethod(j.call.method)
-	req.SetRequestURI("http://" + d.Address + j.uri)
-	for _, name := range forwarded {
+	req.SetRequestURI("http://" + dispatch.Address + j.uri)
+	for _, name := range forwardedHeaders {
 		if v := j.call.headers[name]; v != "" {
 			req.Header.Set(name, v)
 		}
 	}
 	req.Header.Set(engineapi.HeaderMember, j.call.member.Name)
-	setIdentity(&req.Header, j.wireID, d.Attempt)
+	setAttemptHeaders(&req.Header, j.wireID, dispatch.Attempt)
 	if j.claim != nil {
 		req.Header.Set(outcome.HeaderIdempotencyKey, j.claim.pb.Key)
 	}
 	req.SetBodyRaw(j.call.body)
 }
 
-// tryTime is how long one send may take: a part of the time for idempotent
-// calls, all that is left for once-only calls, which get no second try.
-func (j *plainJob) tryTime() time.Duration {
-	left := time.Until(j.until)
+// attemptTimeout returns the timeout of one attempt: a part of the deadline for
+// idempotent calls, or all remaining time for at-most-once calls, which are not
+// retried.
+func (j *plainJob) attemptTimeout() time.Duration {
+	remaining := time.Until(j.deadline)
 	if j.arrived.Retry == entry.RetryNever {
-		return left
+		return remaining
 	}
-	whole := j.arrived.Work.FinishBy - j.arrived.Work.Arrived
-	return min(left, max(minTry, whole/lookupTries))
+	total := j.arrived.Work.FinishBy - j.arrived.Work.Arrived
+	return min(remaining, max(minAttemptTimeout, total/idempotentAttempts))
 }
 
-func (s *Server) sendPlain(c *fiber.Ctx, a *plainAnswer) error {
-	s.head(c, outcome.Ran)
+func (s *Server) writePlainAnswer(c *fiber.Ctx, a *plainAnswer) error {
+	s.setCommonHeaders(c, outcome.Ran)
 	if a.contentType != "" {
 		c.Set("Content-Type", a.contentType)
 	}
--- a/internal/traffic/prefill.go
+++ b/internal/traffic/prefill.go
@@ -12,62 +12,64 @@
 )
 
 const (
-	// kvTimeout bounds the export or import of KV cache. When it does not get
-	// there in time the decoding engine prefills by itself.
-	kvTimeout = 2 * time.Second
-	// finishPrefilled closes the stream of a prefill.
+	// kvTransferTimeout bounds the export and the import of a KV cache. If
+	// either takes longer, the decode engine prefills the prompt itself.
+	kvTransferTimeout = 2 * time.Second
+	// finishPrefilled is the finish reason of a prefill-only stream.
 	finishPrefilled = "prefilled"
-	// finishLength closes an answer of as many tokens as were asked for.
+	// finishLength is the finish reason of an answer that reached max_tokens.
 	finishLength = "length"
 )
 
-// prefill lets another engine prefill when the placement chose a pair, and
-// moves the KV cache over. It gives the handle, or "" for none.
-func (a *modelAttempt) prefill(ctx context.Context) (string, error) {
-	if a.d.PrefillServer == "" || a.d.Reconnect {
+// runPrefill prefills the prompt at another engine if the dispatch names one,
+// and transfers the KV cache to the decode engine. It returns the handle of the
+// imported cache, or "" if there is none.
+func (a *modelAttempt) runPrefill(ctx context.Context) (string, error) {
+	if a.dispatch.PrefillServer == "" || a.dispatch.Reconnect {
 		return "", nil
 	}
-	req := a.engineRequest(a.d.EngineAttempt)
+	req := a.engineRequest(a.dispatch.EngineAttempt)
 	req.PrefillOnly = true
-	stream, err := a.s.engines.openStream(a.d.PrefillAddress, req)
+	stream, err := a.server.engines.openStream(a.dispatch.PrefillAddress, req)
 	if err != nil {
-		a.ended.AtPrefillServer = true
-		a.failed(err)
+		a.result.AtPrefillServer = true
+		a.recordFailure(err)
 		return "", nil
 	}
 	defer stream.close()
-	if !a.accepted(stream, a.d.PrefillServer, a.d.PrefillIncarnation) {
-		a.ended.AtPrefillServer = true
+	if !a.checkAccepted(stream, a.dispatch.PrefillServer, a.dispatch.PrefillIncarnation) {
+		a.result.AtPrefillServer = true
 		return "", nil
 	}
-	if err := a.relay(ctx, stream); err != nil {
+	if err := a.relayTokens(ctx, stream); err != nil {
 		return "", err
 	}
-	if !a.ended.Complete || a.finish != finishPrefilled {
-		// The prefill may have ended the whole answer, or broke.
-		a.ended.AtPrefillServer = !a.ended.Complete
+	if !a.result.Complete || a.finishReason != finishPrefilled {
+		// Either the answer ended during the prefill, or the stream broke.
+		a.result.AtPrefillServer = !a.result.Complete
 		return "", nil
 	}
-	if a.offset >= a.engine.MaxTokens {
-		a.finish = finishLength
+	if a.offset >= a.baseRequest.MaxTokens {
+		a.finishReason = finishLength
 		return "", nil
 	}
-	a.ended.Complete, a.finish = false, ""
-	a.ended.Outcome = outcome.Unknown
-	return a.moveKV(), nil
+	a.result.Complete, a.finishReason = false, ""
+	a.result.Outcome = outcome.Unknown
+	return a.transferKV(), nil
 }
 
-// moveKV copies the KV cache to the decoding engine; "" when that fails.
-func (a *modelAttempt) moveKV() string {
+// transferKV copies the KV cache to the decode engine. It returns the handle of
+// the imported cache, or "" on failure.
+func (a *modelAttempt) transferKV() string {
 	id := url.PathEscape(a.wireID)
-	from := "http://" + a.d.PrefillAddress + engineapi.PathKV + id
-	status, kv, err := a.s.engines.bytes(fasthttp.MethodGet, from, nil, kvTimeout)
+	exportURL := "http://" + a.dispatch.PrefillAddress + engineapi.PathKV + id
+	status, kvCache, err := a.server.engines.callBytes(fasthttp.MethodGet, exportURL, nil, kvTransferTimeout)
 	if err != nil || status != fasthttp.StatusOK {
 		return ""
 	}
-	to := "http://" + a.d.Address + engineapi.PathKV + id
+	importURL := "http://" + a.dispatch.Address + engineapi.PathKV + id
 	var imported engineapi.KVImported
-	if err := a.s.engines.post(to, kv, &imported, kvTimeout); err != nil {
+	if err := a.server.engines.postForJSON(importURL, kvCache, &imported, kvTransferTimeout); err != nil {
 		return ""
 	}
 	return imported.Handle
--- a/internal/traffic/records.go
+++ b/internal/traffic/records.go
@@ -11,106 +11,116 @@
 )
 
 const (
-	// finishedKeep is how long a finished stream's record is kept: a caller
-	// whose connection broke at the very end comes back within it.
-	finishedKeep = 30 * time.Second
-	// recordKeep bounds how long a record lives without renewal.
-	recordKeep = 2 * time.Minute
-	// maxRecords and maxRecordBytes bound what this entry keeps of streams.
+	// finishedRetention is how long the record of a finished stream is kept. It
+	// lets a caller resume whose connection broke just before the end.
+	finishedRetention = 30 * time.Second
+	// recordRetention is how long a replica is kept without renewal.
+	recordRetention = 2 * time.Minute
+	// maxRecords and maxRecordBytes bound the stored records of streams.
+	// maxRecordBytes counts replicas only.
 	maxRecords     = 20000
 	maxRecordBytes = 256 << 20
-	// renewTokens and renewEvery pace renewals with text.
-	renewTokens = 64
-	renewEvery  = 500 * time.Millisecond
+	// A replica is renewed after renewAfterTokens new tokens, or after
+	// renewAfter if there are any new tokens.
+	renewAfterTokens = 64
+	renewAfter       = 500 * time.Millisecond
 )
 
-// streamRecord is one stream that this entry runs, as another would need it.
+// streamRecord is the state of a stream of this entry that another entry needs
+// to resume it.
 type streamRecord struct {
 	mu sync.Mutex
 	pb *pb.StreamRecord
-	// text is kept apart, so that a chunk costs no copy of all text before it.
+	// text is stored outside pb, so that adding a chunk does not copy all
+	// earlier text.
 	text []byte
-	// holder is the peer that has it; empty until one answered.
-	holder string
-	// begun and replicated bracket the first hand-over.
-	begun      bool
-	replicated chan struct{}
-	// renewed is when and at how many tokens the holder got it last; urgent
-	// asks for a renewal at once.
-	renewed       time.Time
+	// replicaAddress is the peer that holds a replica; empty until one has
+	// acknowledged the record.
+	replicaAddress string
+	// replicationStarted is set, and replicated is closed, when the first
+	// replication starts and ends.
+	replicationStarted bool
+	replicated         chan struct{}
+	// renewedAt and renewedTokens are the time and the token count of the
+	// latest renewal. renewNow requests a renewal at the next check.
+	renewedAt     time.Time
 	renewedTokens uint64
-	urgent        bool
-	// heldText is how many bytes of the text the holder has.
-	heldText int
+	renewNow      bool
+	// replicaTextBytes is the length of the text that the replica has.
+	replicaTextBytes int
 }
 
 func newStreamRecord(p *pb.StreamRecord) *streamRecord {
 	return &streamRecord{pb: p, replicated: make(chan struct{})}
 }
 
-func (r *streamRecord) dispatched(d entry.Dispatch) {
+func (r *streamRecord) setDispatched(dispatch entry.Dispatch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pb.Server, r.pb.Incarnation, r.pb.Address = d.Server, d.Incarnation, d.Address
-	r.pb.Attempt = d.EngineAttempt
-	r.urgent = true
+	r.pb.Server, r.pb.Incarnation, r.pb.Address = dispatch.Server, dispatch.Incarnation, dispatch.Address
+	r.pb.Attempt = dispatch.EngineAttempt
+	r.renewNow = true
 }
 
-func (r *streamRecord) progress(text []byte, offset int) {
+func (r *streamRecord) setProgress(text []byte, offset int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.text, r.pb.Tokens = text, uint64(offset)
 }
 
-func (r *streamRecord) finish(text []byte, offset int) {
+func (r *streamRecord) setFinished(text []byte, offset int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.text, r.pb.Tokens = text, uint64(offset)
-	r.pb.Finished, r.urgent = true, true
+	r.pb.Finished, r.renewNow = true, true
 }
 
-// follows takes over what an earlier entry's record tells of its attempts.
-func (r *streamRecord) follows(earlier *pb.StreamRecord) {
+// continueFrom takes over the creation time and attempt number from the record
+// of an earlier entry.
+func (r *streamRecord) continueFrom(earlier *pb.StreamRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pb.CreatedUnixMs, r.pb.Attempt = earlier.CreatedUnixMs, earlier.Attempt
 }
 
-// neverSent tells that no attempt of the request was sent, here or elsewhere.
+// neverSent reports whether no attempt of the request was sent to a server, by
+// this or another entry.
 func (r *streamRecord) neverSent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pb.Attempt == 0
 }
 
-func (r *streamRecord) heldBy() string {
+func (r *streamRecord) replicaHolder() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.holder
+	return r.replicaAddress
 }
 
-// whole gives all of the record as it is now.
-func (r *streamRecord) whole() *pb.StreamRecord {
+// snapshot returns a copy of the full record.
+func (r *streamRecord) snapshot() *pb.StreamRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.bare()
+	p := r.cloneWithoutBody()
 	p.Body, p.Text = r.pb.Body, string(r.text)
 	return p
 }
 
-// renewal gives what the holder lacks: no body, and of the text what is new. A
-// renewal with all text would send a long answer's start a hundred times.
-func (r *streamRecord) renewal() *pb.StreamRecord {
+// delta returns a copy of the record with only what the replica lacks: no body,
+// and only the new text. Renewals with the full text would send the start of a
+// long answer about a hundred times.
+func (r *streamRecord) delta() *pb.StreamRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.bare()
-	start := min(r.heldText, len(r.text))
+	p := r.cloneWithoutBody()
+	start := min(r.replicaTextBytes, len(r.text))
 	p.TextStart, p.Text = uint32(start), string(r.text[start:])
 	return p
 }
 
-// bare must be called with mu held.
-func (r *streamRecord) bare() *pb.StreamRecord {
+// cloneWithoutBody copies the record's fields other than the body. The caller
+// must hold mu.
+func (r *streamRecord) cloneWithoutBody() *pb.StreamRecord {
 	body := r.pb.Body
 	r.pb.Body = nil
 	p := proto.Clone(r.pb).(*pb.StreamRecord)
@@ -118,154 +128,161 @@
 	return p
 }
 
-// taken notes that the holder has this word of the record.
-func (r *streamRecord) taken(holder string, p *pb.StreamRecord) {
+// acknowledged records that a peer has stored p.
+func (r *streamRecord) acknowledged(replicaAddress string, p *pb.StreamRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if holder != r.holder {
-		r.holder, r.urgent, r.heldText = holder, true, 0
+	if replicaAddress != r.replicaAddress {
+		r.replicaAddress, r.renewNow, r.replicaTextBytes = replicaAddress, true, 0
 	}
-	r.renewed = time.Now()
-	r.heldText = max(r.heldText, int(p.TextStart)+len(p.Text))
+	r.renewedAt = time.Now()
+	r.replicaTextBytes = max(r.replicaTextBytes, int(p.TextStart)+len(p.Text))
 }
 
-// due tells whether the holder is to be told, and takes it as told.
-func (r *streamRecord) due(now time.Time) bool {
+// beginRenewalIfDue reports whether the replica is due for renewal. If so, it
+// marks the renewal as done.
+func (r *streamRecord) beginRenewalIfDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	grown := r.pb.Tokens >= r.renewedTokens+renewTokens ||
-		(r.pb.Tokens > r.renewedTokens && now.Sub(r.renewed) >= renewEvery)
-	alive := now.Sub(r.renewed) >= recordKeep/4 && !r.pb.Finished
-	if r.holder == "" || !(r.urgent || grown || alive) {
+	hasNewText := r.pb.Tokens >= r.renewedTokens+renewAfterTokens ||
+		(r.pb.Tokens > r.renewedTokens && now.Sub(r.renewedAt) >= renewAfter)
+	keepAliveDue := now.Sub(r.renewedAt) >= recordRetention/4 && !r.pb.Finished
+	if r.replicaAddress == "" || !(r.renewNow || hasNewText || keepAliveDue) {
 		return false
 	}
-	r.urgent, r.renewed, r.renewedTokens = false, now, r.pb.Tokens
+	r.renewNow, r.renewedAt, r.renewedTokens = false, now, r.pb.Tokens
 	return true
 }
 
 type recordKey struct{ member, requestID string }
 
-type heldRecord struct {
-	own  *streamRecord
-	peer *pb.StreamRecord
-	// until is when it is dropped; zero while the own stream runs.
-	until time.Time
+// storedRecord is either the record of a stream of this entry (own) or the
+// replica of another entry's record.
+type storedRecord struct {
+	own     *streamRecord
+	replica *pb.StreamRecord
+	// expiresAt is when the record is dropped; zero while a stream of this
+	// entry runs.
+	expiresAt time.Time
 }
 
-// recordStore keeps the records of own streams and of other entries' streams.
-// Every look-up names the member: another member's id finds nothing.
+// recordStore holds the records of this entry's streams and the replicas of
+// other entries' records. Records are keyed by member and request id, so a
+// member cannot find the record of another.
 type recordStore struct {
-	mu    sync.Mutex
-	byKey map[recordKey]*heldRecord
-	bytes int
+	mu           sync.Mutex
+	byKey        map[recordKey]*storedRecord
+	replicaBytes int
 }
 
 func newRecordStore() *recordStore {
-	return &recordStore{byKey: make(map[recordKey]*heldRecord)}
+	return &recordStore{byKey: make(map[recordKey]*storedRecord)}
 }
 
-// put notes a stream that this entry runs.
-func (s *recordStore) put(r *streamRecord) {
+// addOwn adds the record of a stream that runs at this entry.
+func (s *recordStore) addOwn(r *streamRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := recordKey{r.pb.Member, r.pb.RequestId}
-	s.drop(k)
-	s.byKey[k] = &heldRecord{own: r}
+	key := recordKey{r.pb.Member, r.pb.RequestId}
+	s.drop(key)
+	s.byKey[key] = &storedRecord{own: r}
 }
 
-// remember keeps or renews another entry's record; false when it can't, since
-// it is a renewal of what is not held, or there is no room. An older word than
-// what is held is left out: renewals can overtake each other.
-func (s *recordStore) remember(p *pb.StreamRecord, now time.Time) bool {
+// storeReplica stores or renews another entry's record. It returns false if
+// there is no room or if a delta does not follow what is stored. An update
+// older than the stored replica is ignored, since renewals may arrive out of
+// order.
+func (s *recordStore) storeReplica(p *pb.StreamRecord, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := recordKey{p.Member, p.RequestId}
-	held := s.byKey[k]
-	if held != nil && held.own != nil && held.until.IsZero() {
+	key := recordKey{p.Member, p.RequestId}
+	stored := s.byKey[key]
+	if stored != nil && stored.own != nil && stored.expiresAt.IsZero() {
 		return true
 	}
-	if held != nil && held.peer != nil && held.peer.WireId == p.WireId {
-		if p.Attempt < held.peer.Attempt || p.Tokens < held.peer.Tokens {
+	if stored != nil && stored.replica != nil && stored.replica.WireId == p.WireId {
+		if p.Attempt < stored.replica.Attempt || p.Tokens < stored.replica.Tokens {
 			return true
 		}
-		if !renewFrom(p, held.peer) {
+		if !applyDelta(p, stored.replica) {
 			return false
 		}
 	}
-	if len(p.Body) == 0 || len(s.byKey) >= maxRecords || s.bytes+size(p) > maxRecordBytes {
+	if len(p.Body) == 0 || len(s.byKey) >= maxRecords || s.replicaBytes+recordBytes(p) > maxRecordBytes {
 		return false
 	}
-	s.drop(k)
-	keep := recordKeep
+	s.drop(key)
+	retention := recordRetention
 	if p.Finished {
-		keep = finishedKeep
+		retention = finishedRetention
 	}
-	s.byKey[k] = &heldRecord{peer: p, until: now.Add(keep)}
-	s.bytes += size(p)
+	s.byKey[key] = &storedRecord{replica: p, expiresAt: now.Add(retention)}
+	s.replicaBytes += recordBytes(p)
 	return true
 }
 
-// renewFrom fills a renewal up with what is held; false when a part is missing.
-func renewFrom(p, held *pb.StreamRecord) bool {
+// applyDelta completes a delta with the stored replica's body and text; a full
+// record stays as it is. It returns false if text between the two is missing.
+func applyDelta(p, stored *pb.StreamRecord) bool {
 	if len(p.Body) > 0 {
 		return true
 	}
 	start := int(p.TextStart)
-	if start > len(held.Text) {
+	if start > len(stored.Text) {
 		return false
 	}
-	p.Body, p.Text, p.TextStart = held.Body, held.Text[:start]+p.Text, 0
+	p.Body, p.Text, p.TextStart = stored.Body, stored.Text[:start]+p.Text, 0
 	return true
 }
 
-func size(p *pb.StreamRecord) int { return len(p.Body) + len(p.Text) }
+func recordBytes(p *pb.StreamRecord) int { return len(p.Body) + len(p.Text) }
 
-// drop must be called with mu held.
-func (s *recordStore) drop(k recordKey) {
-	if held := s.byKey[k]; held != nil {
-		if held.peer != nil {
-			s.bytes -= size(held.peer)
+// drop removes a record. The caller must hold mu.
+func (s *recordStore) drop(key recordKey) {
+	if stored := s.byKey[key]; stored != nil {
+		if stored.replica != nil {
+			s.replicaBytes -= recordBytes(stored.replica)
 		}
-		delete(s.byKey, k)
+		delete(s.byKey, key)
 	}
 }
 
-// lookup finds the member's record, or nil.
+// lookup returns a copy of the member's record, or nil.
 func (s *recordStore) lookup(member, requestID string) *pb.StreamRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.byKey[recordKey{member, requestID}]
-	if held == nil {
+	stored := s.byKey[recordKey{member, requestID}]
+	if stored == nil {
 		return nil
 	}
-	if held.own != nil {
-		return held.own.whole()
+	if stored.own != nil {
+		return stored.own.snapshot()
 	}
-	return proto.Clone(held.peer).(*pb.StreamRecord)
+	return proto.Clone(stored.replica).(*pb.StreamRecord)
 }
 
-// ended lets an own record go after a while.
-func (s *recordStore) ended(r *streamRecord, now time.Time) {
+// expireOwn lets the record of an ended stream expire after finishedRetention.
+func (s *recordStore) expireOwn(r *streamRecord, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.byKey[recordKey{r.pb.Member, r.pb.RequestId}]; held != nil && held.own == r {
-		held.until = now.Add(finishedKeep)
+	if stored := s.byKey[recordKey{r.pb.Member, r.pb.RequestId}]; stored != nil && stored.own == r {
+		stored.expiresAt = now.Add(finishedRetention)
 	}
 }
 
-// sweep drops what is past its time and gives the own records that are due for
-// renewal at their holders.
+// sweep drops expired records and returns the records of this entry's streams
+// whose replicas are due for renewal.
 func (s *recordStore) sweep(now time.Time) []*streamRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var due []*streamRecord
-	for k, held := range s.byKey {
-		if !held.until.IsZero() && now.After(held.until) {
-			s.drop(k)
+	for key, stored := range s.byKey {
+		if !stored.expiresAt.IsZero() && now.After(stored.expiresAt) {
+			s.drop(key)
 			continue
 		}
-		if held.own != nil && held.own.due(now) {
-			due = append(due, held.own)
+		if stored.own != nil && stored.own.beginRenewalIfDue(now) {
+			due = append(due, stored.own)
 		}
 	}
 	return due
--- a/internal/traffic/records_test.go
+++ b/internal/traffic/records_test.go
@@ -8,46 +8,47 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// A holder is told of a stream's text piece by piece. If a piece is lost, comes
-// late or twice, or the holder has restarted, it must not hold another text than
-// the caller got: the stream would go on from a wrong place.
-func TestRenewalsBuildTheText(t *testing.T) {
+// A replica receives a stream's text in deltas. If a delta is lost, late or
+// duplicated, or the peer has restarted, the replica must not differ from the
+// text that the caller got. Otherwise the stream would resume at a wrong
+// position.
+func TestDeltasRebuildRecordText(t *testing.T) {
 	own := newStreamRecord(&pb.StreamRecord{Member: "hotels", RequestId: "r-1", WireId: "w", Body: []byte("body")})
-	holder := newRecordStore()
-	own.dispatched(entry.Dispatch{Server: "engine-1", EngineAttempt: 1})
-	first := own.whole()
-	if !holder.remember(first, time.Now()) {
-		t.Fatal("the first word was not kept")
+	replica := newRecordStore()
+	own.setDispatched(entry.Dispatch{Server: "engine-1", EngineAttempt: 1})
+	first := own.snapshot()
+	if !replica.storeReplica(first, time.Now()) {
+		t.Fatal("the initial record was not stored")
 	}
-	own.taken("holder", first)
+	own.acknowledged("holder", first)
 
-	own.progress([]byte("abcd"), 4)
-	second := own.renewal()
-	own.progress([]byte("abcdefgh"), 8)
-	third := own.renewal()
+	own.setProgress([]byte("abcd"), 4)
+	second := own.delta()
+	own.setProgress([]byte("abcdefgh"), 8)
+	third := own.delta()
 	for _, p := range []*pb.StreamRecord{third, second, third} {
-		if !holder.remember(p, time.Now()) {
-			t.Fatalf("renewal %v was not kept", p)
+		if !replica.storeReplica(p, time.Now()) {
+			t.Fatalf("delta %v was not stored", p)
 		}
 	}
-	own.taken("holder", third)
-	if got := holder.lookup("hotels", "r-1"); got.Text != "abcdefgh" || got.Tokens != 8 || string(got.Body) != "body" {
-		t.Fatalf("held %v", got)
+	own.acknowledged("holder", third)
+	if got := replica.lookup("hotels", "r-1"); got.Text != "abcdefgh" || got.Tokens != 8 || string(got.Body) != "body" {
+		t.Fatalf("replica %v", got)
 	}
-	own.progress([]byte("abcdefghij"), 10)
-	last := own.renewal()
-	if last.Text != "ij" || len(last.Body) != 0 {
-		t.Fatalf("the renewal carries %q and %d bytes of body", last.Text, len(last.Body))
+	own.setProgress([]byte("abcdefghij"), 10)
+	lastDelta := own.delta()
+	if lastDelta.Text != "ij" || len(lastDelta.Body) != 0 {
+		t.Fatalf("the delta carries %q and %d bytes of body", lastDelta.Text, len(lastDelta.Body))
 	}
-	if newRecordStore().remember(last, time.Now()) {
-		t.Fatal("a restarted holder took a renewal of what it does not hold")
+	if newRecordStore().storeReplica(lastDelta, time.Now()) {
+		t.Fatal("a restarted peer accepted a delta without the initial record")
 	}
-	behind := newRecordStore()
-	behind.remember(first, time.Now())
-	if behind.remember(last, time.Now()) {
-		t.Fatal("a holder took a renewal that leaves a gap")
+	outdated := newRecordStore()
+	outdated.storeReplica(first, time.Now())
+	if outdated.storeReplica(lastDelta, time.Now()) {
+		t.Fatal("a peer accepted a delta that leaves a gap")
 	}
-	if holder.lookup("importers", "r-1") != nil {
-		t.Fatal("another member's look-up found the record")
+	if replica.lookup("importers", "r-1") != nil {
+		t.Fatal("another member's lookup found the record")
 	}
 }
--- a/internal/traffic/regenerate.go
+++ b/internal/traffic/regenerate.go
@@ -9,85 +9,87 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// knownText is the start of an answer: its text and how many tokens that is.
-type knownText struct {
+// textPrefix is the start of an answer: its text and number of tokens.
+type textPrefix struct {
 	text   string
 	tokens int
 }
 
-// useRecordedText takes what the record knows of the text that the caller has
-// but did not send along.
+// useRecordedText fills in the caller's text from the record when the resume
+// request has an offset but no text.
 func (j *modelJob) useRecordedText(record *pb.StreamRecord) {
 	switch {
 	case record.Tokens == uint64(j.offset):
 		j.text = []byte(record.Text)
 	case record.Tokens < uint64(j.offset):
-		j.lacksText, j.known = true, knownText{record.Text, int(record.Tokens)}
+		j.textIncomplete, j.knownPrefix = true, textPrefix{record.Text, int(record.Tokens)}
 	default:
-		j.lacksText = true
+		j.textIncomplete = true
 	}
 }
 
-// regenerate goes on with an answer of whose text only the start is known. The
-// engine makes the tokens between there and the caller's offset again, which
-// the same seed makes the same, and they are left out of the answer.
+// regenerate resumes an answer whose text before the caller's offset is only
+// partly known. The engine generates the missing tokens again, with the same
+// seed and thus the same result. Tokens before the offset are not sent to the
+// caller.
 func (a *modelAttempt) regenerate(ctx context.Context) error {
-	req := a.engine
-	req.Attempt = a.d.EngineAttempt
-	req.GeneratedText, req.GeneratedTokens = a.known.text, a.known.tokens
-	stream, err := a.s.engines.openStream(a.d.Address, req)
+	req := a.baseRequest
+	req.Attempt = a.dispatch.EngineAttempt
+	req.GeneratedText, req.GeneratedTokens = a.knownPrefix.text, a.knownPrefix.tokens
+	stream, err := a.server.engines.openStream(a.dispatch.Address, req)
 	if err != nil {
-		a.failed(err)
+		a.recordFailure(err)
 		return nil
 	}
 	defer func() { stream.close() }()
-	if !a.accepted(stream, a.d.Server, a.d.Incarnation) {
+	if !a.checkAccepted(stream, a.dispatch.Server, a.dispatch.Incarnation) {
 		return nil
 	}
-	a.ended.Outcome = outcome.Unknown
-	made, ok := a.makeAgain(ctx, stream)
+	a.result.Outcome = outcome.Unknown
+	regenerated, ok := a.regenerateToOffset(ctx, stream)
 	if !ok {
 		return nil
 	}
-	if made.tokens == a.offset {
-		a.text, a.lacksText = []byte(made.text), false
-		return a.relay(ctx, stream)
+	if regenerated.tokens == a.offset {
+		a.text, a.textIncomplete = []byte(regenerated.text), false
+		return a.relayTokens(ctx, stream)
 	}
-	// The caller's offset lies within a chunk: the engine sends the rest again
-	// from there.
-	rest, err := a.s.engines.rejoinStream(a.d.Address, a.wireID, a.d.EngineAttempt, a.offset)
+	// The caller's offset lies within a chunk. Reconnect, so that the engine
+	// sends the tokens from the offset on.
+	remaining, err := a.server.engines.reconnectStream(a.dispatch.Address, a.wireID, a.dispatch.EngineAttempt, a.offset)
 	if err != nil {
-		a.failed(err)
+		a.recordFailure(err)
 		return nil
 	}
 	stream.close()
-	stream = rest
-	if !a.accepted(stream, a.d.Server, a.d.Incarnation) {
+	stream = remaining
+	if !a.checkAccepted(stream, a.dispatch.Server, a.dispatch.Incarnation) {
 		return nil
 	}
-	return a.relay(ctx, stream)
+	return a.relayTokens(ctx, stream)
 }
 
-// makeAgain reads chunks until the caller's offset is reached or passed.
-func (a *modelAttempt) makeAgain(ctx context.Context, stream *engineStream) (knownText, bool) {
-	made := a.known
-	for made.tokens < a.offset {
+// regenerateToOffset reads chunks until the caller's offset is reached or
+// passed.
+func (a *modelAttempt) regenerateToOffset(ctx context.Context, stream *engineStream) (textPrefix, bool) {
+	regenerated := a.knownPrefix
+	for regenerated.tokens < a.offset {
 		chunk, done, err := stream.next()
 		if err != nil || done || ctx.Err() != nil {
-			return made, false
+			return regenerated, false
 		}
-		if !nextChunk(chunk, made.tokens) {
-			return made, false
+		if !followsOffset(chunk, regenerated.tokens) {
+			return regenerated, false
 		}
-		made.tokens += chunk.Tokens
-		made.text += chunk.Text
+		regenerated.tokens += chunk.Tokens
+		regenerated.text += chunk.Text
 		if chunk.Tokens > 0 {
-			a.s.host.Post(entry.AttemptProgress{RequestID: a.d.RequestID, Attempt: a.d.Attempt, Tokens: made.tokens - a.known.tokens})
+			a.server.host.Post(entry.AttemptProgress{RequestID: a.dispatch.RequestID, Attempt: a.dispatch.Attempt, Tokens: regenerated.tokens - a.knownPrefix.tokens})
 		}
 	}
-	return made, true
+	return regenerated, true
 }
 
-func nextChunk(chunk engineapi.Chunk, offset int) bool {
+func followsOffset(chunk engineapi.Chunk, offset int) bool {
 	return chunk.Heartbeat || chunk.Tokens == 0 || chunk.Offset == offset
 }
--- a/internal/traffic/resume.go
+++ b/internal/traffic/resume.go
@@ -16,28 +16,29 @@
 
 // resumeRequest is the body of POST /v1/requests/{id}/resume.
 type resumeRequest struct {
-	// Offset is the id of the last event that the caller has.
+	// Offset is the id of the last event that the caller received.
 	Offset int `json:"offset"`
-	// Text is all text up to it. Without it the entry needs the engine or a
-	// record that stands exactly there.
+	// Text is the answer's full text up to Offset. Without it, the entry needs
+	// the text from a record at exactly that offset, or from the engine.
 	Text string `json:"text"`
-	// Stream false asks for the whole answer in one body. Default true.
+	// Stream set to false selects an answer in one body. The default is true.
 	Stream *bool `json:"stream,omitempty"`
 }
 
-// postResume goes on with a stream that broke, at any entry. The request has
-// been accepted before, so that no refusal may say that it was not run.
+// postResume resumes a broken stream, at any entry. The request was accepted
+// before and may have run, so no refusal may have the outcome "not run".
 func (s *Server) postResume(c *fiber.Ctx) error {
 	err := s.resume(c)
 	var refusal *outcome.Refusal
 	if errors.As(err, &refusal) {
-		return asUnknown(refusal)
+		return withUnknownOutcome(refusal)
 	}
 	return err
 }
 
-// asUnknown gives the refusal with the outcome unknown in place of "not run".
-func asUnknown(refusal *outcome.Refusal) *outcome.Refusal {
+// withUnknownOutcome returns a copy of the refusal with the outcome "not run"
+// replaced by "unknown".
+func withUnknownOutcome(refusal *outcome.Refusal) *outcome.Refusal {
 	r := *refusal
 	if r.Outcome == outcome.NotRun {
 		r.Outcome = outcome.Unknown
@@ -46,20 +47,20 @@
 }
 
 func (s *Server) resume(c *fiber.Ctx) error {
-	k, refusal := s.readCall(c)
+	call, refusal := s.readCall(c)
 	if refusal != nil {
 		return refusal
 	}
-	k.requestID = strings.Clone(c.Params("id"))
-	c.Set(outcome.HeaderRequestID, k.requestID)
-	if !requestIDForm.MatchString(k.requestID) {
+	call.requestID = strings.Clone(c.Params("id"))
+	c.Set(outcome.HeaderRequestID, call.requestID)
+	if !requestIDPattern.MatchString(call.requestID) {
 		return invalid("the request id is malformed")
 	}
-	want, refusal := parseResume(k)
+	resume, refusal := parseResume(call)
 	if refusal != nil {
 		return refusal
 	}
-	record := s.findRecord(c, k)
+	record := s.findRecord(c, call)
 	if record == nil {
 		return &outcome.Refusal{
 			Status: http.StatusNotFound, Code: outcome.CodeNotFound, Outcome: outcome.Unknown,
@@ -67,108 +68,111 @@
 		}
 	}
 	if record.Finished {
-		return s.answerFinished(c, k, want, record)
+		return s.answerFinished(c, call, resume, record)
 	}
-	return s.goOn(c, k, want, record)
+	return s.continueStream(c, call, resume, record)
 }
 
-func parseResume(k *call) (*resumeRequest, *outcome.Refusal) {
-	want := &resumeRequest{}
-	if len(k.body) > 0 {
-		if err := json.Unmarshal(k.body, want); err != nil {
+func parseResume(call *callerCall) (*resumeRequest, *outcome.Refusal) {
+	resume := &resumeRequest{}
+	if len(call.body) > 0 {
+		if err := json.Unmarshal(call.body, resume); err != nil {
 			return nil, invalid("the body is not the JSON of a resume request")
 		}
 	}
-	if last := k.headers["Last-Event-ID"]; last != "" && want.Offset == 0 {
-		offset, err := strconv.Atoi(last)
+	if lastEventID := call.headers["Last-Event-ID"]; lastEventID != "" && resume.Offset == 0 {
+		offset, err := strconv.Atoi(lastEventID)
 		if err != nil {
 			return nil, invalid("Last-Event-ID is not an offset")
 		}
-		want.Offset = offset
+		resume.Offset = offset
 	}
-	if want.Offset < 0 || (want.Offset == 0 && want.Text != "") {
+	if resume.Offset < 0 || (resume.Offset == 0 && resume.Text != "") {
 		return nil, invalid("offset and text don't fit together")
 	}
-	return want, nil
+	return resume, nil
 }
 
-// findRecord looks here and then at the other entries, under the member of the
-// credential: another member's request id finds nothing.
-func (s *Server) findRecord(c *fiber.Ctx, k *call) *pb.StreamRecord {
-	own := s.records.lookup(k.member.Name, k.requestID)
-	if own != nil && (own.Finished || s.jobs.runs(own.WireId)) {
+// findRecord looks for the record at this entry, then at the other entries. The
+// lookup uses the authenticated member, so a request id of another member finds
+// nothing.
+func (s *Server) findRecord(c *fiber.Ctx, call *callerCall) *pb.StreamRecord {
+	own := s.records.lookup(call.member.Name, call.requestID)
+	if own != nil && (own.Finished || s.jobs.isRunning(own.WireId)) {
 		return own
 	}
-	return further(own, s.peers.lookup(c.UserContext(), k.member.Name, k.requestID))
+	return moreAdvanced(own, s.peers.lookup(c.UserContext(), call.member.Name, call.requestID))
 }
 
-// answerFinished gives the rest of a stream that had ended.
-func (s *Server) answerFinished(c *fiber.Ctx, k *call, want *resumeRequest, record *pb.StreamRecord) error {
-	rest, ok := strings.CutPrefix(record.Text, want.Text)
-	if !ok || (want.Text == "" && want.Offset != 0 && want.Offset != int(record.Tokens)) {
-		// Without the caller's text it is not known where its part ends.
-		return s.goOn(c, k, want, record)
-	}
-	if want.Text == "" && want.Offset != 0 {
+// answerFinished sends the rest of an answer whose stream has finished.
+func (s *Server) answerFinished(c *fiber.Ctx, call *callerCall, resume *resumeRequest, record *pb.StreamRecord) error {
+	rest, ok := strings.CutPrefix(record.Text, resume.Text)
+	if !ok || (resume.Text == "" && resume.Offset != 0 && resume.Offset != int(record.Tokens)) {
+		// Without the caller's text, the start of the missing part is unknown.
+		return s.continueStream(c, call, resume, record)
+	}
+	if resume.Text == "" && resume.Offset != 0 {
 		rest = ""
 	}
-	j, refusal := s.jobOf(k, want, record)
+	j, refusal := s.newResumedJob(call, resume, record)
 	if refusal != nil {
 		return refusal
 	}
-	j.record.finish([]byte(record.Text), int(record.Tokens))
-	s.records.ended(j.record, time.Now())
-	tokens := int(record.Tokens) - want.Offset
+	j.record.setFinished([]byte(record.Text), int(record.Tokens))
+	s.records.expireOwn(j.record, time.Now())
+	tokens := int(record.Tokens) - resume.Offset
 	if tokens > 0 {
-		j.pieces <- piece{offset: int(record.Tokens), tokens: tokens, text: rest}
+		j.parts <- answerPart{offset: int(record.Tokens), tokens: tokens, text: rest}
 	}
-	j.pieces <- piece{offset: int(record.Tokens), end: true, finish: finishLength}
-	close(j.pieces)
+	j.parts <- answerPart{offset: int(record.Tokens), last: true, finishReason: finishLength}
+	close(j.parts)
 	if !j.request.Stream {
-		return s.answerWhole(c, j)
+		return s.answerInOneBody(c, j)
 	}
 	return s.answerStream(c, j, func() {})
 }
 
-// goOn takes a stream over: at the engine that runs it, else at another from
-// the text that the caller has.
-func (s *Server) goOn(c *fiber.Ctx, k *call, want *resumeRequest, record *pb.StreamRecord) error {
-	j, refusal := s.jobOf(k, want, record)
+// continueStream takes over a stream: it reconnects to the engine that runs it
+// or, if that fails, continues at another engine after the text that the caller
+// has.
+func (s *Server) continueStream(c *fiber.Ctx, call *callerCall, resume *resumeRequest, record *pb.StreamRecord) error {
+	j, refusal := s.newResumedJob(call, resume, record)
 	if refusal != nil {
 		return refusal
 	}
-	s.cancels.keep(record.WireId)
-	s.jobs.takeOver(c.UserContext(), record.WireId)
-	s.peers.handOver(record.Owner, k.member.Name, k.requestID)
+	s.cancels.suppress(record.WireId)
+	s.jobs.cancelAndWait(c.UserContext(), record.WireId)
+	s.peers.notifyPreviousOwner(record.Owner, call.member.Name, call.requestID)
 	j.arrived.Work.Resumed = true
 	j.arrived.Attempt = record.Attempt
 	j.arrived.Server, j.arrived.Incarnation = record.Server, record.Incarnation
 	return s.answerModel(c, j)
 }
 
-// jobOf makes the job of a record from what the caller has.
-func (s *Server) jobOf(k *call, want *resumeRequest, record *pb.StreamRecord) (*modelJob, *outcome.Refusal) {
-	first := *k
-	first.body = record.Body
-	req, service, refusal := parseCompletion(&first)
+// newResumedJob builds a job from a record and the caller's position in the
+// answer.
+func (s *Server) newResumedJob(call *callerCall, resume *resumeRequest, record *pb.StreamRecord) (*modelJob, *outcome.Refusal) {
+	original := *call
+	original.body = record.Body
+	req, service, refusal := parseCompletion(&original)
 	if refusal != nil {
 		return nil, refusal
 	}
-	req.Stream = want.Stream == nil || *want.Stream
-	if want.Offset > req.MaxTokens {
+	req.Stream = resume.Stream == nil || *resume.Stream
+	if resume.Offset > req.MaxTokens {
 		return nil, invalid("offset is beyond the answer's end")
 	}
-	j := s.newModelJob(&first, req, service, record.WireId)
-	j.record.follows(record)
-	j.offset, j.from, j.text = want.Offset, want.Offset, []byte(want.Text)
-	if want.Text == "" && want.Offset > 0 {
+	j := s.newModelJob(&original, req, service, record.WireId)
+	j.record.continueFrom(record)
+	j.offset, j.resumeOffset, j.text = resume.Offset, resume.Offset, []byte(resume.Text)
+	if resume.Text == "" && resume.Offset > 0 {
 		j.useRecordedText(record)
 	}
-	j.arrived.Offset = want.Offset
-	if j.lacksText {
-		j.record.progress([]byte(j.known.text), j.known.tokens)
+	j.arrived.Offset = resume.Offset
+	if j.textIncomplete {
+		j.record.setProgress([]byte(j.knownPrefix.text), j.knownPrefix.tokens)
 	} else {
-		j.record.progress(j.text, j.offset)
+		j.record.setProgress(j.text, j.offset)
 	}
 	return j, nil
 }
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -1,7 +1,8 @@
-// Package traffic carries a goldcrest-entry's bytes: the callers' HTTP, the
-// streams and calls to backend servers, the messages to other entries, in the
-// system's own protocol. It carries out the effects of the entry's reducer (package
-// entry), which takes every decision; package host runs it.
+// Package traffic implements the network I/O of an entry that speaks the
+// system's native HTTP protocol: requests from callers, streams and calls to
+// backend servers, and RPCs between entries. It executes the effects that the
+// entry's reducer (package entry) returns. The reducer makes every decision;
+// package host runs it.
 package traffic
 
 import (
@@ -19,117 +20,122 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// Failed is the type of errors of an entry that can't start.
+// Failed is the error type for an entry that cannot start.
 var Failed = Namespace.NewType("failed")
 
 const (
-	// settleAtStop bounds the wait for settlements at the end.
-	settleAtStop = 10 * time.Second
-	// endEvents is how long callers' streams may take to get their last event
-	// after a stop's time ran out.
-	endEvents = 2 * time.Second
+	// stopSettlementTimeout bounds how long a stopping entry waits for control
+	// to accept outstanding settlements.
+	stopSettlementTimeout = 10 * time.Second
+	// finalEventTimeout bounds how long a stopping entry waits for cancelled
+	// streams to deliver their final event.
+	finalEventTimeout = 2 * time.Second
 )
 
-// Server is one entry.
+// Server is an entry that serves the native HTTP protocol.
 type Server struct {
-	host    *host.Host
-	engines *engineClient
-	records *recordStore
-	peers   *peers
-	claims  *claims
-	cancels *cancels
-	jobs    *jobs
-	app     *fiber.App
-	callers net.Listener
+	host           *host.Host
+	engines        *engineClient
+	records        *recordStore
+	peers          *peerClient
+	claims         *claimClient
+	cancels        *cancelScheduler
+	jobs           *jobRegistry
+	app            *fiber.App
+	callerListener net.Listener
 }
 
-// New makes an entry that listens but does not serve yet. Errors: Failed, and
-// those of package host.
+// New returns an entry that listens but does not serve yet. Errors: Failed and
+// the errors of package host.
 func New(set *settings.Entry, log *slog.Logger) (*Server, error) {
-	callers, err := net.Listen("tcp", set.CallerAddress)
+	listener, err := net.Listen("tcp", set.CallerAddress)
 	if err != nil {
 		return nil, Failed.Wrap(err, "caller_address")
 	}
-	h, err := host.New(set, log, callers.Addr().String())
+	h, err := host.New(set, log, listener.Addr().String())
 	if err != nil {
-		_ = callers.Close()
+		_ = listener.Close()
 		return nil, err
 	}
-	s := &Server{host: h, callers: callers}
-	s.assemble()
+	s := &Server{host: h, callerListener: listener}
+	s.initComponents()
 	return s, nil
 }
 
-func (s *Server) assemble() {
+func (s *Server) initComponents() {
 	h := s.host
-	h.Start(entry.Config{}, s.carryOut)
+	h.Start(entry.Config{}, s.applyEffect)
 	s.engines = newEngineClient()
 	s.records = newRecordStore()
-	s.jobs = newJobs()
-	s.cancels = newCancels(func(address string, req engineapi.CancelRequest) {
+	s.jobs = newJobRegistry()
+	s.cancels = newCancelScheduler(func(address string, req engineapi.CancelRequest) {
 		s.engines.cancel(address, req)
 	})
-	s.peers = &peers{
+	s.peers = &peerClient{
 		cluster: h.Settings.Cluster, identity: h.Identity, auth: h.Auth, http: h.Auth.Client(),
-		snapshot: h.Snapshot, log: h.Log, run: h.Spawn, clients: make(map[string]pb.Peer),
+		snapshot: h.Snapshot, log: h.Log, spawn: h.Spawn, clients: make(map[string]pb.Peer),
 	}
-	s.claims = newClaims(h.Control, h.Settings.Cluster)
+	s.claims = newClaimClient(h.Control, h.Settings.Cluster)
 	s.app = s.newApp()
 }
 
-// CallerAddress is where callers connect.
-func (s *Server) CallerAddress() string { return s.callers.Addr().String() }
+// CallerAddress returns the address on which callers connect.
+func (s *Server) CallerAddress() string { return s.callerListener.Addr().String() }
 
-// PeerAddress is where other entries connect and metrics are served.
+// PeerAddress returns the address on which other entries connect and metrics
+// are served.
 func (s *Server) PeerAddress() string { return s.host.PeerAddress() }
 
-// Run serves until ctx ends, then stops gracefully. Errors: those of package host.
+// Run serves until ctx ends, then stops gracefully. Errors: those of package
+// host.
 func (s *Server) Run(ctx context.Context) error {
 	return s.host.Run(ctx, host.Way{
 		Loops: []func(context.Context){
-			func(ctx context.Context) { s.peers.renew(ctx, s.records) },
+			func(ctx context.Context) { s.peers.runRenewals(ctx, s.records) },
 			func(ctx context.Context) { s.claims.runClaims(ctx, s.host.Spawn) },
 			s.claims.runSettlements,
 		},
-		Serve:    []func() error{func() error { return s.app.Listener(s.host.CallerListener(s.callers)) }},
+		Serve:    []func() error{func() error { return s.app.Listener(s.host.CallerListener(s.callerListener)) }},
 		Peers:    pb.NewPeerServer(peerService{s}),
-		LetGo:    s.letGo,
+		LetGo:    s.finishStop,
 		Shutdown: func(ctx context.Context) { _ = s.app.ShutdownWithContext(ctx) },
 	})
 }
 
-// Reload takes over settings that changed.
+// Reload applies changed settings.
 func (s *Server) Reload(set *settings.Entry) { s.host.Reload(set) }
 
-// letGo hands on the streams that still run and waits for settlements.
-func (s *Server) letGo() {
-	s.handOnStreams()
-	deadline := time.Now().Add(settleAtStop)
+// finishStop hands off the streams that still run and waits for settlements.
+func (s *Server) finishStop() {
+	s.handOffStreams()
+	deadline := time.Now().Add(stopSettlementTimeout)
 	for s.claims.unsettled() > 0 && time.Now().Before(deadline) {
 		time.Sleep(host.StopPoll)
 	}
 }
 
-// handOnStreams ends what still runs when the stop's time is over: each caller
-// gets an event that tells where to go on, and other entries know the request.
-func (s *Server) handOnStreams() {
+// handOffStreams cancels the requests that still run when the stop timeout
+// expires. Each caller gets an event that says where to resume; other entries
+// hold a copy of the stream's record.
+func (s *Server) handOffStreams() {
 	if n := s.jobs.count(); n > 0 {
-		s.host.Log.Warn("streams are handed on", "streams", n)
+		s.host.Log.Warn("stop timeout expired; handing off running streams", "streams", n)
 	}
 	s.jobs.cancelAll()
-	deadline := time.Now().Add(endEvents)
+	deadline := time.Now().Add(finalEventTimeout)
 	for s.host.OpenRequests() > 0 && time.Now().Before(deadline) {
 		time.Sleep(host.StopPoll)
 	}
 }
 
-// heard passes on what a backend server said of itself with an answer.
-func (s *Server) heard(server, incarnation string, word said) {
-	if word.incarnation != incarnation || word.state == "" {
+// reportServerStatus passes the status that a backend server attached to an
+// answer to the reducer. A status of another incarnation is dropped.
+func (s *Server) reportServerStatus(server, incarnation string, status serverStatus) {
+	if status.incarnation != incarnation || status.state == "" {
 		return
 	}
 	s.host.Post(entry.ServerReported{
-		Server: server, Incarnation: incarnation, State: word.state, Load: word.load, HasLoad: word.hasLoad,
-		FromResponse: true, SentAt: word.sentAt, Backpressure: word.word,
+		Server: server, Incarnation: incarnation, State: status.state, Load: status.load, HasLoad: status.hasLoad,
+		FromResponse: true, SentAt: status.sentAt, Backpressure: status.backpressure,
 	})
 }
--- a/internal/traffic/stream.go
+++ b/internal/traffic/stream.go
@@ -18,104 +18,105 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// maxEventBytes bounds one event of an engine's stream.
+// maxEventBytes bounds a line of an engine's event stream.
 const maxEventBytes = 1 << 20
 
 const (
-	// firstLimit is how long a new stream may take to show its first sign: two
-	// heartbeats.
-	firstLimit = time.Second
-	// rejoinLimit is that for a fresh connection to a stream that runs: the
-	// engine has tokens or a heartbeat for it at once. Together with the
-	// progressLimit that went before, a caller of a frozen engine waits 2.1 s
-	// and not the 3 s after which callers give a connection up.
-	rejoinLimit = 600 * time.Millisecond
+	// firstReadTimeout is how long a new stream may take to send its first
+	// bytes: two heartbeat intervals.
+	firstReadTimeout = time.Second
+	// reconnectReadTimeout is the same for a new connection to a running
+	// stream, on which the engine sends tokens or a heartbeat at once. Together
+	// with the streamIdleTimeout before it, a caller of a frozen engine waits
+	// 2.1 s. Callers give up on a connection after 3 s.
+	reconnectReadTimeout = 600 * time.Millisecond
 )
 
-// progressConn lets each read take progressLimit and no longer, the first one
-// firstRead. A connection can go silent for good while new ones work: without
-// the limit the stream would wait for ever, with it the entry opens a new one
-// and goes on there.
-type progressConn struct {
+// deadlineConn sets a deadline of streamIdleTimeout for each read and of
+// firstTimeout for the first. A connection can go silent for good while new
+// ones work. Without a deadline the stream would hang forever; with it, the
+// entry reconnects and continues.
+type deadlineConn struct {
 	net.Conn
-	firstRead time.Duration
-	begun     bool
+	firstTimeout time.Duration
+	hasRead      bool
 }
 
-func (c *progressConn) Read(p []byte) (int, error) {
-	limit := progressLimit
-	if !c.begun {
-		limit = c.firstRead
+func (c *deadlineConn) Read(p []byte) (int, error) {
+	timeout := streamIdleTimeout
+	if !c.hasRead {
+		timeout = c.firstTimeout
 	}
-	if err := c.Conn.SetReadDeadline(time.Now().Add(limit)); err != nil {
+	if err := c.Conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.begun = c.begun || n > 0
+	c.hasRead = c.hasRead || n > 0
 	return n, err
 }
 
-func newStreamClient(firstRead time.Duration) *fasthttp.Client {
+func newStreamClient(firstTimeout time.Duration) *fasthttp.Client {
 	c := newHTTPClient()
 	c.Dial = func(address string) (net.Conn, error) {
 		conn, err := dialServer(address)
 		if err != nil {
 			return nil, err
 		}
-		return &progressConn{Conn: conn, firstRead: firstRead}, nil
+		return &deadlineConn{Conn: conn, firstTimeout: firstTimeout}, nil
 	}
 	c.StreamResponseBody = true
 	c.MaxResponseBodySize = 0
-	c.WriteTimeout = progressLimit
+	c.WriteTimeout = streamIdleTimeout
 	return c
 }
 
-// engineStream is one connection that brings a request's tokens.
+// engineStream is a connection on which an engine streams a request's tokens.
 type engineStream struct {
-	resp   *fasthttp.Response
-	reader *bufio.Reader
-	status int
-	said   said
-	wireID string
-	// attempt is the engine's.
+	resp         *fasthttp.Response
+	reader       *bufio.Reader
+	status       int
+	serverStatus serverStatus
+	wireID       string
+	// attempt is the attempt number that the engine knows.
 	attempt uint32
 }
 
-// openStream sends a request on a fresh connection and reads the answer's head.
-// Errors: NotSent, Broken.
+// openStream sends a request on a fresh connection and reads the response
+// headers. Errors: httpconn.NotSent, httpconn.Broken.
 func (c *engineClient) openStream(address string, req engineapi.CompletionRequest) (*engineStream, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return nil, err
 	}
-	return stream(c.streams, fasthttp.MethodPost, "http://"+address+engineapi.PathCompletions, body, req.RequestID, req.Attempt)
+	return openEngineStream(c.streams, fasthttp.MethodPost, "http://"+address+engineapi.PathCompletions, body, req.RequestID, req.Attempt)
 }
 
-// rejoinStream goes on with a stream that the engine runs. Errors: NotSent, Broken.
-func (c *engineClient) rejoinStream(address, wireID string, attempt uint32, from int) (*engineStream, error) {
+// reconnectStream connects to a stream that runs at the engine, from an offset
+// on. Errors: httpconn.NotSent, httpconn.Broken.
+func (c *engineClient) reconnectStream(address, wireID string, attempt uint32, from int) (*engineStream, error) {
 	query := "?attempt=" + strconv.FormatUint(uint64(attempt), 10) + "&from=" + strconv.Itoa(from)
 	uri := "http://" + address + engineapi.PathStreams + url.PathEscape(wireID) + query
-	return stream(c.rejoins, fasthttp.MethodGet, uri, nil, wireID, attempt)
+	return openEngineStream(c.reconnects, fasthttp.MethodGet, uri, nil, wireID, attempt)
 }
 
-func stream(client *fasthttp.Client, method, uri string, body []byte, wireID string, attempt uint32) (*engineStream, error) {
+func openEngineStream(client *fasthttp.Client, method, uri string, body []byte, wireID string, attempt uint32) (*engineStream, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(method)
 	req.SetRequestURI(uri)
 	req.SetConnectionClose()
-	setIdentity(&req.Header, wireID, attempt)
+	setAttemptHeaders(&req.Header, wireID, attempt)
 	if body != nil {
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	sent := clock.Boot()
+	sentAt := clock.Boot()
 	if err := client.Do(req, resp); err != nil {
 		fasthttp.ReleaseResponse(resp)
 		return nil, httpconn.Classify(err)
 	}
 	s := &engineStream{
-		resp: resp, status: resp.StatusCode(), said: readSaid(&resp.Header, sent), wireID: wireID, attempt: attempt,
+		resp: resp, status: resp.StatusCode(), serverStatus: readServerStatus(&resp.Header, sentAt), wireID: wireID, attempt: attempt,
 	}
 	if body := resp.BodyStream(); body != nil {
 		s.reader = bufio.NewReader(body)
@@ -125,7 +126,7 @@
 	return s, nil
 }
 
-func setIdentity(h *fasthttp.RequestHeader, wireID string, attempt uint32) {
+func setAttemptHeaders(h *fasthttp.RequestHeader, wireID string, attempt uint32) {
 	h.Set(outcome.HeaderRequestID, wireID)
 	h.Set(outcome.HeaderAttempt, strconv.FormatUint(uint64(attempt), 10))
 }
@@ -135,10 +136,11 @@
 	fasthttp.ReleaseResponse(s.resp)
 }
 
-// next gives the next chunk, heartbeats included; done at the end marker.
-// Errors: Broken; Mixed for a chunk of another request or attempt.
+// next returns the next chunk, heartbeats included; done is true at the end
+// marker. Errors: httpconn.Broken; httpconn.Mixed for a chunk of another
+// request or attempt.
 func (s *engineStream) next() (chunk engineapi.Chunk, done bool, err error) {
-	data, err := s.event()
+	data, err := s.readEvent()
 	if err != nil {
 		return chunk, false, err
 	}
@@ -148,21 +150,21 @@
 	if err := json.Unmarshal(data, &chunk); err != nil {
 		return chunk, false, httpconn.Broken.Wrap(err, "chunk")
 	}
-	// A late chunk of an older attempt, or one of another request, must not
-	// get into this answer: the caller would read another's text.
+	// A late chunk of an earlier attempt, or a chunk of another request, must
+	// not get into this answer: the caller would read text that is not its own.
 	if chunk.RequestID != s.wireID || chunk.Attempt != s.attempt {
 		return chunk, false, httpconn.Mixed.New("chunk of another request or attempt")
 	}
 	return chunk, false, nil
 }
 
-// event reads one server-sent event and gives its data.
-func (s *engineStream) event() ([]byte, error) {
+// readEvent reads one server-sent event and returns its data.
+func (s *engineStream) readEvent() ([]byte, error) {
 	var data []byte
 	for {
 		line, err := s.reader.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			line, err = s.longLine(line)
+			line, err = s.readLongLine(line)
 		}
 		if err != nil {
 			return nil, httpconn.Broken.Wrap(err, "stream")
@@ -180,7 +182,7 @@
 	}
 }
 
-func (s *engineStream) longLine(start []byte) ([]byte, error) {
+func (s *engineStream) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
 	for len(line) < maxEventBytes {
 		part, err := s.reader.ReadSlice('\n')
