--- a/cmd/goldcrest-control/main.go
+++ b/cmd/goldcrest-control/main.go
@@ -52,7 +52,7 @@
 		return cli.Invalid(findings)
 	}
 	cli.LimitMemory(s.MemoryMB)
-	out := obs.NewBounded(os.Stdout)
+	out := obs.NewNonBlockingWriter(os.Stdout)
 	defer out.Close()
 	log := obs.NewLogger(out, s.Name, s.Log)
 	ctx := cli.Stopped(cmd.Context())
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -11,7 +11,7 @@
 //
 // The host opens the data folder with store.Open, puts its state back from
 // Recovered.Initial.SnapshotData if there is any, and calls NewNode with
-// Recovered.Initial. One goroutine owns the Node. Time is clock.Boot. Effects
+// Recovered.Initial. One goroutine owns the Node. Time is clock.SinceBoot. Effects
 // are carried out in order:
 //
 //   - Send: hand it to the network. A message may be lost, doubled or late; what
@@ -38,6 +38,6 @@
 //
 // A proposal is decided once Apply shows its index: with its term it went in,
 // with another it did not. LeaseUntil is read before an action that needs the
-// lease, which counts only while clock.Boot is lower; a read that needs no lease
+// lease, which counts only while clock.SinceBoot is lower; a read that needs no lease
 // uses ReadIndex and waits until the state is applied up to its index.
 package consensus
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -151,7 +151,7 @@
 // byIncarnation finds the server in that life, or nil.
 func (s *State) byIncarnation(life string) *server {
 	for _, sv := range s.sortedServers() {
-		if incarnation.Covers(life, sv.told.GetIncarnation()) {
+		if incarnation.Matches(life, sv.told.GetIncarnation()) {
 			return sv
 		}
 	}
--- a/internal/control/runner/duties_test.go
+++ b/internal/control/runner/duties_test.go
@@ -27,11 +27,11 @@
 	defer s.Close()
 	d := newDutyCaller(nil, strings.TrimPrefix(s.URL, "http://"), nil)
 	call := control.DutyCall{Duty: control.DutyUsage, Usage: &pb.UsageWindow{Window: 1}, Timeout: time.Second}
-	call.LeaseUntil = clock.Boot() - time.Millisecond
+	call.LeaseUntil = clock.SinceBoot() - time.Millisecond
 	if result, _ := d.deliver(call); result != control.DutyBusy || calls.Load() != 0 {
 		t.Errorf("outside of the lease: %s, %d calls", result, calls.Load())
 	}
-	call.LeaseUntil = clock.Boot() + time.Minute
+	call.LeaseUntil = clock.SinceBoot() + time.Minute
 	if result, _ := d.deliver(call); result != control.DutyUnanswered || calls.Load() != 1 {
 		t.Errorf("inside the lease: %s, %d calls", result, calls.Load())
 	}
--- a/internal/control/runner/engines.go
+++ b/internal/control/runner/engines.go
@@ -172,7 +172,7 @@
 
 // Write writes while the lease lasts. Errors: LeaseOver.
 func (c *guardedConn) Write(p []byte) (int, error) {
-	if clock.Boot() >= c.guard.until {
+	if clock.SinceBoot() >= c.guard.until {
 		return 0, LeaseOver.New("this leader's lease has run out")
 	}
 	c.guard.noteWrite()
--- a/internal/control/runner/engines_test.go
+++ b/internal/control/runner/engines_test.go
@@ -32,11 +32,11 @@
 		_ = json.NewEncoder(w).Encode(engineapi.OrderAnswer{ID: "o1", Result: engineapi.OrderDone})
 	}))
 	defer engine.Close()
-	_, notSent, err := deliver(nativeOrders{}, orderTo(engine, clock.Boot()-time.Millisecond))
+	_, notSent, err := deliver(nativeOrders{}, orderTo(engine, clock.SinceBoot()-time.Millisecond))
 	if err == nil || !notSent || got.Load() != 0 {
 		t.Errorf("after the lease: not sent %v, error %v, the engine got %d", notSent, err, got.Load())
 	}
-	answer, _, err := deliver(nativeOrders{}, orderTo(engine, clock.Boot()+time.Minute))
+	answer, _, err := deliver(nativeOrders{}, orderTo(engine, clock.SinceBoot()+time.Minute))
 	if err != nil || answer.Result != engineapi.OrderDone || got.Load() != 1 {
 		t.Errorf("within the lease: %v, error %v, the engine got %d", answer, err, got.Load())
 	}
@@ -54,7 +54,7 @@
 		}
 	}))
 	defer engine.Close()
-	_, notSent, err := deliver(nativeOrders{}, orderTo(engine, clock.Boot()+time.Minute))
+	_, notSent, err := deliver(nativeOrders{}, orderTo(engine, clock.SinceBoot()+time.Minute))
 	if err == nil || notSent || got.Load() != 1 {
 		t.Errorf("not sent %v, error %v, the engine got %d", notSent, err, got.Load())
 	}
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	_ = gone.Close()
-	order := orderTo(engine, clock.Boot()+time.Minute)
+	order := orderTo(engine, clock.SinceBoot()+time.Minute)
 	order.Address = gone.Addr().String()
 	if _, notSent, err := deliver(nativeOrders{}, order); err == nil || !notSent {
 		t.Errorf("nobody listens: not sent %v, error %v", notSent, err)
@@ -76,7 +76,7 @@
 		engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(body))
 		}))
-		if answer, _, err := deliver(nativeOrders{}, orderTo(engine, clock.Boot()+time.Minute)); err == nil {
+		if answer, _, err := deliver(nativeOrders{}, orderTo(engine, clock.SinceBoot()+time.Minute)); err == nil {
 			t.Errorf("%q was taken as %v", body, answer)
 		}
 		engine.Close()
--- a/internal/control/runner/loop.go
+++ b/internal/control/runner/loop.go
@@ -138,7 +138,7 @@
 }
 
 func (l *loop) step(ev control.Event) {
-	for _, eff := range l.reducer.Step(clock.Boot(), ev) {
+	for _, eff := range l.reducer.Step(clock.SinceBoot(), ev) {
 		l.carryOut(eff)
 	}
 }
--- a/internal/control/runner/runner.go
+++ b/internal/control/runner/runner.go
@@ -172,7 +172,7 @@
 	wg.Go(r.loop.disk.run)
 	wg.Go(func() { r.join(serving) })
 	wg.Go(func() {
-		if err := r.server.Serve(listen.Bound(listener, 0, r.log)); err != http.ErrServerClosed {
+		if err := r.server.Serve(listen.LimitListener(listener, 0, r.log)); err != http.ErrServerClosed {
 			r.loop.fail(Failed.Wrap(err, "serve"))
 		}
 	})
--- a/internal/control/runner/words.go
+++ b/internal/control/runner/words.go
@@ -188,7 +188,7 @@
 
 // heardByLeader tells whether the leader takes this replica's reports.
 func (w *wordRelay) heardByLeader() bool {
-	return w.takenAt > 0 && clock.Boot() < w.takenAt+wordsTrusted
+	return w.takenAt > 0 && clock.SinceBoot() < w.takenAt+wordsTrusted
 }
 
 func (w *wordRelay) taken(leader string, a *pb.Announcement, sequence uint64) {
@@ -227,7 +227,7 @@
 // report tells the leader which servers were heard again.
 func (w *wordRelay) report(ctx context.Context, leader string) {
 	heard := w.heardAgain(leader)
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	ctx, cancel := context.WithTimeout(ctx, callersWait)
 	defer cancel()
 	client := pb.NewControlProtobufClient(w.auth.URL(leader), w.http)
@@ -297,7 +297,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.reporters[address] = clock.Boot()
+	w.reporters[address] = clock.SinceBoot()
 }
 
 // replicaFor gives the replica that is to take a server's next words: this one, but where it
@@ -311,7 +311,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for address, at := range w.reporters {
-		if clock.Boot() >= at+wordsTrusted {
+		if clock.SinceBoot() >= at+wordsTrusted {
 			delete(w.reporters, address)
 			continue
 		}
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -10,7 +10,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Work is one request as the decisions see it. Times are since boot (clock.Boot).
+// Work is one request as the decisions see it. Times are since boot (clock.SinceBoot).
 type Work struct {
 	RequestID string
 	Member    string
--- a/internal/enginemodel/advance.go
+++ b/internal/enginemodel/advance.go
@@ -34,18 +34,18 @@
 	if prefilling && decoding {
 		prefill, decode = s.prefillBoth, s.decodeBoth
 	}
-	return prefill / e.cfg.Slow, decode / e.cfg.Slow
+	return prefill / e.cfg.Slowdown, decode / e.cfg.Slowdown
 }
 
-// NextAt is when the engine's state changes next of itself: a prefill, a
+// NextEventAt is when the engine's state changes next of itself: a prefill, a
 // stream, an import or a change of role ends. Never when nothing goes on.
-func (e *Engine) NextAt() time.Duration { return e.nextAt(e.pace()) }
+func (e *Engine) NextEventAt() time.Duration { return e.nextEventAt(e.pace()) }
 
 // NextTokenAt is when the next token comes of those streams that decode now, or
-// NextAt when that is earlier.
+// NextEventAt when that is earlier.
 func (e *Engine) NextTokenAt() time.Duration {
 	p := e.pace()
-	next := e.nextAt(p)
+	next := e.nextEventAt(p)
 	for _, s := range e.order {
 		if s.decoding(e.now) {
 			missing := float64(int(s.produced+tiny)+1) - s.produced
@@ -55,9 +55,9 @@
 	return next
 }
 
-func (e *Engine) nextAt(p pace) time.Duration {
+func (e *Engine) nextEventAt(p pace) time.Duration {
 	next := Never
-	if e.Changing() {
+	if e.ChangingRole() {
 		next = e.done
 	}
 	if p.prefill != nil {
@@ -83,7 +83,7 @@
 	e.out = e.out[:0]
 	for e.now < now {
 		p := e.pace()
-		until := min(now, max(e.nextAt(p), e.now+1))
+		until := min(now, max(e.nextEventAt(p), e.now+1))
 		e.progress(p, until)
 		e.settle()
 	}
@@ -117,9 +117,9 @@
 
 // settle takes in what ended at e.now.
 func (e *Engine) settle() {
-	if e.Changing() && e.now >= e.done {
+	if e.ChangingRole() && e.now >= e.done {
 		e.role, e.next = e.next, ""
-		e.cache = newCache(e.cfg.CacheTokens, e.cfg.RecordCache)
+		e.cache = newCache(e.cfg.CacheTokens, e.cfg.RecordCacheEvents)
 	}
 	for i := 0; i < len(e.order); i++ {
 		s := e.order[i]
@@ -152,7 +152,7 @@
 	}
 	e.out = append(e.out, Progress{
 		ID: s.req.ID, Tokens: produced - s.reported, Finished: finished,
-		FirstAt: s.firstAt, LastAt: e.now,
+		FirstTokenAt: s.firstAt, LastTokenAt: e.now,
 	})
 	s.reported = produced
 }
--- a/internal/enginemodel/config.go
+++ b/internal/enginemodel/config.go
@@ -32,16 +32,16 @@
 	KVTokens int
 	// CacheTokens bounds the prefix cache.
 	CacheTokens int
-	// KVRate is tokens/s of KV cache import.
-	KVRate float64
-	// ChangeTime is how long a change of role takes.
-	ChangeTime time.Duration
+	// KVImportRate is tokens/s of KV cache import.
+	KVImportRate float64
+	// RoleChangeTime is how long a change of role takes.
+	RoleChangeTime time.Duration
 	// LoadLag is how old the load is that Load tells.
 	LoadLag time.Duration
-	// Slow divides all rates; 1 is a healthy engine.
-	Slow float64
-	// RecordCache keeps cache events for CacheEvents.
-	RecordCache bool
+	// Slowdown divides all rates; 1 is a healthy engine.
+	Slowdown float64
+	// RecordCacheEvents keeps cache events for CacheEvents.
+	RecordCacheEvents bool
 }
 
 // Defaults: an engine with one accelerator and a model of some ten thousand
@@ -54,10 +54,10 @@
 	// DefaultKVTokens holds twenty dossiers of 30,000 tokens.
 	DefaultKVTokens    = 600000
 	DefaultCacheTokens = 200000
-	// DefaultKVRate is 160 kB a token over 25 Gbit/s.
-	DefaultKVRate     = 20000
-	DefaultChangeTime = 5 * time.Second
-	DefaultLoadLag    = time.Second
+	// DefaultKVImportRate is 160 kB a token over 25 Gbit/s.
+	DefaultKVImportRate   = 20000
+	DefaultRoleChangeTime = 5 * time.Second
+	DefaultLoadLag        = time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -67,10 +67,10 @@
 	setDefault(&c.Slots, DefaultSlots)
 	setDefault(&c.KVTokens, DefaultKVTokens)
 	setDefault(&c.CacheTokens, DefaultCacheTokens)
-	setDefault(&c.KVRate, DefaultKVRate)
-	setDefault(&c.ChangeTime, DefaultChangeTime)
+	setDefault(&c.KVImportRate, DefaultKVImportRate)
+	setDefault(&c.RoleChangeTime, DefaultRoleChangeTime)
 	setDefault(&c.LoadLag, DefaultLoadLag)
-	setDefault(&c.Slow, 1)
+	setDefault(&c.Slowdown, 1)
 	return c
 }
 
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -49,15 +49,15 @@
 	cfg = cfg.withDefaults()
 	return &Engine{
 		cfg: cfg, role: role, now: now, byID: make(map[string]*stream),
-		cache: newCache(cfg.CacheTokens, cfg.RecordCache), exports: make(map[string]int),
+		cache: newCache(cfg.CacheTokens, cfg.RecordCacheEvents), exports: make(map[string]int),
 	}
 }
 
 // Role is the present role, the old one while a change goes on.
 func (e *Engine) Role() engineapi.Role { return e.role }
 
-// Changing tells whether a change of role goes on.
-func (e *Engine) Changing() bool { return e.next != "" }
+// ChangingRole tells whether a change of role goes on.
+func (e *Engine) ChangingRole() bool { return e.next != "" }
 
 // Len is the number of requests at the engine.
 func (e *Engine) Len() int { return len(e.order) }
@@ -65,20 +65,20 @@
 // Config gives the configuration with its defaults filled in.
 func (e *Engine) Config() Config { return e.cfg }
 
-// SetSlow changes the factor by which the engine is slower than a healthy one.
-func (e *Engine) SetSlow(factor float64) { e.cfg.Slow = max(1, factor) }
+// SetSlowdown changes the factor by which the engine is slower than a healthy one.
+func (e *Engine) SetSlowdown(factor float64) { e.cfg.Slowdown = max(1, factor) }
 
 // Submit takes a request; time must have been advanced to now. Errors:
 // Changing, Duplicate.
 func (e *Engine) Submit(now time.Duration, r Request) error {
-	if e.Changing() {
+	if e.ChangingRole() {
 		return Changing.New("to %s", e.next)
 	}
 	if e.byID[r.ID] != nil {
 		return Duplicate.New("%s", r.ID)
 	}
 	e.seq++
-	s := newStream(now, r, e.seq, e.cache.held(r.Salt, r.Prefix), e.cfg.KVRate)
+	s := newStream(now, r, e.seq, e.cache.held(r.Salt, r.Prefix), e.cfg.KVImportRate)
 	e.byID[r.ID] = s
 	e.order = insert(e.order, s)
 	e.fill()
@@ -106,23 +106,23 @@
 	return tokens, ok
 }
 
-// Release forgets the KV cache of a finished PrefillOnly request.
-func (e *Engine) Release(id string) { delete(e.exports, id) }
+// ReleaseKV forgets the KV cache of a finished PrefillOnly request.
+func (e *Engine) ReleaseKV(id string) { delete(e.exports, id) }
 
 // SetRole begins a change of role. Errors: Changing, Busy.
 func (e *Engine) SetRole(now time.Duration, role engineapi.Role) error {
-	if e.Changing() {
+	if e.ChangingRole() {
 		return Changing.New("to %s", e.next)
 	}
 	if len(e.order) > 0 {
 		return Busy.New("%d requests", len(e.order))
 	}
-	e.next, e.done = role, now+e.cfg.ChangeTime
+	e.next, e.done = role, now+e.cfg.RoleChangeTime
 	return nil
 }
 
 // CacheEvents gives the cache events after a sequence number; without
-// Config.RecordCache there are none.
+// Config.RecordCacheEvents there are none.
 func (e *Engine) CacheEvents(after uint64) engineapi.CacheEvents { return e.cache.after(after) }
 
 // fill gives free slots to waiting requests in order. One whose KV cache does
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -14,14 +14,14 @@
 func run(t *testing.T, e *Engine) (map[string]int, map[string]time.Duration) {
 	t.Helper()
 	tokens, ends := map[string]int{}, map[string]time.Duration{}
-	for i := 0; e.NextAt() != Never; i++ {
+	for i := 0; e.NextEventAt() != Never; i++ {
 		if i > 100000 {
 			t.Fatal("does not end")
 		}
-		for _, p := range e.Advance(e.NextAt()) {
+		for _, p := range e.Advance(e.NextEventAt()) {
 			tokens[p.ID] += p.Tokens
 			if p.Finished {
-				ends[p.ID] = p.LastAt
+				ends[p.ID] = p.LastTokenAt
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 	d := New(0, Config{}, engineapi.RoleDecode)
 	submit(t, d, 0, Request{ID: "a", PromptTokens: 20000, OutputTokens: 101, GeneratedTokens: 1, KVImported: true})
 	tokens, ends = run(t, d)
-	near(t, "import and decode", ends["a"], 20001*time.Second/DefaultKVRate+100*20500*time.Microsecond)
+	near(t, "import and decode", ends["a"], 20001*time.Second/DefaultKVImportRate+100*20500*time.Microsecond)
 	if tokens["a"] != 100 {
 		t.Fatalf("%d tokens", tokens["a"])
 	}
@@ -89,7 +89,7 @@
 }
 
 func TestCacheShortensPrefillWithinASaltOnly(t *testing.T) {
-	e := New(0, Config{RecordCache: true, CacheTokens: 256 * 10}, engineapi.RolePrefill)
+	e := New(0, Config{RecordCacheEvents: true, CacheTokens: 256 * 10}, engineapi.RolePrefill)
 	chain := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	ask := func(id, salt string, chain []uint64) time.Duration {
 		start := e.now
@@ -122,9 +122,9 @@
 	if err := e.Submit(start, Request{ID: "b"}); !errorx.IsOfType(err, Changing) {
 		t.Fatalf("while changing: %v", err)
 	}
-	e.Advance(start + DefaultChangeTime)
-	if e.Role() != engineapi.RoleDecode || e.Changing() {
-		t.Fatalf("role %s, changing %v", e.Role(), e.Changing())
+	e.Advance(start + DefaultRoleChangeTime)
+	if e.Role() != engineapi.RoleDecode || e.ChangingRole() {
+		t.Fatalf("role %s, changing %v", e.Role(), e.ChangingRole())
 	}
 }
 
--- a/internal/enginemodel/stream.go
+++ b/internal/enginemodel/stream.go
@@ -32,9 +32,9 @@
 	Tokens int
 	// Finished: nothing more comes.
 	Finished bool
-	// FirstAt is when the first of the attempt's tokens came, and LastAt when
+	// FirstTokenAt is when the first of the attempt's tokens came, and LastTokenAt when
 	// the last token so far did.
-	FirstAt, LastAt time.Duration
+	FirstTokenAt, LastTokenAt time.Duration
 }
 
 // tiny is below any real remainder of a token; it takes up rounding.
--- a/internal/host/alive.go
+++ b/internal/host/alive.go
@@ -18,23 +18,23 @@
 // up to some 20 ms at 0.19 of a core, and who asks for readiness asks once a second.
 const aliveWithin = time.Second
 
-// NotReady is why an entry can't serve callers.
-type NotReady string
+// NotReadyReason is why an entry can't serve callers.
+type NotReadyReason string
 
-// Reasons of NotReady; the empty one is that of a ready entry.
+// Reasons of NotReadyReason; the empty one is that of a ready entry.
 const (
-	NoConfiguration NotReady = "no configuration"
-	ControlStill    NotReady = "the control goroutine stands still"
-	ListenerStill   NotReady = "callers' connections are not taken"
+	NoConfiguration    NotReadyReason = "no configuration"
+	ControlLoopStalled NotReadyReason = "the control goroutine stands still"
+	AcceptLoopStalled  NotReadyReason = "callers' connections are not taken"
 )
 
-// NotReady tells why this entry can't serve callers now, empty if it can. Each change is
+// NotReadyReason tells why this entry can't serve callers now, empty if it can. Each change is
 // logged.
 //
 // Failure: an entry that holds a configuration and decides nothing any more, or takes no
 // connections, would say that it is ready for ever and draw callers that nobody answers.
-func (h *Host) NotReady() NotReady {
-	why := h.notReady()
+func (h *Host) NotReadyReason() NotReadyReason {
+	why := h.notReadyReason()
 	if last := h.lastNotReady.Swap(&why); last == nil || *last != why {
 		h.Log.Info(obs.LineReadiness, "ready", why == "", "reason", string(why),
 			"event_ms", h.loop.busyFor().Milliseconds(), "hand_over_ms", h.callers.busyFor().Milliseconds())
@@ -42,14 +42,14 @@
 	return why
 }
 
-func (h *Host) notReady() NotReady {
+func (h *Host) notReadyReason() NotReadyReason {
 	switch {
 	case !h.Snapshot().Ready():
 		return NoConfiguration
 	case h.loop.busyFor() > aliveWithin:
-		return ControlStill
+		return ControlLoopStalled
 	case h.callers.busyFor() > aliveWithin:
-		return ListenerStill
+		return AcceptLoopStalled
 	default:
 		return ""
 	}
@@ -68,7 +68,7 @@
 	if since == 0 {
 		return 0
 	}
-	return max(0, clock.Boot()-since)
+	return max(0, clock.SinceBoot()-since)
 }
 
 // CallerListener gives the connections of the listener for callers: writes to them are
@@ -92,7 +92,7 @@
 func (l *callerListener) Accept() (net.Conn, error) {
 	l.handOver.end()
 	conn, err := l.Listener.Accept()
-	l.handOver.begin(clock.Boot())
+	l.handOver.begin(clock.SinceBoot())
 	if err == nil {
 		l.accepted.Inc(1)
 	}
--- a/internal/host/alive_test.go
+++ b/internal/host/alive_test.go
@@ -33,14 +33,14 @@
 	return h
 }
 
-func untilNotReady(t *testing.T, h *Host, want NotReady) {
+func untilNotReady(t *testing.T, h *Host, want NotReadyReason) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if h.NotReady() == want {
+		if h.NotReadyReason() == want {
 			return
 		}
 	}
-	t.Fatalf("still %q, want %q", h.NotReady(), want)
+	t.Fatalf("still %q, want %q", h.NotReadyReason(), want)
 }
 
 // The control goroutine of an entry waits for something that never comes: no request is
@@ -56,7 +56,7 @@
 	untilNotReady(t, h, "")
 	// Without a view the reducer refuses it, and the line of that is carried out.
 	h.Post(entry.RequestArrived{})
-	untilNotReady(t, h, ControlStill)
+	untilNotReady(t, h, ControlLoopStalled)
 	close(goOn)
 	// The reducer itself has learned none, and says so as soon as it goes on.
 	untilNotReady(t, h, NoConfiguration)
@@ -85,10 +85,10 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if why := h.NotReady(); why != "" {
+	if why := h.NotReadyReason(); why != "" {
 		t.Fatalf("not ready at once: %s", why)
 	}
-	untilNotReady(t, h, ListenerStill)
+	untilNotReady(t, h, AcceptLoopStalled)
 	go func() { _, _ = ln.Accept() }()
 	untilNotReady(t, h, "")
 }
@@ -105,8 +105,8 @@
 			h := newHost(t, func(entry.Effect) {})
 			ran := make(chan error, 1)
 			go func() {
-				ran <- h.Run(context.Background(), Way{
-					Serve: []func() error{serve}, LetGo: func() {}, Shutdown: func(context.Context) {},
+				ran <- h.Run(context.Background(), Frontend{
+					Serve: []func() error{serve}, CancelRequests: func() {}, Shutdown: func(context.Context) {},
 				})
 			}()
 			select {
@@ -128,7 +128,7 @@
 	if b.busyFor() != 0 {
 		t.Fatal("busy before anything began")
 	}
-	b.begin(clock.Boot() - time.Minute)
+	b.begin(clock.SinceBoot() - time.Minute)
 	if took := b.busyFor(); took < time.Minute {
 		t.Fatalf("busy for %v of a minute", took)
 	}
--- a/internal/host/control.go
+++ b/internal/host/control.go
@@ -19,17 +19,17 @@
 const (
 	// metaLeader is the key under which a replica names the leader.
 	metaLeader = "leader"
-	// ControlPause is the wait after the first try where no replica leads; it grows by
+	// ControlRetryDelay is the wait after the first try where no replica leads; it grows by
 	// pauseGrowth with each further one up to maxControlPause.
-	ControlPause    = 30 * time.Millisecond
-	pauseGrowth     = 1.3
-	maxControlPause = 300 * time.Millisecond
+	ControlRetryDelay = 30 * time.Millisecond
+	pauseGrowth       = 1.3
+	maxControlPause   = 300 * time.Millisecond
 	// avoidSilent is how long a replica that gave no answer is not gone back to
 	// on another one's word: about an election.
 	avoidSilent = time.Second
-	// ControlTry bounds one try of a short call. A replica whose connection has
+	// ControlAttemptTimeout bounds one try of a short call. A replica whose connection has
 	// gone silent costs this much before another one is asked.
-	ControlTry = 500 * time.Millisecond
+	ControlAttemptTimeout = 500 * time.Millisecond
 )
 
 // ControlClient calls the control replica that leads.
@@ -54,8 +54,8 @@
 	}
 }
 
-// Learn takes the addresses that the view names beside those of the settings.
-func (c *ControlClient) Learn(addresses []string) {
+// AddAddresses takes the addresses that the view names beside those of the settings.
+func (c *ControlClient) AddAddresses(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range addresses {
@@ -137,7 +137,7 @@
 
 // pauseAfter is the least wait after a try that failed, the first being 0.
 func pauseAfter(try int) time.Duration {
-	pause := float64(ControlPause) * math.Pow(pauseGrowth, float64(try))
+	pause := float64(ControlRetryDelay) * math.Pow(pauseGrowth, float64(try))
 	return time.Duration(min(float64(maxControlPause), pause))
 }
 
--- a/internal/host/decisionlog.go
+++ b/internal/host/decisionlog.go
@@ -88,7 +88,7 @@
 		figures = append(figures, slog.Float64(f.Name, f.Value))
 	}
 	attrs = append(attrs, slog.Group("figures", figures...))
-	h.Log.LogAttrs(h.Background, slog.LevelInfo, obs.LineDecision, attrs...)
+	h.Log.LogAttrs(h.TaskContext, slog.LevelInfo, obs.LineDecision, attrs...)
 }
 
 // CountDecision counts a line under names that always have the same labels: the
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -33,14 +33,14 @@
 var Failed = Namespace.NewType("failed")
 
 const (
-	// LeaveSpread is how long a leaving entry may still stand in other
+	// AddressPropagation is how long a leaving entry may still stand in other
 	// entries' address answers: a poll, a report and a view.
-	LeaveSpread = 2 * time.Second
+	AddressPropagation = 2 * time.Second
 	// answerSlack is how long after the last answer with this entry has run out its callers
 	// may still come: a request and its connection are under way.
 	answerSlack = 500 * time.Millisecond
-	// StopPoll is how often a stopping entry looks whether it is done.
-	StopPoll = 20 * time.Millisecond
+	// StopPollInterval is how often a stopping entry looks whether it is done.
+	StopPollInterval = 20 * time.Millisecond
 	// closeTimeout bounds the closing of the listeners, after all requests have
 	// ended: it is there for connections that idle.
 	closeTimeout = 800 * time.Millisecond
@@ -61,9 +61,9 @@
 	Metrics  *obs.Metrics
 	Auth     *rpc.Auth
 	Control  *ControlClient
-	// Background ends when the entry must let go of what still runs.
-	Background  context.Context
-	letGo       context.CancelFunc
+	// TaskContext ends when the entry must let go of what still runs.
+	TaskContext context.Context
+	cancelTasks context.CancelFunc
 	loop        *loop
 	decisions   *decisionLog
 	peerReports *peerReports
@@ -71,7 +71,7 @@
 	others      net.Listener
 	// callers is the hand-over of callers' connections.
 	callers      busy
-	lastNotReady atomic.Pointer[NotReady]
+	lastNotReady atomic.Pointer[NotReadyReason]
 	// watchFailures thins the lines of polls without an answer.
 	watchFailures rate.Sometimes
 }
@@ -85,8 +85,8 @@
 	}
 	h := &Host{Settings: set, Log: log, Auth: auth, Metrics: obs.NewMetrics("goldcrest_entry")}
 	auth.Count(h.Metrics.Scope)
-	h.Background, h.letGo = context.WithCancel(context.Background())
-	if h.others, err = auth.Listen(h.Background, set.PeerAddress); err != nil {
+	h.TaskContext, h.cancelTasks = context.WithCancel(context.Background())
+	if h.others, err = auth.Listen(h.TaskContext, set.PeerAddress); err != nil {
 		return nil, Failed.Wrap(err, "peer_address")
 	}
 	h.Identity = &pb.EntryIdentity{
@@ -110,7 +110,7 @@
 }
 
 // epoch is how long after the start of 1970 the VM was booted, by its wall clock now.
-func epoch() time.Duration { return time.Duration(time.Now().UnixNano()) - clock.Boot() }
+func epoch() time.Duration { return time.Duration(time.Now().UnixNano()) - clock.SinceBoot() }
 
 func (h *Host) carryOut(e entry.Effect, rest func(entry.Effect)) {
 	switch e := e.(type) {
@@ -127,17 +127,17 @@
 	case entry.RequestPermit:
 		h.Spawn(func() { h.peerReports.askPermit(e) })
 	case entry.RequestSum:
-		h.Spawn(func() { h.RefreshPeers(h.Background) })
+		h.Spawn(func() { h.RefreshPeerSum(h.TaskContext) })
 	default:
 		rest(e)
 	}
 }
 
 func (h *Host) sendReport(req *pb.ReportRequest) {
-	ctx, cancel := context.WithTimeout(h.Background, reportTimeout)
+	ctx, cancel := context.WithTimeout(h.TaskContext, reportTimeout)
 	defer cancel()
 	var resp *pb.ReportResponse
-	err := h.Control.Call(ctx, ControlTry, func(ctx context.Context, c pb.Control) error {
+	err := h.Control.Call(ctx, ControlAttemptTimeout, func(ctx context.Context, c pb.Control) error {
 		var err error
 		resp, err = c.Report(ctx, req)
 		return err
@@ -152,11 +152,11 @@
 // Post hands an event to the reducer. After the end it does nothing.
 func (h *Host) Post(ev entry.Event) { h.loop.post(ev) }
 
-// Open gives the mailbox of a request; Close must follow.
-func (h *Host) Open(id string) <-chan entry.Effect { return h.loop.open(id) }
+// OpenMailbox gives the mailbox of a request; CloseMailbox must follow.
+func (h *Host) OpenMailbox(id string) <-chan entry.Effect { return h.loop.open(id) }
 
-// Close drops the mailbox of a request.
-func (h *Host) Close(id string) { h.loop.close(id) }
+// CloseMailbox drops the mailbox of a request.
+func (h *Host) CloseMailbox(id string) { h.loop.close(id) }
 
 // OpenRequests is how many requests have a mailbox.
 func (h *Host) OpenRequests() int { return h.loop.openRequests() }
@@ -164,9 +164,9 @@
 // Snapshot is what the reducer published last; never nil.
 func (h *Host) Snapshot() *entry.Snapshot { return h.loop.snapshot.Load() }
 
-// Configured waits until the entry has learned a configuration, at most so long; false
+// AwaitConfiguration waits until the entry has learned a configuration, at most so long; false
 // if it has not, or ctx has ended.
-func (h *Host) Configured(ctx context.Context, wait time.Duration) bool {
+func (h *Host) AwaitConfiguration(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -182,17 +182,17 @@
 // PeerAddress is where other entries connect and metrics are served.
 func (h *Host) PeerAddress() string { return h.others.Addr().String() }
 
-// Way is a way in for callers as Run drives it.
-type Way struct {
+// Frontend is a way in for callers as Run drives it.
+type Frontend struct {
 	// Loops run until their context ends.
 	Loops []func(context.Context)
 	// Serve are the listeners' loops; each returns when Shutdown is called, or
 	// earlier with the error that ends the entry.
 	Serve []func() error
-	// Peers serves other entries; nil where there is nothing to serve them.
-	Peers http.Handler
-	// LetGo ends what still runs when the time of a planned stop is over.
-	LetGo func()
+	// PeerHandler serves other entries; nil where there is nothing to serve them.
+	PeerHandler http.Handler
+	// CancelRequests ends what still runs when the time of a planned stop is over.
+	CancelRequests func()
 	// Shutdown closes the listeners.
 	Shutdown func(ctx context.Context)
 }
@@ -200,31 +200,31 @@
 // Run serves until ctx ends, then stops gracefully: it leaves the address
 // answers, serves callers that hold older ones, finishes what runs, and only
 // then closes. Errors: Failed.
-func (h *Host) Run(ctx context.Context, way Way) error {
+func (h *Host) Run(ctx context.Context, way Frontend) error {
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	others := &http.Server{Handler: h.otherHandler(way.Peers), ReadHeaderTimeout: readHeaderTimeout}
+	others := &http.Server{Handler: h.otherHandler(way.PeerHandler), ReadHeaderTimeout: readHeaderTimeout}
 	failed := make(chan error, len(way.Serve)+1)
 	var loops conc.WaitGroup
 	for _, loop := range append([]func(context.Context){h.loop.run, h.writeDecisions, h.watch}, way.Loops...) {
-		loops.Go(func() { h.OrDie(func() { loop(work) }) })
+		loops.Go(func() { h.ExitOnPanic(func() { loop(work) }) })
 	}
 	for _, serve := range append(way.Serve, func() error { return others.Serve(h.others) }) {
 		loops.Go(func() { failed <- untilEnd(serve) })
 	}
 	if h.Settings.MetricsAddress != "" {
-		loops.Go(func() { h.OrDie(func() { h.Metrics.Serve(work, h.Settings.MetricsAddress, h.Log) }) })
+		loops.Go(func() { h.ExitOnPanic(func() { h.Metrics.Serve(work, h.Settings.MetricsAddress, h.Log) }) })
 	}
 	h.Log.Info("entry serves", "callers", h.Identity.CallerAddress, "peers", h.PeerAddress(),
 		"incarnation", h.Identity.Incarnation)
 	var err error
 	select {
 	case <-ctx.Done():
-		h.leave(way.LetGo)
+		h.leave(way.CancelRequests)
 	case err = <-failed:
 		h.Log.Error("a listener ended; the entry ends", "error", err.Error())
 	}
-	h.letGo()
+	h.cancelTasks()
 	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	way.Shutdown(closing)
@@ -243,7 +243,7 @@
 
 // leave runs the planned stop up to the point where nothing is cut off any more.
 func (h *Host) leave(letGo func()) {
-	keep := h.Settings.AnswerKeep + LeaveSpread
+	keep := h.Settings.AnswerKeep + AddressPropagation
 	h.Log.Info("entry leaves", "keep", keep.String(), "requests", h.OpenRequests())
 	h.Post(entry.Stop{
 		AcceptFor: keep, ShortOnlyAfter: h.Settings.AnswerKeep + answerSlack, EndsAfter: keep + h.Settings.StopTimeout,
@@ -251,7 +251,7 @@
 	time.Sleep(keep)
 	deadline := time.Now().Add(h.Settings.StopTimeout)
 	for h.OpenRequests() > 0 && time.Now().Before(deadline) {
-		time.Sleep(StopPoll)
+		time.Sleep(StopPollInterval)
 	}
 	letGo()
 }
@@ -265,7 +265,7 @@
 	mux.Handle(pb.PeerLoadPathPrefix, h.Auth.Require(pb.NewPeerLoadServer(h.peerReports)))
 	mux.Handle("GET /metrics", h.Metrics.Handler)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
-		if h.NotReady() != "" {
+		if h.NotReadyReason() != "" {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -275,6 +275,6 @@
 // Reload takes over the settings that can change while the entry runs: where
 // control is. The rest counts from the next start on.
 func (h *Host) Reload(set *settings.Entry) {
-	h.Control.Learn(set.Control)
+	h.Control.AddAddresses(set.Control)
 	h.Log.Info("settings reloaded", "control", set.Control)
 }
--- a/internal/host/lease.go
+++ b/internal/host/lease.go
@@ -30,23 +30,23 @@
 func (l *viewLease) inForce() (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return clock.Boot() < l.until, l.renewed
+	return clock.SinceBoot() < l.until, l.renewed
 }
 
-// ViewInForce tells whether control's word on the view counts now. Whoever gives a final
+// ViewLeaseValid tells whether control's word on the view counts now. Whoever gives a final
 // answer by what the view does not hold asks for this first and then reads the Snapshot.
 //
 // Failure: an entry misses a change, since control or the way to it is slow, and tells a
 // caller for good that there is no such route or credential though it was declared and
 // acknowledged seconds ago.
-func (h *Host) ViewInForce() bool {
+func (h *Host) ViewLeaseValid() bool {
 	ok, _ := h.loop.lease.inForce()
 	return ok
 }
 
-// AwaitView waits until the view is in force, at most so long; false if it is not, or ctx
+// AwaitViewLease waits until the view is in force, at most so long; false if it is not, or ctx
 // has ended.
-func (h *Host) AwaitView(ctx context.Context, wait time.Duration) bool {
+func (h *Host) AwaitViewLease(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -87,7 +87,7 @@
 }
 
 func (l *loop) step(ev entry.Event) {
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	l.begin(now)
 	defer l.end()
 	for _, e := range l.reducer.Step(now, ev) {
@@ -160,10 +160,10 @@
 
 const jobSeparator = "#"
 
-// NewJobKey names one run of a request at this entry towards the reducer: a
+// NewRunKey names one run of a request at this entry towards the reducer: a
 // caller that takes its request over begins another run of the same request,
 // and the last effect for the old run must not end the new one.
-func NewJobKey(wireID string) string { return wireID + jobSeparator + uuid.NewString()[:8] }
+func NewRunKey(wireID string) string { return wireID + jobSeparator + uuid.NewString()[:8] }
 
 // WireIDOf gives the request id towards servers of a run.
 func WireIDOf(jobKey string) string {
--- a/internal/host/peer_reports.go
+++ b/internal/host/peer_reports.go
@@ -78,7 +78,7 @@
 // send gives one peer the report. One that is lost is not sent again: the next is newer, and
 // without any the peer falls back on estimates.
 func (b *peerReports) send(c *peerClient, req *pb.PeerReport) {
-	ctx, cancel := context.WithTimeout(b.host.Background, peerReportTry)
+	ctx, cancel := context.WithTimeout(b.host.TaskContext, peerReportTry)
 	defer cancel()
 	_, err := c.Report(ctx, req)
 	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okWord(err)}).Counter("peer_reports").Inc(1)
--- a/internal/host/peer_sums.go
+++ b/internal/host/peer_sums.go
@@ -36,17 +36,17 @@
 // which was read elsewhere: one stream more or less makes little difference there.
 const decodeSumFor = 200 * time.Millisecond
 
-// RefreshPeersForDecode does so before a decoding engine is chosen.
-func (h *Host) RefreshPeersForDecode(ctx context.Context) { h.refreshPeers(ctx, decodeSumFor) }
+// RefreshPeerSumForDecode does so before a decoding engine is chosen.
+func (h *Host) RefreshPeerSumForDecode(ctx context.Context) { h.refreshPeers(ctx, decodeSumFor) }
 
-// RefreshPeers asks the aggregator, where there is one, for the sum of the other entries'
+// RefreshPeerSum asks the aggregator, where there is one, for the sum of the other entries'
 // backlogs, and hands it to the reducer. It returns when that is done or has failed, after
 // askFor at the latest. Callers that come meanwhile share one question.
-func (h *Host) RefreshPeers(ctx context.Context) { h.refreshPeers(ctx, sumFreshFor) }
+func (h *Host) RefreshPeerSum(ctx context.Context) { h.refreshPeers(ctx, sumFreshFor) }
 
 func (h *Host) refreshPeers(ctx context.Context, freshFor time.Duration) {
 	snap := h.Snapshot()
-	if address := snap.Aggregator; address != "" && clock.Boot() >= snap.AskAggregatorFrom {
+	if address := snap.Aggregator; address != "" && clock.SinceBoot() >= snap.AskAggregatorFrom {
 		h.peerReports.refresh(ctx, address, freshFor)
 	}
 }
@@ -54,7 +54,7 @@
 // refresh asks for a sum, unless the last one is fresh or a question is under way.
 func (b *peerReports) refresh(ctx context.Context, address string, freshFor time.Duration) {
 	b.mu.Lock()
-	if clock.Boot()-b.sums.askedAt < b.sums.pace.freshFor(freshFor) {
+	if clock.SinceBoot()-b.sums.askedAt < b.sums.pace.freshFor(freshFor) {
 		b.mu.Unlock()
 		return
 	}
@@ -79,14 +79,14 @@
 
 // ask asks an aggregator and hands its answer, or that there was none, to the reducer.
 func (b *peerReports) ask(address string, req *pb.PeerSumRequest) {
-	ctx, cancel := context.WithTimeout(b.host.Background, askFor)
+	ctx, cancel := context.WithTimeout(b.host.TaskContext, askFor)
 	defer cancel()
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	sum, err := b.peer(address).Sum(ctx, req)
 	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okWord(err)}).Counter("peer_sums").Inc(1)
 	b.mu.Lock()
 	b.sums.asking = nil
-	b.sums.pace.ended(clock.Boot() - sent)
+	b.sums.pace.ended(clock.SinceBoot() - sent)
 	if err == nil {
 		b.sums.askedAt, b.sums.aggregator, b.sums.readsFrom = sent, sum.GetIncarnation(), sum.GetReadsNext()
 	}
--- a/internal/host/permits.go
+++ b/internal/host/permits.go
@@ -17,7 +17,7 @@
 // askPermit asks another entry for permits and hands its answer, or that there was none, to
 // the reducer.
 func (b *peerReports) askPermit(e entry.RequestPermit) {
-	ctx, cancel := context.WithTimeout(b.host.Background, permitTry)
+	ctx, cancel := context.WithTimeout(b.host.TaskContext, permitTry)
 	defer cancel()
 	answer, err := b.peer(e.Address).Permit(ctx, e.Request)
 	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okWord(err)}).Counter("permit_questions").Inc(1)
--- a/internal/host/spawn.go
+++ b/internal/host/spawn.go
@@ -12,12 +12,12 @@
 // conc would keep it until the end of the process and nobody would know why a
 // request hangs.
 func (h *Host) Spawn(f func()) {
-	h.tasks.Go(func() { h.Try(f) })
+	h.tasks.Go(func() { h.CatchPanic(f) })
 }
 
-// Try runs f and tells whether it came to its end. A panic is logged with its stack
+// CatchPanic runs f and tells whether it came to its end. A panic is logged with its stack
 // and counted: the work of one request may fail without the others'.
-func (h *Host) Try(f func(), about ...any) bool {
+func (h *Host) CatchPanic(f func(), about ...any) bool {
 	r := panics.Try(f)
 	if r == nil {
 		return true
@@ -30,10 +30,10 @@
 // exitPanicked is the exit code of Go's own panics.
 const exitPanicked = 2
 
-// OrDie runs a loop that the entry can't do without. After a panic its state
+// ExitOnPanic runs a loop that the entry can't do without. After a panic its state
 // can't be trusted and the process ends: callers go on at other entries, while
 // an entry whose reducer stands still would hold them for ever.
-func (h *Host) OrDie(f func()) {
+func (h *Host) ExitOnPanic(f func()) {
 	if r := panics.Try(f); r != nil {
 		h.Log.Error("a loop panicked; the entry ends", "panic", r.String())
 		os.Exit(exitPanicked)
--- a/internal/host/watch.go
+++ b/internal/host/watch.go
@@ -31,7 +31,7 @@
 		var resp *pb.WatchResponse
 		err := h.Control.Call(ctx, watchTry, func(ctx context.Context, c pb.Control) error {
 			var err error
-			sent = clock.Boot()
+			sent = clock.SinceBoot()
 			resp, err = c.Watch(rpc.WithSilence(ctx, watchSilence), h.watchRequest())
 			h.logWatchFailed(sent, err)
 			return err
@@ -44,7 +44,7 @@
 			Pause(ctx, time.Second)
 			continue
 		}
-		h.Control.Learn(resp.Control)
+		h.Control.AddAddresses(resp.Control)
 		h.Post(entry.ViewReceived{SentAt: sent, Response: resp})
 		h.awaitVersion(ctx, resp.Version)
 	}
@@ -59,7 +59,7 @@
 	}
 	snap := h.Snapshot()
 	h.watchFailures.Do(func() {
-		h.Log.Warn("poll not answered", "error", err.Error(), "after_ms", (clock.Boot() - sent).Milliseconds(),
+		h.Log.Warn("poll not answered", "error", err.Error(), "after_ms", (clock.SinceBoot() - sent).Milliseconds(),
 			"known_version", snap.ViewVersion, "revision", snap.Revision)
 	})
 }
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -10,9 +10,9 @@
 // separator stands between a name and a start; names have none.
 const separator = "~"
 
-// Of names the life of a server that started at that Unix millisecond; 0: not told, and
+// ID names the life of a server that started at that Unix millisecond; 0: not told, and
 // the name alone tells lives apart.
-func Of(name string, startedMS int64) string {
+func ID(name string, startedMS int64) string {
 	if startedMS <= 0 {
 		return name
 	}
@@ -43,6 +43,6 @@
 	return Name(a) == Name(b) && started(a) > 0 && started(a) < started(b)
 }
 
-// Covers tells whether a word about the life a is about b: a word that does not tell the
+// Matches tells whether a word about the life a is about b: a word that does not tell the
 // start is about any life of its name.
-func Covers(a, b string) bool { return a == b || a == Name(b) }
+func Matches(a, b string) bool { return a == b || a == Name(b) }
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -20,13 +20,13 @@
 	acceptPause = 20 * time.Millisecond
 )
 
-// Bounded is a listener that holds at most so many connections. It closes the one that has
+// LimitedListener is a listener that holds at most so many connections. It closes the one that has
 // been still the longest to take another, and a new one at once while all are in use.
 //
 // Failure: each of thousands of servers keeps its connection to one replica. At the limit of
 // descriptors accepting fails, the server's loop ends with that error, and the process ends
 // though all it had to do was to let go of a connection.
-type Bounded struct {
+type LimitedListener struct {
 	net.Listener
 	most int
 	log  *slog.Logger
@@ -35,13 +35,13 @@
 	open map[*conn]struct{}
 }
 
-// Bound bounds a listener; most 0: only errors that may pass are taken care of.
-func Bound(ln net.Listener, most int, log *slog.Logger) *Bounded {
-	return &Bounded{Listener: ln, most: most, log: log, open: make(map[*conn]struct{})}
+// LimitListener bounds a listener; most 0: only errors that may pass are taken care of.
+func LimitListener(ln net.Listener, most int, log *slog.Logger) *LimitedListener {
+	return &LimitedListener{Listener: ln, most: most, log: log, open: make(map[*conn]struct{})}
 }
 
 // Accept waits for the next connection. Errors: the listener is closed.
-func (b *Bounded) Accept() (net.Conn, error) {
+func (b *LimitedListener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := b.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -60,7 +60,7 @@
 }
 
 // admit takes a connection, or closes it where all are in use.
-func (b *Bounded) admit(accepted net.Conn) *conn {
+func (b *LimitedListener) admit(accepted net.Conn) *conn {
 	if b.most > 0 && b.count() >= b.most && !b.closeIdlest() {
 		b.log.Warn("connection turned away; all are in use", "open", b.most)
 		_ = accepted.Close()
@@ -74,7 +74,7 @@
 	return c
 }
 
-func (b *Bounded) count() int {
+func (b *LimitedListener) count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.open)
@@ -82,15 +82,15 @@
 
 // closeIdlest closes the connection that has been still the longest; false if all were in use
 // a moment ago.
-func (b *Bounded) closeIdlest() bool {
-	if c := b.idlest(clock.Boot() - idleFor); c != nil {
+func (b *LimitedListener) closeIdlest() bool {
+	if c := b.idlest(clock.SinceBoot() - idleFor); c != nil {
 		_ = c.Close()
 		return true
 	}
 	return false
 }
 
-func (b *Bounded) idlest(before time.Duration) *conn {
+func (b *LimitedListener) idlest(before time.Duration) *conn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var found *conn
@@ -102,7 +102,7 @@
 	return found
 }
 
-func (b *Bounded) forget(c *conn) {
+func (b *LimitedListener) forget(c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.open, c)
@@ -111,11 +111,11 @@
 // conn notes when it was used last.
 type conn struct {
 	net.Conn
-	listener *Bounded
+	listener *LimitedListener
 	used     atomic.Int64
 }
 
-func (c *conn) touch()                { c.used.Store(int64(clock.Boot())) }
+func (c *conn) touch()                { c.used.Store(int64(clock.SinceBoot())) }
 func (c *conn) usedAt() time.Duration { return time.Duration(c.used.Load()) }
 
 func (c *conn) Read(p []byte) (int, error) {
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -36,7 +36,7 @@
 // Guards against a process that ends since it has no descriptor left for a connection: servers
 // end their loop with any error of Accept.
 func TestListenerOutlivesAcceptErrors(t *testing.T) {
-	ln := Bound(&failing{Listener: listener(t)}, 0, slog.New(slog.DiscardHandler))
+	ln := LimitListener(&failing{Listener: listener(t)}, 0, slog.New(slog.DiscardHandler))
 	for range 3 {
 		caller, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -58,7 +58,7 @@
 // Guards against more connections than there are descriptors for, and against one that is in
 // use and is closed for a newer one.
 func TestIdlestConnectionMakesRoom(t *testing.T) {
-	ln := Bound(listener(t), 2, slog.New(slog.DiscardHandler))
+	ln := LimitListener(listener(t), 2, slog.New(slog.DiscardHandler))
 	taken := make(chan net.Conn, 8)
 	go func() {
 		for {
--- a/internal/obs/bounded.go
+++ b/internal/obs/bounded.go
@@ -14,24 +14,24 @@
 	flushFor = time.Second
 )
 
-// Bounded is a writer of log lines that never blocks. Standard output can block
+// NonBlockingWriter is a writer of log lines that never blocks. Standard output can block
 // for as long as its reader is paused, and whoever logs would stand still with
 // it. When the buffer is full, lines are dropped, and the next one that is
 // written after them tells how many.
-type Bounded struct {
+type NonBlockingWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
 	done    chan struct{}
 }
 
-// NewBounded writes to w from a goroutine of its own until Close.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, boundedLines), done: make(chan struct{})}
+// NewNonBlockingWriter writes to w from a goroutine of its own until Close.
+func NewNonBlockingWriter(w io.Writer) *NonBlockingWriter {
+	b := &NonBlockingWriter{lines: make(chan []byte, boundedLines), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
 
-func (b *Bounded) run(w io.Writer) {
+func (b *NonBlockingWriter) run(w io.Writer) {
 	defer close(b.done)
 	told := uint64(0)
 	for line := range b.lines {
@@ -48,7 +48,7 @@
 }
 
 // Write takes one line, or drops it when the buffer is full. It gives no error.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *NonBlockingWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
@@ -58,10 +58,10 @@
 }
 
 // Dropped is how many lines were dropped so far.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+func (b *NonBlockingWriter) Dropped() uint64 { return b.dropped.Load() }
 
 // Close waits for the lines that are left, for a bounded time.
-func (b *Bounded) Close() {
+func (b *NonBlockingWriter) Close() {
 	timeout := time.After(flushFor)
 	select {
 	case b.lines <- nil:
--- a/internal/obs/bounded_test.go
+++ b/internal/obs/bounded_test.go
@@ -13,7 +13,7 @@
 func TestLogNeverBlocksWithoutAReader(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
-	b := NewBounded(w)
+	b := NewNonBlockingWriter(w)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -34,7 +34,7 @@
 // A line was dropped: the log itself says so.
 func TestLogTellsWhatItDropped(t *testing.T) {
 	var out bytes.Buffer
-	b := &Bounded{lines: make(chan []byte, 1), done: make(chan struct{})}
+	b := &NonBlockingWriter{lines: make(chan []byte, 1), done: make(chan struct{})}
 	_, _ = b.Write([]byte("first\n"))
 	_, _ = b.Write([]byte("lost\n"))
 	go b.run(&out)
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -197,7 +197,7 @@
 		panic(fmt.Sprintf("policy: %s at %s: %v", req.ID, n.id, err))
 	}
 	n.requests[req.ID] = r
-	n.nextEventAt = n.engine.NextAt()
+	n.nextEventAt = n.engine.NextEventAt()
 }
 
 func importedKVTokens(r *simRequest, req enginemodel.Request) int {
@@ -213,8 +213,8 @@
 	if p.Tokens > 0 {
 		e.clearUrgentPrefill(r)
 	}
-	if r.firstTokenAt == 0 && p.FirstAt > 0 {
-		r.firstTokenAt = p.FirstAt
+	if r.firstTokenAt == 0 && p.FirstTokenAt > 0 {
+		r.firstTokenAt = p.FirstTokenAt
 	}
 	if !p.Finished {
 		return
@@ -226,16 +226,16 @@
 	}
 	e.releaseServers(r)
 	e.picker.Observe(e.sim.now, e.fleet.Servers[i].ID, placement.Result{
-		DecodeTime: p.LastAt - p.FirstAt, Tokens: r.tokens - r.earlierTokens, TotalTime: p.LastAt - r.sentAt,
+		DecodeTime: p.LastTokenAt - p.FirstTokenAt, Tokens: r.tokens - r.earlierTokens, TotalTime: p.LastTokenAt - r.sentAt,
 	})
-	e.sim.stats.recordAnswered(r, p.LastAt)
+	e.sim.stats.recordAnswered(r, p.LastTokenAt)
 	e.finish(r)
 	e.dispatchQueue()
 }
 
 // startDecode continues with the decode after a prefill on another engine.
 func (e *simEntry) startDecode(r *simRequest) {
-	e.sim.engines[r.prefillEngine].engine.Release(r.work.RequestID)
+	e.sim.engines[r.prefillEngine].engine.ReleaseKV(r.work.RequestID)
 	e.removeSent(r.prefillEngine, r.prefillLoad)
 	r.prefillEngine = -1
 	r.stage = running
--- a/internal/policy/load_test.go
+++ b/internal/policy/load_test.go
@@ -105,9 +105,9 @@
 func TestSlowBackendServer(t *testing.T) {
 	t.Parallel()
 	slow := func(m *sim) {
-		m.engines[0].engine.SetSlow(4)
-		m.engines[4].engine.SetSlow(4)
-		m.engines[8].engine.SetSlow(4)
+		m.engines[0].engine.SetSlowdown(4)
+		m.engines[4].engine.SetSlowdown(4)
+		m.engines[8].engine.SetSlowdown(4)
 	}
 	r := runShape(scenario(t, "qalhat"), shape{name: "slow", load: constantFunc(5), prefillShare: constantFunc(0.5)}, slow)
 	wantAtLeast(t, "urgent requests in time", ratio(r.urgentInTime, r.urgentOffered), 0.95)
--- a/internal/policy/sim.go
+++ b/internal/policy/sim.go
@@ -23,7 +23,7 @@
 type simEngine struct {
 	id          string
 	engine      *enginemodel.Engine
-	nextEventAt time.Duration // as given by engine.NextAt
+	nextEventAt time.Duration // as given by engine.NextEventAt
 	lost        bool
 	leaving     bool // being drained or changing its role
 	targetRole  engineapi.Role
@@ -100,7 +100,7 @@
 			role = engineapi.RoleDecode
 		}
 		n := &simEngine{id: fmt.Sprintf("engine-%d", i), nextEventAt: enginemodel.Never, requests: make(map[string]*simRequest)}
-		n.engine = enginemodel.New(0, enginemodel.Config{ChangeTime: s.Roles.ChangeTime}, role)
+		n.engine = enginemodel.New(0, enginemodel.Config{RoleChangeTime: s.Roles.ChangeTime}, role)
 		m.engines = append(m.engines, n)
 	}
 	for i := range s.Entries {
@@ -156,13 +156,13 @@
 			r.entry.recordProgress(i, r, p)
 		}
 	}
-	n.nextEventAt = n.engine.NextAt()
+	n.nextEventAt = n.engine.NextEventAt()
 }
 
 func (m *sim) tick() {
 	for i, n := range m.engines {
 		m.advance(i)
-		if n.leaving && !n.lost && !n.engine.Changing() && n.engine.Role() == n.targetRole {
+		if n.leaving && !n.lost && !n.engine.ChangingRole() && n.engine.Role() == n.targetRole {
 			n.leaving = false
 		}
 	}
@@ -237,7 +237,7 @@
 		if err := n.engine.SetRole(m.now, c.To); err != nil {
 			panic(err) // cannot happen: the engine has no requests left
 		}
-		n.nextEventAt = n.engine.NextAt()
+		n.nextEventAt = n.engine.NextEventAt()
 		m.changes++
 		if m.onChange != nil {
 			m.onChange(m.now, c)
@@ -259,7 +259,7 @@
 		r := n.requests[id]
 		kvTokens, hasKV := n.engine.KVTokens(id)
 		n.engine.Cancel(id)
-		n.engine.Release(id)
+		n.engine.ReleaseKV(id)
 		if !exportKV || !hasKV {
 			kvTokens = 0
 		}
--- a/internal/relay/answering.go
+++ b/internal/relay/answering.go
@@ -49,10 +49,10 @@
 // their state can't be trusted after a panic, and the process ends.
 func (s *Server) Serve(ctx context.Context, req *Request, caller Caller) {
 	a := &answering{Caller: caller}
-	if s.host.Try(func() { s.serve(ctx, req, a) }, "request_id", req.ID) {
+	if s.host.CatchPanic(func() { s.serve(ctx, req, a) }, "request_id", req.ID) {
 		return
 	}
-	s.host.Try(func() { s.abandon(a) }, "request_id", req.ID)
+	s.host.CatchPanic(func() { s.abandon(a) }, "request_id", req.ID)
 }
 
 // abandon ends a request whose goroutine has panicked.
--- a/internal/relay/carryout.go
+++ b/internal/relay/carryout.go
@@ -21,7 +21,7 @@
 }
 
 func (s *Server) probe(p entry.Probe) {
-	ctx, cancel := context.WithTimeout(s.host.Background, probeTimeout)
+	ctx, cancel := context.WithTimeout(s.host.TaskContext, probeTimeout)
 	defer cancel()
 	service := serviceOf(s.host.Snapshot().Declaration, p)
 	if service == nil || service.HealthPath == "" {
--- a/internal/relay/fault_test.go
+++ b/internal/relay/fault_test.go
@@ -78,7 +78,7 @@
 	if len(caller.refusals) != 1 || caller.refusals[0] != refusal || caller.whole != 0 {
 		t.Errorf("the caller got %+v", caller)
 	}
-	if !bytes.Contains(out.Bytes(), []byte(obs.LineDecodeDropped)) {
+	if !bytes.Contains(out.Bytes(), []byte(obs.LineLateDecodeEngine)) {
 		t.Errorf("no line tells of it: %s", out.String())
 	}
 }
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -54,7 +54,7 @@
 // serve relays one request; it returns when the caller has its final answer. ctx
 // ends when the caller is gone.
 func (s *Server) serve(ctx context.Context, req *Request, caller *answering) {
-	at := clock.Boot()
+	at := clock.SinceBoot()
 	if !s.configured(ctx, req) {
 		s.refuse(req, caller, outcome.NoConfiguration())
 		return
@@ -72,17 +72,17 @@
 
 // configured tells whether the entry knows routes, and waits for that a while.
 func (s *Server) configured(ctx context.Context, req *Request) bool {
-	return s.host.Snapshot().Ready() || s.await(ctx, req, "a configuration", s.host.Configured)
+	return s.host.Snapshot().Ready() || s.await(ctx, req, "a configuration", s.host.AwaitConfiguration)
 }
 
 // route finds the request's route. Where there is none in a view that has run out, it waits a
 // while for one that is in force: the route may have been added meanwhile.
 func (s *Server) route(ctx context.Context, req *Request) (*entry.Snapshot, *declaration.HostRoute, *outcome.Refusal) {
-	inForce := s.host.ViewInForce()
+	inForce := s.host.ViewLeaseValid()
 	snap := s.host.Snapshot()
 	route := snap.Routes.Find(req.Host, req.Path)
 	if route == nil && !inForce {
-		inForce = s.await(ctx, req, "a view in force", s.host.AwaitView)
+		inForce = s.await(ctx, req, "a view in force", s.host.AwaitViewLease)
 		snap = s.host.Snapshot()
 		route = snap.Routes.Find(req.Host, req.Path)
 	}
@@ -106,7 +106,7 @@
 	defer s.waiting.Add(-1)
 	limit, began := admission.StartupWait(req.Patience), time.Now()
 	ok := wait(ctx, limit)
-	s.host.Log.Info(obs.LineWaited, "request_id", req.ID, "for", what, "came", ok,
+	s.host.Log.Info(obs.LineAwaitedConfiguration, "request_id", req.ID, "for", what, "came", ok,
 		"ms", time.Since(began).Milliseconds(), "limit_ms", limit.Milliseconds(), "waiting", s.waiting.Load())
 	return ok
 }
@@ -115,8 +115,8 @@
 func (j *job) run(ctx context.Context) {
 	key := j.arrived.Work.RequestID
 	j.caller.key = key
-	j.box = j.s.host.Open(key)
-	defer j.s.host.Close(key)
+	j.box = j.s.host.OpenMailbox(key)
+	defer j.s.host.CloseMailbox(key)
 	ctx, cancel := j.withLimit(ctx)
 	defer cancel()
 	j.refreshPeers(ctx)
@@ -142,7 +142,7 @@
 // control which servers live.
 func (j *job) refreshPeers(ctx context.Context) {
 	if j.arrived.Work.Kind == declaration.KindModel || j.s.host.Snapshot().LeaseExpiring {
-		j.s.host.RefreshPeers(ctx)
+		j.s.host.RefreshPeerSum(ctx)
 	}
 }
 
@@ -264,7 +264,7 @@
 	if cache == nil {
 		attempt.Fetch = d.FetchAddress
 	}
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	a, err := j.s.backend.Send(ctx, attempt)
 	if err != nil {
 		j.free(cache)
@@ -292,7 +292,7 @@
 		Target: Target{
 			Address: address, Incarnation: incarnation,
 			MaxConns: share(j.service, len(j.s.host.Snapshot().Entries)),
-			Wanted:   func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.Boot()) },
+			Wanted:   func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.SinceBoot()) },
 		},
 		Request: j.req, Left: j.timeForServer(), Once: j.arrived.Retry == entry.RetryNever,
 		Member: j.member, Rank: j.rank, After: j.after(),
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -19,7 +19,7 @@
 var errTimeOver = errors.New("the request's time is over")
 
 // timeLeft is how long the request may still take.
-func timeLeft(w *decision.Work) time.Duration { return w.FinishBy - clock.Boot() }
+func timeLeft(w *decision.Work) time.Duration { return w.FinishBy - clock.SinceBoot() }
 
 // timeForServer is how long a server may take for it. A stream is cut no sooner than its
 // caller leaves: events under way are of use up to then, and no last word follows them.
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -79,7 +79,7 @@
 
 // dropped writes a line for a decoding engine that was named too late.
 func (l *jobLog) dropped(e entry.DecodeAt) {
-	l.line(obs.LineDecodeDropped, "server", e.Server, "incarnation", e.Incarnation, "attempt", e.Attempt)
+	l.line(obs.LineLateDecodeEngine, "server", e.Server, "incarnation", e.Incarnation, "attempt", e.Attempt)
 }
 
 // end writes the line of the final answer and counts it.
@@ -117,7 +117,7 @@
 		slog.Float64("retry_after_s", r.RetryAfter.Seconds()), slog.String("reason", r.Message),
 		slog.Uint64("on_connection", req.OnConnection),
 	}
-	s.host.Log.LogAttrs(s.host.Background, slog.LevelInfo, obs.LineRefused, append(attrs, figures...)...)
+	s.host.Log.LogAttrs(s.host.TaskContext, slog.LevelInfo, obs.LineRefused, append(attrs, figures...)...)
 }
 
 // count keeps the figures that metrics show: profiles are few and declared, so
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -76,7 +76,7 @@
 // answer looks, to them, like one that accepts none.
 func TestFinalLineTellsLimitAndConnection(t *testing.T) {
 	var out bytes.Buffer
-	h := &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil)), Metrics: obs.NewMetrics("test"), Background: t.Context()}
+	h := &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil)), Metrics: obs.NewMetrics("test"), TaskContext: t.Context()}
 	j := &job{s: &Server{host: h}, req: &Request{ID: "r1", OnConnection: 1}, route: &declaration.HostRoute{Name: "lookups"}}
 	j.arrived.Work.Arrived, j.arrived.Work.FinishBy = time.Second, 1600*time.Millisecond
 	j.log = newJobLog(j)
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -23,7 +23,7 @@
 	}
 	reading := j.attemptAt(d.PrefillAddress, d.PrefillIncarnation)
 	reading.Fetch = d.FetchAddress
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	cache, said, err := j.s.backend.Prefill(ctx, reading)
 	if err == nil {
 		j.heard(d.PrefillServer, d.PrefillIncarnation, sent, said)
@@ -45,7 +45,7 @@
 // decodeAt puts the engine that decodes into d, or gives what the reducer decided
 // in its place.
 func (j *job) decodeAt(ctx context.Context, d *entry.Dispatch, ended *entry.AttemptEnded) (entry.Effect, error) {
-	j.s.host.RefreshPeersForDecode(ctx)
+	j.s.host.RefreshPeerSumForDecode(ctx)
 	j.s.host.Post(entry.PrefillDone{RequestID: d.RequestID, Attempt: d.Attempt})
 	select {
 	case e := <-j.box:
@@ -82,7 +82,7 @@
 		return
 	}
 	j.s.host.Spawn(func() {
-		ctx, cancel := context.WithTimeout(j.s.host.Background, freeTimeout)
+		ctx, cancel := context.WithTimeout(j.s.host.TaskContext, freeTimeout)
 		defer cancel()
 		j.s.backend.Free(ctx, c)
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -193,7 +193,7 @@
 func (s *Server) Snapshot() *entry.Snapshot { return s.host.Snapshot() }
 
 // NotReady tells why the entry can't serve callers now, empty if it can.
-func (s *Server) NotReady() host.NotReady { return s.host.NotReady() }
+func (s *Server) NotReady() host.NotReadyReason { return s.host.NotReadyReason() }
 
 // Settings are the entry's.
 func (s *Server) Settings() *settings.Entry { return s.host.Settings }
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -34,7 +34,7 @@
 		limit = min(limit, r.Patience-answerWay)
 	}
 	w := decision.Work{
-		RequestID: host.NewJobKey(r.ID), MemberWeight: 1, Service: service.Name, Profile: profile.Name,
+		RequestID: host.NewRunKey(r.ID), MemberWeight: 1, Service: service.Name, Profile: profile.Name,
 		ProfileShare: profile.Share, Class: profile.Class, Kind: service.Kind, Model: service.Model,
 		Arrived: at, FirstTokenBy: at + profile.FirstToken, FinishBy: at + limit,
 		SoftFirstTokenDeadline: true, EngineSpeed: pace(s.host.Settings), Rank: route.Rank,
--- a/internal/relay/work_test.go
+++ b/internal/relay/work_test.go
@@ -42,10 +42,10 @@
 	for _, begun := range []bool{false, true} {
 		j := &job{}
 		j.begun.Store(begun)
-		j.arrived.Work.FinishBy = clock.Boot() + left
+		j.arrived.Work.FinishBy = clock.SinceBoot() + left
 		ctx, cancel := j.withLimit(t.Context())
 		<-ctx.Done()
-		over := clock.Boot() - j.arrived.Work.FinishBy
+		over := clock.SinceBoot() - j.arrived.Work.FinishBy
 		if over < 0 || begun && over < answerWay {
 			t.Errorf("begun %v: its time was over %v from its deadline", begun, over)
 		}
@@ -59,7 +59,7 @@
 // A caller that leaves ends its request at once, and is not answered.
 func TestLeavingCallerIsNotTakenForTheEndOfTime(t *testing.T) {
 	j := &job{}
-	j.arrived.Work.FinishBy = clock.Boot() + time.Hour
+	j.arrived.Work.FinishBy = clock.SinceBoot() + time.Hour
 	served, leave := context.WithCancel(t.Context())
 	ctx, cancel := j.withLimit(served)
 	defer cancel()
--- a/internal/standin/server/config.go
+++ b/internal/standin/server/config.go
@@ -132,6 +132,6 @@
 func (c *Config) model() enginemodel.Config {
 	return enginemodel.Config{
 		PrefillRate: c.PrefillRate, StepBase: c.TokenTime, Slots: c.Slots, CacheTokens: c.CacheTokens,
-		ChangeTime: c.ChangeTime, LoadLag: c.virtual(c.LoadLag), Slow: c.Slow, RecordCache: true,
+		RoleChangeTime: c.ChangeTime, LoadLag: c.virtual(c.LoadLag), Slowdown: c.Slow, RecordCacheEvents: true,
 	}
 }
--- a/internal/traffic/claims.go
+++ b/internal/traffic/claims.go
@@ -141,13 +141,13 @@
 		req.Claims = append(req.Claims, w.claim.pb)
 	}
 	var resp *pb.ClaimResponse
-	err := c.control.Call(ctx, host.ControlTry, func(ctx context.Context, control pb.Control) error {
+	err := c.control.Call(ctx, host.ControlAttemptTimeout, func(ctx context.Context, control pb.Control) error {
 		var err error
 		resp, err = control.Claim(ctx, req)
 		return err
 	})
 	if err != nil || len(resp.Results) != len(batch) {
-		host.Pause(ctx, host.ControlPause)
+		host.Pause(ctx, host.ControlRetryDelay)
 		c.askAgain(batch)
 		return
 	}
--- a/internal/traffic/completions.go
+++ b/internal/traffic/completions.go
@@ -85,7 +85,7 @@
 func (s *Server) newModelJob(k *call, req *completionRequest, service *declaration.Service, wireID string) *modelJob {
 	profile := k.snap.Declaration.Profile(service.Profile)
 	salt := cacheSalt(s.host.Settings.Cluster, k.member.Name)
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	seed := fingerprint(k.member.Name, k.requestID)
 	if req.Seed != nil {
 		seed = *req.Seed
@@ -94,7 +94,7 @@
 		s: s, request: req, wireID: wireID, pieces: make(chan piece, pieceBuffer),
 		arrived: entry.RequestArrived{
 			Work: decision.Work{
-				RequestID: host.NewJobKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
+				RequestID: host.NewRunKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
 				Class: profile.Class, Kind: declaration.KindModel, Model: service.Model,
 				Adapter: service.Adapter, PromptTokens: promptTokens(req.Prompt),
@@ -136,7 +136,7 @@
 
 // answerModel drives the job and answers its caller.
 func (s *Server) answerModel(c *fiber.Ctx, j *modelJob) error {
-	ctx, cancel := context.WithCancel(s.host.Background)
+	ctx, cancel := context.WithCancel(s.host.TaskContext)
 	done := s.jobs.add(j.wireID, cancel)
 	s.host.Spawn(func() {
 		defer done()
--- a/internal/traffic/http.go
+++ b/internal/traffic/http.go
@@ -85,7 +85,7 @@
 // readCall copies the request and finds its member by the credential. The
 // member never comes from the body.
 func (s *Server) readCall(c *fiber.Ctx) (*call, *outcome.Refusal) {
-	inForce := s.host.ViewInForce()
+	inForce := s.host.ViewLeaseValid()
 	snap := s.host.Snapshot()
 	k := &call{
 		snap: snap, inForce: inForce, method: strings.Clone(c.Method()), path: strings.Clone(c.Params("*")),
--- a/internal/traffic/model.go
+++ b/internal/traffic/model.go
@@ -53,8 +53,8 @@
 // run drives the request until its final effect and ends with a last piece.
 func (j *modelJob) run(ctx context.Context) {
 	key := j.arrived.Work.RequestID
-	box := j.s.host.Open(key)
-	defer j.s.host.Close(key)
+	box := j.s.host.OpenMailbox(key)
+	defer j.s.host.CloseMailbox(key)
 	defer close(j.pieces)
 	j.s.host.Post(j.arrived)
 	for {
--- a/internal/traffic/once.go
+++ b/internal/traffic/once.go
@@ -36,7 +36,7 @@
 	}
 	j.arrived.Retry = entry.RetryNever
 	j.claim = s.newClaim(j, key)
-	ctx, cancel := context.WithTimeout(s.host.Background, claimWait)
+	ctx, cancel := context.WithTimeout(s.host.TaskContext, claimWait)
 	defer cancel()
 	result, err := s.claims.claim(ctx, j.claim)
 	if err != nil {
@@ -53,7 +53,7 @@
 // was given up: without it the key would stay taken for as long as the entry
 // lives. Control grants the same claim again, so that asking once more tells.
 func (s *Server) giveBack(c *claim) {
-	ctx, cancel := context.WithTimeout(s.host.Background, settleGiveUp)
+	ctx, cancel := context.WithTimeout(s.host.TaskContext, settleGiveUp)
 	defer cancel()
 	for ctx.Err() == nil {
 		result, err := s.claims.claim(ctx, c)
@@ -92,7 +92,7 @@
 
 // runClaimed sends a granted call and settles the claim by what came of it.
 func (s *Server) runClaimed(c *fiber.Ctx, j *plainJob) error {
-	refusal := j.run(s.host.Background)
+	refusal := j.run(s.host.TaskContext)
 	status, stored := pb.ClaimStatus_CLAIM_STATUS_DONE, (*pb.StoredAnswer)(nil)
 	switch {
 	case refusal == nil:
--- a/internal/traffic/plain.go
+++ b/internal/traffic/plain.go
@@ -80,7 +80,7 @@
 	if route.Repeat == declaration.RepeatOnce {
 		return s.answerOnce(c, job)
 	}
-	if refusal := job.run(s.host.Background); refusal != nil {
+	if refusal := job.run(s.host.TaskContext); refusal != nil {
 		return refusal
 	}
 	return s.sendPlain(c, job.answer)
@@ -117,7 +117,7 @@
 
 func (s *Server) newPlainJob(k *call, service *declaration.Service, target string) *plainJob {
 	profile := k.snap.Declaration.Profile(service.Profile)
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	wireID := engineapi.WireID(k.member.Name, k.requestID, uuid.NewString()[:8])
 	uri := (&url.URL{Path: target}).EscapedPath()
 	if k.query != "" {
@@ -127,7 +127,7 @@
 		s: s, call: k, wireID: wireID, uri: uri, until: time.Now().Add(profile.Deadline),
 		arrived: entry.RequestArrived{
 			Work: decision.Work{
-				RequestID: host.NewJobKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
+				RequestID: host.NewRunKey(wireID), Member: k.member.Name, MemberWeight: k.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
 				Class: profile.Class, Kind: declaration.KindPlain, Arrived: now,
 				FirstTokenBy: now + profile.FirstToken, FinishBy: now + profile.Deadline,
@@ -143,8 +143,8 @@
 // run drives the call until its final effect; nil when there is an answer.
 func (j *plainJob) run(ctx context.Context) *outcome.Refusal {
 	key := j.arrived.Work.RequestID
-	box := j.s.host.Open(key)
-	defer j.s.host.Close(key)
+	box := j.s.host.OpenMailbox(key)
+	defer j.s.host.CloseMailbox(key)
 	j.s.host.Post(j.arrived)
 	for {
 		select {
@@ -201,7 +201,7 @@
 	if timeout <= 0 {
 		return nil, httpconn.NotSent.New("no time is left")
 	}
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	if err := client.DoTimeout(req, resp, timeout); err != nil {
 		return nil, httpconn.Classify(err)
 	}
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -85,16 +85,16 @@
 
 // Run serves until ctx ends, then stops gracefully. Errors: those of package host.
 func (s *Server) Run(ctx context.Context) error {
-	return s.host.Run(ctx, host.Way{
+	return s.host.Run(ctx, host.Frontend{
 		Loops: []func(context.Context){
 			func(ctx context.Context) { s.peers.renew(ctx, s.records) },
 			func(ctx context.Context) { s.claims.runClaims(ctx, s.host.Spawn) },
 			s.claims.runSettlements,
 		},
-		Serve:    []func() error{func() error { return s.app.Listener(s.host.CallerListener(s.callers)) }},
-		Peers:    pb.NewPeerServer(peerService{s}),
-		LetGo:    s.letGo,
-		Shutdown: func(ctx context.Context) { _ = s.app.ShutdownWithContext(ctx) },
+		Serve:          []func() error{func() error { return s.app.Listener(s.host.CallerListener(s.callers)) }},
+		PeerHandler:    pb.NewPeerServer(peerService{s}),
+		CancelRequests: s.letGo,
+		Shutdown:       func(ctx context.Context) { _ = s.app.ShutdownWithContext(ctx) },
 	})
 }
 
@@ -106,7 +106,7 @@
 	s.handOnStreams()
 	deadline := time.Now().Add(settleAtStop)
 	for s.claims.unsettled() > 0 && time.Now().Before(deadline) {
-		time.Sleep(host.StopPoll)
+		time.Sleep(host.StopPollInterval)
 	}
 }
 
@@ -119,7 +119,7 @@
 	s.jobs.cancelAll()
 	deadline := time.Now().Add(endEvents)
 	for s.host.OpenRequests() > 0 && time.Now().Before(deadline) {
-		time.Sleep(host.StopPoll)
+		time.Sleep(host.StopPollInterval)
 	}
 }
 
--- a/internal/traffic/stream.go
+++ b/internal/traffic/stream.go
@@ -109,7 +109,7 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	if err := client.Do(req, resp); err != nil {
 		fasthttp.ReleaseResponse(resp)
 		return nil, httpconn.Classify(err)
