--- a/internal/host/control.go
+++ b/internal/host/control.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// metaLeader is the key under which a replica names the leader.
+	// metaLeader is the twirp error metadata key in which a replica names the leader.
 	metaLeader = "leader"
-	// ControlRetryDelay is the wait after the first try where no replica leads; it grows by
-	// pauseGrowth with each further one up to maxControlPause.
-	ControlRetryDelay = 30 * time.Millisecond
-	pauseGrowth       = 1.3
-	maxControlPause   = 300 * time.Millisecond
-	// avoidSilent is how long a replica that gave no answer is not gone back to
-	// on another one's word: about an election.
-	avoidSilent = time.Second
-	// ControlAttemptTimeout bounds one try of a short call. A replica whose connection has
-	// gone silent costs this much before another one is asked.
+	// ControlRetryDelay is the minimum delay after the first failed attempt of a call. It grows
+	// by controlRetryGrowth with each further failure, up to maxControlRetryDelay.
+	ControlRetryDelay    = 30 * time.Millisecond
+	controlRetryGrowth   = 1.3
+	maxControlRetryDelay = 300 * time.Millisecond
+	// avoidSilentFor is how long a replica that did not answer is avoided even if another
+	// replica names it as the leader. It is about the duration of an election.
+	avoidSilentFor = time.Second
+	// ControlAttemptTimeout bounds one attempt of a short call. It is the time lost to a
+	// replica that does not answer before another one is asked.
 	ControlAttemptTimeout = 500 * time.Millisecond
 )
 
-// ControlClient calls the control replica that leads.
+// ControlClient calls the leader of the control replicas.
 type ControlClient struct {
 	auth *rpc.Auth
 	http *http.Client
@@ -41,20 +41,20 @@
 	addresses []string
 	current   string
 	clients   map[string]pb.Control
-	// silent holds when a replica last gave no answer at all.
-	silent map[string]time.Time
+	// silentAt holds by address when a replica last failed to answer at all.
+	silentAt map[string]time.Time
 }
 
-// NewControlClient starts with any of the addresses.
+// NewControlClient returns a client that starts with a random one of the addresses.
 func NewControlClient(auth *rpc.Auth, addresses []string) *ControlClient {
 	return &ControlClient{
 		auth: auth, http: auth.Client(), addresses: slices.Clone(addresses),
 		current: addresses[rand.IntN(len(addresses))], clients: make(map[string]pb.Control),
-		silent: make(map[string]time.Time),
+		silentAt: make(map[string]time.Time),
 	}
 }
 
-// AddAddresses takes the addresses that the view names beside those of the settings.
+// AddAddresses adds replica addresses to those already known.
 func (c *ControlClient) AddAddresses(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,84 +76,85 @@
 	return c.current, client
 }
 
-// moveOn chooses whom to ask next after address failed: the leader that it
-// named, else the next replica. A leader that has gone silent is still named by
-// the others until they have elected another; going back to it would cost a
-// timeout each time and the lease with them.
-func (c *ControlClient) moveOn(address string, err error) {
-	named := ""
+// selectNext chooses the replica to ask after address failed: the leader that it
+// named, else the next replica. The other replicas still name a leader that no
+// longer answers until they have elected another. Returning to it would cost one
+// timeout each time, and in sum the entry's lease.
+func (c *ControlClient) selectNext(address string, err error) {
+	namedLeader := ""
 	var twerr twirp.Error
 	if errors.As(err, &twerr) {
-		named = twerr.Meta(metaLeader)
+		namedLeader = twerr.Meta(metaLeader)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current != address {
 		return
 	}
-	if named == "" {
-		c.silent[address] = time.Now()
+	if namedLeader == "" {
+		c.silentAt[address] = time.Now()
 	}
-	if named != "" && named != address && time.Since(c.silent[named]) > avoidSilent {
-		c.current = named
+	if namedLeader != "" && namedLeader != address && time.Since(c.silentAt[namedLeader]) > avoidSilentFor {
+		c.current = namedLeader
 		return
 	}
-	c.current = c.after(address)
+	c.current = c.nextAfter(address)
 }
 
-// after gives the next replica that has not just been silent, else the next one.
-// It must be called with mu held.
-func (c *ControlClient) after(address string) string {
-	at := slices.Index(c.addresses, address)
+// nextAfter returns the next replica that has not recently failed to answer, else
+// simply the next one. It must be called with mu held.
+func (c *ControlClient) nextAfter(address string) string {
+	index := slices.Index(c.addresses, address)
 	for i := 1; i < len(c.addresses); i++ {
-		next := c.addresses[(at+i+len(c.addresses))%len(c.addresses)]
-		if time.Since(c.silent[next]) > avoidSilent {
+		next := c.addresses[(index+i+len(c.addresses))%len(c.addresses)]
+		if time.Since(c.silentAt[next]) > avoidSilentFor {
 			return next
 		}
 	}
-	return c.addresses[(at+1)%len(c.addresses)]
+	return c.addresses[(index+1)%len(c.addresses)]
 }
 
-// Call tries fn at the leader, each time with a deadline of its own, until it
-// succeeds or ctx ends. fn must be idempotent.
+// Call calls fn at the leader, with attemptTimeout for each attempt, until it succeeds, fails
+// with an error that a retry can't help, or ctx ends. fn must be idempotent.
 //
-// Failure: hundreds of entries ask at one pace while the replicas have too much to do to keep
-// a leader. Their questions alone then keep it from coming about.
-func (c *ControlClient) Call(ctx context.Context, try time.Duration, fn func(context.Context, pb.Control) error) error {
-	for tries := 0; ; tries++ {
-		err := c.once(ctx, try, fn)
-		if err == nil || ctx.Err() != nil || final(err) {
+// The delay between attempts grows and is randomized: hundreds of entries that retry at a
+// constant rate would keep overloaded replicas from ever electing a leader.
+func (c *ControlClient) Call(ctx context.Context, attemptTimeout time.Duration, fn func(context.Context, pb.Control) error) error {
+	for failures := 0; ; failures++ {
+		err := c.attempt(ctx, attemptTimeout, fn)
+		if err == nil || ctx.Err() != nil || isFinal(err) {
 			return err
 		}
-		pause := pauseAfter(tries)
-		pause += rand.N(pause)
+		delay := retryDelay(failures)
+		delay += rand.N(delay)
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// pauseAfter is the least wait after a try that failed, the first being 0.
-func pauseAfter(try int) time.Duration {
-	pause := float64(ControlRetryDelay) * math.Pow(pauseGrowth, float64(try))
-	return time.Duration(min(float64(maxControlPause), pause))
+// retryDelay returns the minimum delay after a failed attempt. failures is the number of
+// attempts that failed before it.
+func retryDelay(failures int) time.Duration {
+	delay := float64(ControlRetryDelay) * math.Pow(controlRetryGrowth, float64(failures))
+	return time.Duration(min(float64(maxControlRetryDelay), delay))
 }
 
-func (c *ControlClient) once(ctx context.Context, try time.Duration, fn func(context.Context, pb.Control) error) error {
+func (c *ControlClient) attempt(ctx context.Context, timeout time.Duration, fn func(context.Context, pb.Control) error) error {
 	address, client := c.leader()
-	ctx, cancel := context.WithTimeout(ctx, try)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := fn(ctx, client)
 	if err != nil {
-		c.moveOn(address, err)
+		c.selectNext(address, err)
 	}
 	return err
 }
 
-// final tells whether asking again can't help.
-func final(err error) bool {
+// isFinal reports whether a retry can't help.
+func isFinal(err error) bool {
 	var twerr twirp.Error
 	if !errors.As(err, &twerr) {
 		return false
--- a/internal/host/control_test.go
+++ b/internal/host/control_test.go
@@ -13,7 +13,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// follower is a control replica that names another one as the leader.
+// follower is a control replica that rejects calls and names another one as the leader.
 type follower struct {
 	pb.Control
 	leader string
@@ -25,13 +25,13 @@
 	return nil, twirp.NewError(twirp.Unavailable, "not the leader").WithMeta(metaLeader, f.leader)
 }
 
-// frozen takes calls and never answers.
-type frozen struct {
+// frozenControl accepts calls and never answers.
+type frozenControl struct {
 	pb.Control
 	calls atomic.Int32
 }
 
-func (f *frozen) Report(ctx context.Context, _ *pb.ReportRequest) (*pb.ReportResponse, error) {
+func (f *frozenControl) Report(ctx context.Context, _ *pb.ReportRequest) (*pb.ReportResponse, error) {
 	f.calls.Add(1)
 	<-ctx.Done()
 	return nil, ctx.Err()
@@ -46,43 +46,43 @@
 	return auth
 }
 
-// Control's leader is frozen, and the others name it until they have elected
-// another. An entry that goes back to it each time spends its whole lease on
-// timeouts, and refuses its callers.
+// Guards against an entry that spends its whole lease on timeouts and then refuses
+// its callers: the leader is frozen, and the other replicas name it until they have
+// elected another.
 func TestFrozenLeaderIsNotAskedAgainAtOnce(t *testing.T) {
-	ice := &frozen{}
-	iceAt := serve(t, pb.NewControlServer(ice))
-	first, second := &follower{leader: iceAt}, &follower{leader: iceAt}
+	leader := &frozenControl{}
+	leaderAddress := serve(t, pb.NewControlServer(leader))
+	first, second := &follower{leader: leaderAddress}, &follower{leader: leaderAddress}
 	c := NewControlClient(testAuth(t), []string{
-		iceAt, serve(t, pb.NewControlServer(first)), serve(t, pb.NewControlServer(second)),
+		leaderAddress, serve(t, pb.NewControlServer(first)), serve(t, pb.NewControlServer(second)),
 	})
-	c.current = iceAt
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	c.current = leaderAddress
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	report := func(ctx context.Context, control pb.Control) error {
 		_, err := control.Report(ctx, &pb.ReportRequest{})
 		return err
 	}
 	for range 4 {
-		if err := c.once(ctx, 50*time.Millisecond, report); err == nil {
-			t.Fatal("an answer without a leader")
+		if err := c.attempt(ctx, 50*time.Millisecond, report); err == nil {
+			t.Fatal("the call succeeded without a leader")
 		}
 	}
-	if n := ice.calls.Load(); n != 1 {
+	if n := leader.calls.Load(); n != 1 {
 		t.Fatalf("the frozen leader was asked %d times", n)
 	}
 }
 
-// A replica that does not lead names the leader: the next try goes there.
+// Guards against a client that does not turn to the leader that a follower names.
 func TestLeaderIsFollowed(t *testing.T) {
 	leader := &leadingControl{}
-	leaderAt := serve(t, pb.NewControlServer(leader))
-	behind := &follower{leader: leaderAt}
-	c := NewControlClient(testAuth(t), []string{serve(t, pb.NewControlServer(behind))})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	leaderAddress := serve(t, pb.NewControlServer(leader))
+	redirecting := &follower{leader: leaderAddress}
+	c := NewControlClient(testAuth(t), []string{serve(t, pb.NewControlServer(redirecting))})
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for range 2 {
-		err := c.Call(ctx, patience, func(ctx context.Context, control pb.Control) error {
+		err := c.Call(ctx, testTimeout, func(ctx context.Context, control pb.Control) error {
 			_, err := control.Report(ctx, &pb.ReportRequest{})
 			return err
 		})
@@ -90,27 +90,27 @@
 			t.Fatal(err)
 		}
 	}
-	if behind.calls.Load() != 1 || len(leader.reports) != 2 {
-		t.Fatalf("%d calls at the follower, %d reports", behind.calls.Load(), len(leader.reports))
+	if redirecting.calls.Load() != 1 || len(leader.reports) != 2 {
+		t.Fatalf("%d calls at the follower, %d reports", redirecting.calls.Load(), len(leader.reports))
 	}
 }
 
-// Guards against hundreds of entries whose questions keep overloaded replicas from having a
-// leader, and against a view that comes late since an entry waits too long after an election.
-func TestQuestionsOfManyEntriesThinOut(t *testing.T) {
-	const entries, mostPerSecond = 330, 1000.0
-	const election = 700 * time.Millisecond
-	var at time.Duration
-	try := 0
-	for at < 2*time.Second {
-		pause := pauseAfter(try)
-		if at <= election && pause > election/3 {
-			t.Errorf("a pause of %v, %v after the first try", pause, at)
+// Guards against hundreds of entries whose retries keep overloaded replicas from electing a
+// leader, and against delays so long that the view arrives late after an election.
+func TestRetryDelayBoundsRequestRateOfManyEntries(t *testing.T) {
+	const entries, maxPerSecond = 330, 1000.0
+	const electionTime = 700 * time.Millisecond
+	var elapsed time.Duration
+	failures := 0
+	for elapsed < 2*time.Second {
+		delay := retryDelay(failures)
+		if elapsed <= electionTime && delay > electionTime/3 {
+			t.Errorf("a delay of %v, %v after the first attempt", delay, elapsed)
 		}
-		at += pause * 3 / 2
-		try++
+		elapsed += delay * 3 / 2
+		failures++
 	}
-	if rate := entries / (pauseAfter(try) * 3 / 2).Seconds(); rate > mostPerSecond {
-		t.Errorf("%.0f questions a second of %d entries, at most %.0f", rate, entries, mostPerSecond)
+	if rate := entries / (retryDelay(failures) * 3 / 2).Seconds(); rate > maxPerSecond {
+		t.Errorf("%.0f calls a second from %d entries, want at most %.0f", rate, entries, maxPerSecond)
 	}
 }
--- a/internal/host/decisionlog.go
+++ b/internal/host/decisionlog.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	// decisionBuffer takes up some seconds of lines at the peak.
-	decisionBuffer = 16384
-	// drainFor bounds how long the last lines are waited for at the end.
-	drainFor = time.Second
+	// decisionBufferSize holds a few seconds of decisions at peak load.
+	decisionBufferSize = 16384
+	// finalFlushTimeout bounds the writing of the remaining decisions when the entry ends.
+	finalFlushTimeout = time.Second
 )
 
-// decisionLog hands lines from the control goroutine to the one that writes
-// them. Standard output can block for as long as its reader is paused; the
-// control goroutine would stand still with it, and all callers. When the buffer
-// is full lines are dropped and counted.
+// decisionLog passes decisions from the control goroutine to the goroutine that
+// writes them. Standard output can block for as long as its reader is paused, which
+// would block the control goroutine and with it all callers. When the buffer is full,
+// decisions are dropped and counted.
 type decisionLog struct {
-	lines   chan entry.LogDecision
-	dropped tally.Counter
+	decisions chan entry.LogDecision
+	dropped   tally.Counter
 }
 
 func newDecisionLog(scope tally.Scope) *decisionLog {
 	return &decisionLog{
-		lines: make(chan entry.LogDecision, decisionBuffer), dropped: scope.Counter("log_lines_dropped"),
+		decisions: make(chan entry.LogDecision, decisionBufferSize), dropped: scope.Counter("log_lines_dropped"),
 	}
 }
 
-func (l *decisionLog) put(d entry.LogDecision) {
+func (l *decisionLog) enqueue(d entry.LogDecision) {
 	select {
-	case l.lines <- d:
+	case l.decisions <- d:
 	default:
 		l.dropped.Inc(1)
 	}
 }
 
-// writeDecisions writes lines until ctx ends, and then what is left.
+// writeDecisions writes decisions until ctx ends, and then the remaining ones.
 func (h *Host) writeDecisions(ctx context.Context) {
 	for {
 		select {
-		case d := <-h.decisions.lines:
+		case d := <-h.decisions.decisions:
 			h.logDecision(d)
 		case <-ctx.Done():
-			h.writeLeftDecisions()
+			h.flushDecisions()
 			return
 		}
 	}
 }
 
-func (h *Host) writeLeftDecisions() {
-	for end := time.Now().Add(drainFor); time.Now().Before(end); {
+func (h *Host) flushDecisions() {
+	for end := time.Now().Add(finalFlushTimeout); time.Now().Before(end); {
 		select {
-		case d := <-h.decisions.lines:
+		case d := <-h.decisions.decisions:
 			h.logDecision(d)
 		default:
 			return
@@ -66,8 +66,8 @@
 	}
 }
 
-// logDecision writes one line. Routing lines may be sampled, refusals and
-// changes of servers and views are always written.
+// logDecision writes one decision. Routing and waiting decisions may be sampled.
+// Refusals and changes of servers and views are always written.
 func (h *Host) logDecision(d entry.LogDecision) {
 	h.CountDecision(d)
 	sampled := d.Kind == entry.LogRoute || d.Kind == entry.LogWait
@@ -91,8 +91,8 @@
 	h.Log.LogAttrs(h.TaskContext, slog.LevelInfo, obs.LineDecision, attrs...)
 }
 
-// CountDecision counts a line under names that always have the same labels: the
-// metrics library panics when one name comes with two sets of them.
+// CountDecision counts a decision. Each metric always has the same label names,
+// since the metrics library panics if a metric comes with two sets of them.
 func (h *Host) CountDecision(d entry.LogDecision) {
 	h.Metrics.Scope.Tagged(map[string]string{"kind": d.Kind}).Counter("decisions").Inc(1)
 	if d.Kind == entry.LogRefuse {
--- a/internal/host/harness_test.go
+++ b/internal/host/harness_test.go
@@ -13,10 +13,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// patience ends a test that hangs; it judges nothing.
-const patience = 20 * time.Second
+// testTimeout ends a test that hangs. No assertion depends on it.
+const testTimeout = 20 * time.Second
 
-// leadingControl takes every report.
+// leadingControl is a control leader that accepts and records every report.
 type leadingControl struct {
 	pb.Control
 	mu      sync.Mutex
@@ -36,7 +36,7 @@
 	return s.Listener.Addr().String()
 }
 
-// keyFile gives a file with a shared key.
+// keyFile returns the path of a file with a shared key.
 func keyFile(t *testing.T) string {
 	t.Helper()
 	key := filepath.Join(t.TempDir(), "key")
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,8 +1,8 @@
-// Package host runs the entry's reducer (package entry) in a process: the one
-// goroutine that steps it, the mailboxes of requests, the calls to control, the
-// log of decisions and the order of a planned stop. Ways in for callers build on
-// it: package traffic speaks the system's own protocol, package relay passes
-// requests on as they are.
+// Package host runs the entry's reducer (package entry) in a process. It provides
+// the single goroutine that steps the reducer, a mailbox of effects for each
+// request, the calls to control, the decision log and the sequence of a graceful
+// stop. Frontends for callers build on it: package traffic serves the system's own
+// protocol, package relay forwards requests unchanged.
 package host
 
 import (
@@ -29,28 +29,29 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("host")
 
-// Failed is the type of errors of an entry that can't start or go on.
+// Failed is the type of errors of an entry that can't start or can't keep running.
 var Failed = Namespace.NewType("failed")
 
 const (
-	// AddressPropagation is how long a leaving entry may still stand in other
-	// entries' address answers: a poll, a report and a view.
+	// AddressPropagation is how long other entries may still list a leaving entry in
+	// their answers with entry addresses: the time of a poll, a report and a view.
 	AddressPropagation = 2 * time.Second
-	// answerSlack is how long after the last answer with this entry has run out its callers
-	// may still come: a request and its connection are under way.
-	answerSlack = 500 * time.Millisecond
-	// StopPollInterval is how often a stopping entry looks whether it is done.
+	// connectGrace is how long callers may still arrive after the last answer that lists this
+	// entry has expired: their connection and request may be in flight.
+	connectGrace = 500 * time.Millisecond
+	// StopPollInterval is how often a stopping entry checks whether its requests have ended.
 	StopPollInterval = 20 * time.Millisecond
-	// closeTimeout bounds the closing of the listeners, after all requests have
-	// ended: it is there for connections that idle.
-	closeTimeout = 800 * time.Millisecond
+	// shutdownTimeout bounds the closing of the listeners after all requests have
+	// ended. Idle connections would otherwise hold it up.
+	shutdownTimeout = 800 * time.Millisecond
 	// readHeaderTimeout bounds how long another process of the system may take
-	// to send a call's head.
+	// to send the headers of a call.
 	readHeaderTimeout = 5 * time.Second
 	reportTimeout     = time.Second
-	// watchFailuresFirst and watchFailuresEvery bound the lines of polls without an answer.
-	watchFailuresFirst = 20
-	watchFailuresEvery = time.Second
+	// watchFailureLogFirst and watchFailureLogInterval limit the log lines about unanswered
+	// polls.
+	watchFailureLogFirst    = 20
+	watchFailureLogInterval = time.Second
 )
 
 // Host is one entry's process around its reducer.
@@ -61,23 +62,23 @@
 	Metrics  *obs.Metrics
 	Auth     *rpc.Auth
 	Control  *ControlClient
-	// TaskContext ends when the entry must let go of what still runs.
-	TaskContext context.Context
-	cancelTasks context.CancelFunc
-	loop        *loop
-	decisions   *decisionLog
-	peerReports *peerReports
-	tasks       conc.WaitGroup
-	others      net.Listener
-	// callers is the hand-over of callers' connections.
-	callers      busy
-	lastNotReady atomic.Pointer[NotReadyReason]
-	// watchFailures thins the lines of polls without an answer.
-	watchFailures rate.Sometimes
+	// TaskContext ends when the entry must abort tasks that are still running.
+	TaskContext  context.Context
+	cancelTasks  context.CancelFunc
+	loop         *loop
+	decisions    *decisionLog
+	peerReports  *peerReports
+	tasks        conc.WaitGroup
+	peerListener net.Listener
+	// callerHandOver times the hand-over of accepted caller connections.
+	callerHandOver     busyTimer
+	lastNotReadyReason atomic.Pointer[NotReadyReason]
+	// watchFailureLog limits the rate of log lines about unanswered polls.
+	watchFailureLog rate.Sometimes
 }
 
-// New makes the process of an entry that callers reach at callerAddress. It
-// listens for other entries but does not serve yet. Errors: Failed.
+// New returns the host of an entry that callers reach at callerAddress. It
+// listens on the peer address but does not serve yet. Errors: Failed.
 func New(set *settings.Entry, log *slog.Logger, callerAddress string) (*Host, error) {
 	auth, err := rpc.LoadAuth(set.Auth)
 	if err != nil {
@@ -86,50 +87,50 @@
 	h := &Host{Settings: set, Log: log, Auth: auth, Metrics: obs.NewMetrics("goldcrest_entry")}
 	auth.Count(h.Metrics.Scope)
 	h.TaskContext, h.cancelTasks = context.WithCancel(context.Background())
-	if h.others, err = auth.Listen(h.TaskContext, set.PeerAddress); err != nil {
+	if h.peerListener, err = auth.Listen(h.TaskContext, set.PeerAddress); err != nil {
 		return nil, Failed.Wrap(err, "peer_address")
 	}
 	h.Identity = &pb.EntryIdentity{
 		Name: set.Name, Incarnation: uuid.NewString(), Region: set.Region, DataCentre: set.DataCentre,
-		CallerAddress: callerAddress, PeerAddress: h.others.Addr().String(),
+		CallerAddress: callerAddress, PeerAddress: h.peerListener.Addr().String(),
 	}
-	h.watchFailures = rate.Sometimes{First: watchFailuresFirst, Interval: watchFailuresEvery}
+	h.watchFailureLog = rate.Sometimes{First: watchFailureLogFirst, Interval: watchFailureLogInterval}
 	h.Control = NewControlClient(auth, set.Control)
 	h.decisions = newDecisionLog(h.Metrics.Scope)
 	h.peerReports = newPeerReports(h)
 	return h, nil
 }
 
-// Start makes the reducer. carryOut does the effects that belong to the way in
-// (probes, cancels, cache polls); the control goroutine calls it and it must not
-// block.
-func (h *Host) Start(cfg entry.Config, carryOut func(entry.Effect)) {
+// Start creates the reducer. applyFrontendEffect applies the effects that belong to
+// the frontend (probes, cancellations, cache polls). It is called by the control
+// goroutine and must not block.
+func (h *Host) Start(cfg entry.Config, applyFrontendEffect func(entry.Effect)) {
 	cfg.Cluster, cfg.Identity, cfg.MaxStreams = h.Settings.Cluster, h.Identity, h.Settings.MaxStreams
-	cfg.Usage = entry.UsageConfig{Window: h.Settings.Usage.Window, BootUnixTime: epoch()}
-	h.loop = newLoop(entry.New(cfg), func(e entry.Effect) { h.carryOut(e, carryOut) })
+	cfg.Usage = entry.UsageConfig{Window: h.Settings.Usage.Window, BootUnixTime: bootUnixTime()}
+	h.loop = newLoop(entry.New(cfg), func(e entry.Effect) { h.applyEffect(e, applyFrontendEffect) })
 }
 
-// epoch is how long after the start of 1970 the VM was booted, by its wall clock now.
-func epoch() time.Duration { return time.Duration(time.Now().UnixNano()) - clock.SinceBoot() }
+// bootUnixTime is the Unix time at which the VM booted, according to its current wall clock.
+func bootUnixTime() time.Duration { return time.Duration(time.Now().UnixNano()) - clock.SinceBoot() }
 
-func (h *Host) carryOut(e entry.Effect, rest func(entry.Effect)) {
+func (h *Host) applyEffect(e entry.Effect, applyFrontendEffect func(entry.Effect)) {
 	switch e := e.(type) {
 	case entry.LogDecision:
-		h.decisions.put(e)
+		h.decisions.enqueue(e)
 	case entry.Report:
 		h.Spawn(func() { h.sendReport(e.Request) })
 	case entry.ReportToPeers:
 		h.peerReports.sendAll(e)
 	case entry.AnswerSum:
-		h.peerReports.questions.answer(e.Key, e.Sum)
+		h.peerReports.sumRequests.resolve(e.Key, e.Sum)
 	case entry.AnswerPermit:
-		h.peerReports.permits.answer(e.Key, e.Answer)
+		h.peerReports.permitRequests.resolve(e.Key, e.Answer)
 	case entry.RequestPermit:
-		h.Spawn(func() { h.peerReports.askPermit(e) })
+		h.Spawn(func() { h.peerReports.requestPermit(e) })
 	case entry.RequestSum:
 		h.Spawn(func() { h.RefreshPeerSum(h.TaskContext) })
 	default:
-		rest(e)
+		applyFrontendEffect(e)
 	}
 }
 
@@ -149,23 +150,23 @@
 	h.Post(entry.ReportAnswered{Request: req, ResendInFull: resp.GetTellInFull(), Term: resp.GetTerm()})
 }
 
-// Post hands an event to the reducer. After the end it does nothing.
+// Post passes an event to the reducer. It does nothing after the reducer has stopped.
 func (h *Host) Post(ev entry.Event) { h.loop.post(ev) }
 
-// OpenMailbox gives the mailbox of a request; CloseMailbox must follow.
-func (h *Host) OpenMailbox(id string) <-chan entry.Effect { return h.loop.open(id) }
+// OpenMailbox creates the mailbox of effects for a request. Call CloseMailbox when done.
+func (h *Host) OpenMailbox(id string) <-chan entry.Effect { return h.loop.openMailbox(id) }
 
-// CloseMailbox drops the mailbox of a request.
-func (h *Host) CloseMailbox(id string) { h.loop.close(id) }
+// CloseMailbox removes the mailbox of a request.
+func (h *Host) CloseMailbox(id string) { h.loop.closeMailbox(id) }
 
-// OpenRequests is how many requests have a mailbox.
+// OpenRequests returns how many requests have a mailbox.
 func (h *Host) OpenRequests() int { return h.loop.openRequests() }
 
-// Snapshot is what the reducer published last; never nil.
+// Snapshot returns the snapshot that the reducer published last. It is never nil.
 func (h *Host) Snapshot() *entry.Snapshot { return h.loop.snapshot.Load() }
 
-// AwaitConfiguration waits until the entry has learned a configuration, at most so long; false
-// if it has not, or ctx has ended.
+// AwaitConfiguration waits up to the given time until the entry has a configuration. It returns
+// false on timeout and if ctx has ended.
 func (h *Host) AwaitConfiguration(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -179,57 +180,57 @@
 	return false
 }
 
-// PeerAddress is where other entries connect and metrics are served.
-func (h *Host) PeerAddress() string { return h.others.Addr().String() }
+// PeerAddress returns the address for other entries, which also serves metrics and health.
+func (h *Host) PeerAddress() string { return h.peerListener.Addr().String() }
 
-// Frontend is a way in for callers as Run drives it.
+// Frontend is a protocol front for callers, as Run drives it.
 type Frontend struct {
-	// Loops run until their context ends.
+	// Loops are background loops that run until their context ends.
 	Loops []func(context.Context)
-	// Serve are the listeners' loops; each returns when Shutdown is called, or
-	// earlier with the error that ends the entry.
+	// Serve are the accept loops of the listeners. Each returns when Shutdown is
+	// called, or earlier with an error, which ends the entry.
 	Serve []func() error
-	// PeerHandler serves other entries; nil where there is nothing to serve them.
+	// PeerHandler serves calls from other entries, or is nil if there are none.
 	PeerHandler http.Handler
-	// CancelRequests ends what still runs when the time of a planned stop is over.
+	// CancelRequests ends the requests that still run at the deadline of a graceful stop.
 	CancelRequests func()
 	// Shutdown closes the listeners.
 	Shutdown func(ctx context.Context)
 }
 
-// Run serves until ctx ends, then stops gracefully: it leaves the address
-// answers, serves callers that hold older ones, finishes what runs, and only
-// then closes. Errors: Failed.
-func (h *Host) Run(ctx context.Context, way Frontend) error {
-	work, stop := context.WithCancel(context.Background())
+// Run serves until ctx ends, then stops gracefully: it withdraws the entry from the
+// addresses that callers get, still serves callers with older addresses, finishes
+// running requests, and only then closes the listeners. Errors: Failed.
+func (h *Host) Run(ctx context.Context, frontend Frontend) error {
+	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	others := &http.Server{Handler: h.otherHandler(way.PeerHandler), ReadHeaderTimeout: readHeaderTimeout}
-	failed := make(chan error, len(way.Serve)+1)
+	peerServer := &http.Server{Handler: h.peerHandler(frontend.PeerHandler), ReadHeaderTimeout: readHeaderTimeout}
+	failed := make(chan error, len(frontend.Serve)+1)
 	var loops conc.WaitGroup
-	for _, loop := range append([]func(context.Context){h.loop.run, h.writeDecisions, h.watch}, way.Loops...) {
-		loops.Go(func() { h.ExitOnPanic(func() { loop(work) }) })
+	for _, loop := range append([]func(context.Context){h.loop.run, h.writeDecisions, h.watch}, frontend.Loops...) {
+		loops.Go(func() { h.ExitOnPanic(func() { loop(loopCtx) }) })
 	}
-	for _, serve := range append(way.Serve, func() error { return others.Serve(h.others) }) {
-		loops.Go(func() { failed <- untilEnd(serve) })
+	for _, serve := range append(frontend.Serve, func() error { return peerServer.Serve(h.peerListener) }) {
+		loops.Go(func() { failed <- runListener(serve) })
 	}
 	if h.Settings.MetricsAddress != "" {
-		loops.Go(func() { h.ExitOnPanic(func() { h.Metrics.Serve(work, h.Settings.MetricsAddress, h.Log) }) })
+		loops.Go(func() { h.ExitOnPanic(func() { h.Metrics.Serve(loopCtx, h.Settings.MetricsAddress, h.Log) }) })
 	}
-	h.Log.Info("entry serves", "callers", h.Identity.CallerAddress, "peers", h.PeerAddress(),
+	h.Log.Info("entry is serving", "callers", h.Identity.CallerAddress, "peers", h.PeerAddress(),
 		"incarnation", h.Identity.Incarnation)
 	var err error
 	select {
 	case <-ctx.Done():
-		h.leave(way.CancelRequests)
+		h.leave(frontend.CancelRequests)
 	case err = <-failed:
-		h.Log.Error("a listener ended; the entry ends", "error", err.Error())
+		h.Log.Error("listener failed; stopping the entry", "error", err.Error())
 	}
 	h.cancelTasks()
-	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	way.Shutdown(closing)
-	_ = others.Shutdown(closing)
-	_ = others.Close()
+	frontend.Shutdown(shutdownCtx)
+	_ = peerServer.Shutdown(shutdownCtx)
+	_ = peerServer.Close()
 	stop()
 	loops.Wait()
 	h.tasks.Wait()
@@ -241,26 +242,27 @@
 	return nil
 }
 
-// leave runs the planned stop up to the point where nothing is cut off any more.
-func (h *Host) leave(letGo func()) {
-	keep := h.Settings.AnswerKeep + AddressPropagation
-	h.Log.Info("entry leaves", "keep", keep.String(), "requests", h.OpenRequests())
+// leave performs the graceful stop up to the point where closing the listeners cuts off no
+// request.
+func (h *Host) leave(cancelRequests func()) {
+	acceptFor := h.Settings.AnswerKeep + AddressPropagation
+	h.Log.Info("entry is leaving", "keep", acceptFor.String(), "requests", h.OpenRequests())
 	h.Post(entry.Stop{
-		AcceptFor: keep, ShortOnlyAfter: h.Settings.AnswerKeep + answerSlack, EndsAfter: keep + h.Settings.StopTimeout,
+		AcceptFor: acceptFor, ShortOnlyAfter: h.Settings.AnswerKeep + connectGrace, EndsAfter: acceptFor + h.Settings.StopTimeout,
 	})
-	time.Sleep(keep)
+	time.Sleep(acceptFor)
 	deadline := time.Now().Add(h.Settings.StopTimeout)
 	for h.OpenRequests() > 0 && time.Now().Before(deadline) {
 		time.Sleep(StopPollInterval)
 	}
-	letGo()
+	cancelRequests()
 }
 
-// otherHandler serves other entries, metrics and health on the peer address.
-func (h *Host) otherHandler(peers http.Handler) http.Handler {
+// peerHandler serves other entries, metrics and health on the peer address.
+func (h *Host) peerHandler(frontend http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	if peers != nil {
-		mux.Handle("/", h.Auth.Require(peers))
+	if frontend != nil {
+		mux.Handle("/", h.Auth.Require(frontend))
 	}
 	mux.Handle(pb.PeerLoadPathPrefix, h.Auth.Require(pb.NewPeerLoadServer(h.peerReports)))
 	mux.Handle("GET /metrics", h.Metrics.Handler)
@@ -272,8 +274,8 @@
 	return mux
 }
 
-// Reload takes over the settings that can change while the entry runs: where
-// control is. The rest counts from the next start on.
+// Reload applies the settings that can change while the entry runs: the addresses
+// of control. The others take effect at the next start.
 func (h *Host) Reload(set *settings.Entry) {
 	h.Control.AddAddresses(set.Control)
 	h.Log.Info("settings reloaded", "control", set.Control)
--- a/internal/host/lease.go
+++ b/internal/host/lease.go
@@ -8,11 +8,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/clock"
 )
 
-// viewLease is until when the published view counts, for traffic goroutines.
+// viewLease holds until when the published view is valid. Request goroutines read it.
 type viewLease struct {
 	mu    sync.Mutex
 	until time.Duration
-	// renewed is closed with the next renewal.
+	// renewed is closed by the next renewal.
 	renewed chan struct{}
 }
 
@@ -26,31 +26,33 @@
 	l.renewed = make(chan struct{})
 }
 
-// inForce tells whether the lease counts now, and else what is closed with its renewal.
-func (l *viewLease) inForce() (bool, <-chan struct{}) {
+// valid reports whether the lease is valid at present, and returns the channel that its next
+// renewal closes.
+func (l *viewLease) valid() (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return clock.SinceBoot() < l.until, l.renewed
 }
 
-// ViewLeaseValid tells whether control's word on the view counts now. Whoever gives a final
-// answer by what the view does not hold asks for this first and then reads the Snapshot.
+// ViewLeaseValid reports whether the lease on the view is valid at present. Before a final
+// answer that relies on something missing from the view, check this first and read the Snapshot
+// afterwards.
 //
-// Failure: an entry misses a change, since control or the way to it is slow, and tells a
-// caller for good that there is no such route or credential though it was declared and
+// Without the check, an entry that missed a change because control or the link to it is slow
+// would give a caller a final refusal for a route or credential that was declared and
 // acknowledged seconds ago.
 func (h *Host) ViewLeaseValid() bool {
-	ok, _ := h.loop.lease.inForce()
+	ok, _ := h.loop.lease.valid()
 	return ok
 }
 
-// AwaitViewLease waits until the view is in force, at most so long; false if it is not, or ctx
-// has ended.
+// AwaitViewLease waits up to the given time for a valid lease on the view. It returns false on
+// timeout and if ctx has ended.
 func (h *Host) AwaitViewLease(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		ok, renewed := h.loop.lease.inForce()
+		ok, renewed := h.loop.lease.valid()
 		if ok {
 			return true
 		}
--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// tickEvery is how often the reducer lets time pass. Waiting work, probes
-	// and reports are paced by it.
-	tickEvery = 20 * time.Millisecond
-	// quietTickEvery takes its place while nothing waits for time to pass: the
-	// wake-ups of the short tick alone cost an idle entry half of a percent of
-	// a core, of the 1.1% that control may cost a node.
-	quietTickEvery = 200 * time.Millisecond
-	// eventBuffer takes up bursts while the reducer is busy.
-	eventBuffer = 4096
-	// mailboxSize is more than the effects that can be under way for one
-	// request: the reducer sends the next one only after an event about the last.
+	// tickInterval is how often the reducer gets a tick. Queued requests, probes and
+	// reports are handled on ticks.
+	tickInterval = 20 * time.Millisecond
+	// idleTickInterval applies while the reducer waits for no timer: the wake-ups of the
+	// short interval alone cost an idle entry 0.5% of a core, out of the 1.1% of a core
+	// that the control plane may cost a node.
+	idleTickInterval = 200 * time.Millisecond
+	// eventQueueSize absorbs bursts of events while the reducer is busy.
+	eventQueueSize = 4096
+	// mailboxSize exceeds the number of effects that can be pending for one request:
+	// the reducer sends the next effect only after an event about the previous one.
 	mailboxSize = 8
 )
 
-// loop owns the reducer: one goroutine steps it, traffic goroutines post events
-// and wait at their request's mailbox for effects.
+// loop owns the reducer. One goroutine, the control goroutine, steps it. Request
+// goroutines post events and receive effects from the mailbox of their request.
 type loop struct {
-	reducer  *entry.Reducer
-	events   chan entry.Event
-	carryOut func(entry.Effect)
-	snapshot atomic.Pointer[entry.Snapshot]
-	lease    *viewLease
-	// configured is closed once a configuration has been learned.
+	reducer     *entry.Reducer
+	events      chan entry.Event
+	applyEffect func(entry.Effect)
+	snapshot    atomic.Pointer[entry.Snapshot]
+	lease       *viewLease
+	// configured is closed when the first configuration is published.
 	configured chan struct{}
 	stopped    chan struct{}
-	// busy is the step under way.
-	busy
+	// busyTimer times the step in progress.
+	busyTimer
 
 	mu        sync.Mutex
 	mailboxes map[string]chan entry.Effect
 }
 
-func newLoop(r *entry.Reducer, carryOut func(entry.Effect)) *loop {
+func newLoop(r *entry.Reducer, applyEffect func(entry.Effect)) *loop {
 	l := &loop{
-		reducer: r, events: make(chan entry.Event, eventBuffer), carryOut: carryOut, lease: newViewLease(),
+		reducer: r, events: make(chan entry.Event, eventQueueSize), applyEffect: applyEffect, lease: newViewLease(),
 		configured: make(chan struct{}), stopped: make(chan struct{}), mailboxes: make(map[string]chan entry.Effect),
 	}
 	l.snapshot.Store(&entry.Snapshot{})
@@ -58,32 +58,32 @@
 // run steps the reducer until ctx ends.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.stopped)
-	timer := time.NewTimer(tickEvery)
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
-	quiet := false
+	idle := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case ev := <-l.events:
 			l.step(ev)
-			if quiet && !l.reducer.Idle() {
-				quiet = false
-				timer.Reset(tickEvery)
+			if idle && !l.reducer.Idle() {
+				idle = false
+				timer.Reset(tickInterval)
 			}
 		case <-timer.C:
 			l.step(entry.Tick{})
-			quiet = l.reducer.Idle()
-			timer.Reset(tickPace(quiet))
+			idle = l.reducer.Idle()
+			timer.Reset(nextTickInterval(idle))
 		}
 	}
 }
 
-func tickPace(quiet bool) time.Duration {
-	if quiet {
-		return quietTickEvery
+func nextTickInterval(idle bool) time.Duration {
+	if idle {
+		return idleTickInterval
 	}
-	return tickEvery
+	return tickInterval
 }
 
 func (l *loop) step(ev entry.Event) {
@@ -105,7 +105,7 @@
 		case entry.Finish:
 			l.deliver(e.RequestID, e)
 		default:
-			l.carryOut(e)
+			l.applyEffect(e)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-// post hands an event to the reducer. After the end it does nothing.
+// post passes an event to the reducer. It does nothing after the loop has stopped.
 func (l *loop) post(ev entry.Event) {
 	select {
 	case l.events <- ev:
@@ -126,22 +126,22 @@
 	}
 }
 
-// open gives the mailbox of a request.
-func (l *loop) open(id string) <-chan entry.Effect {
-	box := make(chan entry.Effect, mailboxSize)
+// openMailbox creates the mailbox of a request.
+func (l *loop) openMailbox(id string) <-chan entry.Effect {
+	mailbox := make(chan entry.Effect, mailboxSize)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mailboxes[id] = box
-	return box
+	l.mailboxes[id] = mailbox
+	return mailbox
 }
 
-func (l *loop) close(id string) {
+func (l *loop) closeMailbox(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.mailboxes, id)
 }
 
-// open requests, for the planned stop.
+// openRequests returns how many requests have a mailbox.
 func (l *loop) openRequests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,23 +150,23 @@
 
 func (l *loop) deliver(id string, e entry.Effect) {
 	l.mu.Lock()
-	box := l.mailboxes[id]
+	mailbox := l.mailboxes[id]
 	l.mu.Unlock()
-	if box == nil {
+	if mailbox == nil {
 		return
 	}
-	box <- e
+	mailbox <- e
 }
 
-const jobSeparator = "#"
+const runSeparator = "#"
 
-// NewRunKey names one run of a request at this entry towards the reducer: a
-// caller that takes its request over begins another run of the same request,
-// and the last effect for the old run must not end the new one.
-func NewRunKey(wireID string) string { return wireID + jobSeparator + uuid.NewString()[:8] }
+// NewRunKey returns a key that identifies one run of a request at this entry to the
+// reducer. A caller that reconnects to its own request starts another run of it, and
+// the last effect for the old run must not end the new one.
+func NewRunKey(wireID string) string { return wireID + runSeparator + uuid.NewString()[:8] }
 
-// WireIDOf gives the request id towards servers of a run.
-func WireIDOf(jobKey string) string {
-	wireID, _, _ := strings.Cut(jobKey, jobSeparator)
+// WireIDOf returns the request id of a run that backend servers see.
+func WireIDOf(runKey string) string {
+	wireID, _, _ := strings.Cut(runKey, runSeparator)
 	return wireID
 }
--- a/internal/host/peer_reports.go
+++ b/internal/host/peer_reports.go
@@ -12,28 +12,30 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// peerReportTry bounds one report to another entry: the next one replaces it.
-const peerReportTry = 150 * time.Millisecond
+// peerReportTimeout bounds the sending of one report to another entry. The next report
+// replaces it.
+const peerReportTimeout = 150 * time.Millisecond
 
-// peerReports carries entries' reports on their backlogs. It implements pb.PeerLoad.
+// peerReports exchanges backlog reports, sums of backlogs and permits with other entries. It
+// implements pb.PeerLoad.
 type peerReports struct {
 	host *Host
 	http *http.Client
 
-	mu      sync.Mutex
-	clients map[string]*peerClient
-	sums    sumSource
-	// questions are the others' for sums, permits those for permits.
-	questions questions[pb.PeerSum]
-	permits   questions[pb.PermitAnswer]
+	mu         sync.Mutex
+	clients    map[string]*peerClient
+	aggregator aggregatorState
+	// sumRequests and permitRequests are requests of other entries that wait for the reducer.
+	sumRequests    pendingRequests[pb.PeerSum]
+	permitRequests pendingRequests[pb.PermitAnswer]
 }
 
-// peerClient calls one other entry, one call at a time: a report for an entry that is slow
-// to take the last one is left out, so that a silent peer costs one goroutine and not
-// twenty a second.
+// peerClient sends reports to one other entry, one at a time. A report is skipped while the
+// previous one is still being sent, so that a peer that does not answer blocks one goroutine
+// and not twenty more each second.
 type peerClient struct {
 	pb.PeerLoad
-	busy bool
+	inFlight bool
 }
 
 func newPeerReports(h *Host) *peerReports {
@@ -42,12 +44,12 @@
 	}
 }
 
-// peer calls the entry at an address.
-func (b *peerReports) peer(address string) pb.PeerLoad {
+// client returns a client for the entry at an address.
+func (b *peerReports) client(address string) pb.PeerLoad {
 	return pb.NewPeerLoadProtobufClient(b.host.Auth.URL(address), b.http)
 }
 
-// Report takes another entry's report.
+// Report receives the report of another entry.
 func (b *peerReports) Report(_ context.Context, req *pb.PeerReport) (*pb.PeerReportAnswer, error) {
 	if req.GetEntry() == "" {
 		return nil, twirp.RequiredArgumentError("entry")
@@ -56,38 +58,38 @@
 	return &pb.PeerReportAnswer{}, nil
 }
 
-// sendAll sends a report to all of its addresses and forgets clients of others.
+// sendAll sends a report to all of its addresses and drops the clients of all other addresses.
 func (b *peerReports) sendAll(e entry.ReportToPeers) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	kept := make(map[string]*peerClient, len(e.Addresses))
+	clients := make(map[string]*peerClient, len(e.Addresses))
 	for _, address := range e.Addresses {
 		c := b.clients[address]
 		if c == nil {
-			c = &peerClient{PeerLoad: b.peer(address)}
+			c = &peerClient{PeerLoad: b.client(address)}
 		}
-		kept[address] = c
-		if !c.busy {
-			c.busy = true
+		clients[address] = c
+		if !c.inFlight {
+			c.inFlight = true
 			b.host.Spawn(func() { b.send(c, e.Request) })
 		}
 	}
-	b.clients = kept
+	b.clients = clients
 }
 
-// send gives one peer the report. One that is lost is not sent again: the next is newer, and
-// without any the peer falls back on estimates.
+// send sends the report to one peer. A lost report is not retried: the next one is newer, and
+// without any report the peer falls back on estimates.
 func (b *peerReports) send(c *peerClient, req *pb.PeerReport) {
-	ctx, cancel := context.WithTimeout(b.host.TaskContext, peerReportTry)
+	ctx, cancel := context.WithTimeout(b.host.TaskContext, peerReportTimeout)
 	defer cancel()
 	_, err := c.Report(ctx, req)
-	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okWord(err)}).Counter("peer_reports").Inc(1)
+	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okLabel(err)}).Counter("peer_reports").Inc(1)
 	b.mu.Lock()
-	c.busy = false
+	c.inFlight = false
 	b.mu.Unlock()
 }
 
-func okWord(err error) string {
+func okLabel(err error) string {
 	if err != nil {
 		return "false"
 	}
--- a/internal/host/peer_sums.go
+++ b/internal/host/peer_sums.go
@@ -12,83 +12,87 @@
 )
 
 const (
-	// askFor is how long a choice waits for the sum of the other entries' backlogs before the
-	// entry decides on what it has: small beside callers' targets, and some ten times what an
-	// idle aggregator takes.
-	askFor = 20 * time.Millisecond
-	// sumFreshFor is how old a sum may be for a choice without asking again.
-	sumFreshFor = 5 * time.Millisecond
+	// sumTimeout is how long a placement decision waits for the sum of the other entries'
+	// backlogs before it goes by the data at hand. It is small against callers' latency
+	// targets, and about ten times the response time of an idle aggregator.
+	sumTimeout = 20 * time.Millisecond
+	// sumMaxAge is how old a sum may be for a placement decision without a new request.
+	sumMaxAge = 5 * time.Millisecond
 )
 
-// sumSource is what the last sum of an aggregator was, under peerReports.mu.
-type sumSource struct {
-	// askedAt is when the last answered question was sent.
-	askedAt time.Duration
-	pace    askPace
-	// asking is closed when the question under way has ended; nil for none.
-	asking chan struct{}
-	// aggregator and readsFrom tell which reads have been heard.
-	aggregator string
-	readsFrom  uint64
+// aggregatorState is the state of the requests for sums, guarded by peerReports.mu.
+type aggregatorState struct {
+	// lastSentAt is when the last answered request was sent.
+	lastSentAt time.Duration
+	interval   sumInterval
+	// inFlight is closed when the request in flight ends. It is nil if there is none.
+	inFlight chan struct{}
+	// incarnation is that of the aggregator. readsFrom tells it which records of prefilled prompts
+	// (PeerSum.Reads) this entry has already received.
+	incarnation string
+	readsFrom   uint64
 }
 
-// decodeSumFor is how old a sum may be for the choice of the engine that decodes a prompt
-// which was read elsewhere: one stream more or less makes little difference there.
-const decodeSumFor = 200 * time.Millisecond
+// decodeSumMaxAge is how old a sum may be for the choice of a decode engine for a prompt that
+// was prefilled elsewhere. One stream more or less makes little difference there.
+const decodeSumMaxAge = 200 * time.Millisecond
 
-// RefreshPeerSumForDecode does so before a decoding engine is chosen.
-func (h *Host) RefreshPeerSumForDecode(ctx context.Context) { h.refreshPeers(ctx, decodeSumFor) }
+// RefreshPeerSumForDecode is like RefreshPeerSum, for the choice of a decode engine. It accepts
+// an older sum.
+func (h *Host) RefreshPeerSumForDecode(ctx context.Context) { h.refreshPeerSum(ctx, decodeSumMaxAge) }
 
-// RefreshPeerSum asks the aggregator, where there is one, for the sum of the other entries'
-// backlogs, and hands it to the reducer. It returns when that is done or has failed, after
-// askFor at the latest. Callers that come meanwhile share one question.
-func (h *Host) RefreshPeerSum(ctx context.Context) { h.refreshPeers(ctx, sumFreshFor) }
+// RefreshPeerSum requests the sum of the other entries' backlogs from the aggregator, if there
+// is one, and passes it to the reducer. It returns when that is done or has failed, after
+// sumTimeout at the latest. Concurrent calls share one request.
+func (h *Host) RefreshPeerSum(ctx context.Context) { h.refreshPeerSum(ctx, sumMaxAge) }
 
-func (h *Host) refreshPeers(ctx context.Context, freshFor time.Duration) {
+func (h *Host) refreshPeerSum(ctx context.Context, maxAge time.Duration) {
 	snap := h.Snapshot()
 	if address := snap.Aggregator; address != "" && clock.SinceBoot() >= snap.AskAggregatorFrom {
-		h.peerReports.refresh(ctx, address, freshFor)
+		h.peerReports.refreshSum(ctx, address, maxAge)
 	}
 }
 
-// refresh asks for a sum, unless the last one is fresh or a question is under way.
-func (b *peerReports) refresh(ctx context.Context, address string, freshFor time.Duration) {
+// refreshSum requests a sum unless the last one is recent enough. If a request is in flight, it
+// waits for that one.
+func (b *peerReports) refreshSum(ctx context.Context, address string, maxAge time.Duration) {
 	b.mu.Lock()
-	if clock.SinceBoot()-b.sums.askedAt < b.sums.pace.freshFor(freshFor) {
+	if clock.SinceBoot()-b.aggregator.lastSentAt < b.aggregator.interval.maxAge(maxAge) {
 		b.mu.Unlock()
 		return
 	}
-	if under := b.sums.asking; under != nil {
+	if inFlight := b.aggregator.inFlight; inFlight != nil {
 		b.mu.Unlock()
 		select {
-		case <-under:
+		case <-inFlight:
 		case <-ctx.Done():
 		}
 		return
 	}
 	done := make(chan struct{})
-	b.sums.asking = done
+	b.aggregator.inFlight = done
 	req := &pb.PeerSumRequest{
-		ClusterId: b.host.Settings.Cluster, Entry: b.host.Settings.Name, Aggregator: b.sums.aggregator, ReadsFrom: b.sums.readsFrom,
+		ClusterId: b.host.Settings.Cluster, Entry: b.host.Settings.Name, Aggregator: b.aggregator.incarnation, ReadsFrom: b.aggregator.readsFrom,
 		WantAlive: b.host.Snapshot().LeaseExpiring,
 	}
 	b.mu.Unlock()
 	defer close(done)
-	b.ask(address, req)
+	b.requestSum(address, req)
 }
 
-// ask asks an aggregator and hands its answer, or that there was none, to the reducer.
-func (b *peerReports) ask(address string, req *pb.PeerSumRequest) {
-	ctx, cancel := context.WithTimeout(b.host.TaskContext, askFor)
+// requestSum requests a sum from an aggregator and posts the answer or the failure to the
+// reducer.
+func (b *peerReports) requestSum(address string, req *pb.PeerSumRequest) {
+	ctx, cancel := context.WithTimeout(b.host.TaskContext, sumTimeout)
 	defer cancel()
 	sent := clock.SinceBoot()
-	sum, err := b.peer(address).Sum(ctx, req)
-	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okWord(err)}).Counter("peer_sums").Inc(1)
+	sum, err := b.client(address).Sum(ctx, req)
+	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okLabel(err)}).Counter("peer_sums").Inc(1)
 	b.mu.Lock()
-	b.sums.asking = nil
-	b.sums.pace.ended(clock.SinceBoot() - sent)
+	b.aggregator.inFlight = nil
+	b.aggregator.interval.observe(clock.SinceBoot() - sent)
 	if err == nil {
-		b.sums.askedAt, b.sums.aggregator, b.sums.readsFrom = sent, sum.GetIncarnation(), sum.GetReadsNext()
+		b.aggregator.lastSentAt, b.aggregator.incarnation, b.aggregator.readsFrom = sent, sum.GetIncarnation(), sum.GetReadsNext()
 	}
 	b.mu.Unlock()
 	if err != nil {
@@ -98,12 +102,12 @@
 	b.host.Post(entry.SumReceived{SentAt: sent, Sum: sum})
 }
 
-// Sum answers another entry's question.
+// Sum answers another entry's request for the sum of backlogs.
 func (b *peerReports) Sum(ctx context.Context, req *pb.PeerSumRequest) (*pb.PeerSum, error) {
 	if req.GetEntry() == "" {
 		return nil, twirp.RequiredArgumentError("entry")
 	}
-	return b.questions.put(ctx, b.host.loop.stopped, func(key string) {
+	return b.sumRequests.submit(ctx, b.host.loop.stopped, func(key string) {
 		b.host.Post(entry.SumRequested{Key: key, Request: req})
 	})
 }
--- /dev/null
+++ b/internal/host/readiness.go
@@ -0,0 +1,119 @@
+package host
+
+import (
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/sourcegraph/conc/panics"
+	"github.com/uber-go/tally/v4"
+
+	"goldcrestseam.dev/goldcrestseam/internal/callerconn"
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
+	"goldcrestseam.dev/goldcrestseam/internal/obs"
+)
+
+// stallThreshold is how long the control goroutine may process one event, or the accept loop
+// may hand over one caller connection, before the entry counts as not ready. Both take up to
+// about 20 ms at 0.19 of a core, and readiness probes come once a second.
+const stallThreshold = time.Second
+
+// NotReadyReason says why an entry can't serve callers. It is empty for a ready entry.
+type NotReadyReason string
+
+// Reasons why an entry is not ready.
+const (
+	NoConfiguration    NotReadyReason = "no configuration"
+	ControlLoopStalled NotReadyReason = "the control goroutine is stalled"
+	AcceptLoopStalled  NotReadyReason = "caller connections are not accepted"
+)
+
+// NotReadyReason returns why this entry can't serve callers at present, or the empty reason if
+// it can. It logs each change.
+//
+// Without the stall checks, an entry that has a configuration but no longer processes events
+// or accepts connections would report ready forever and attract callers that get no answer.
+func (h *Host) NotReadyReason() NotReadyReason {
+	reason := h.notReadyReason()
+	if last := h.lastNotReadyReason.Swap(&reason); last == nil || *last != reason {
+		h.Log.Info(obs.LineReadiness, "ready", reason == "", "reason", string(reason),
+			"event_ms", h.loop.busyFor().Milliseconds(), "hand_over_ms", h.callerHandOver.busyFor().Milliseconds())
+	}
+	return reason
+}
+
+func (h *Host) notReadyReason() NotReadyReason {
+	switch {
+	case !h.Snapshot().Ready():
+		return NoConfiguration
+	case h.loop.busyFor() > stallThreshold:
+		return ControlLoopStalled
+	case h.callerHandOver.busyFor() > stallThreshold:
+		return AcceptLoopStalled
+	default:
+		return ""
+	}
+}
+
+// busyTimer holds when the work in progress began, in time since boot, or 0 while idle.
+type busyTimer struct{ since atomic.Int64 }
+
+func (b *busyTimer) begin(now time.Duration) { b.since.Store(int64(now)) }
+
+func (b *busyTimer) end() { b.since.Store(0) }
+
+// busyFor returns how long the work in progress has taken so far, or 0 while idle.
+func (b *busyTimer) busyFor() time.Duration {
+	since := time.Duration(b.since.Load())
+	if since == 0 {
+		return 0
+	}
+	return max(0, clock.SinceBoot()-since)
+}
+
+// CallerListener wraps the listener for callers: writes to its connections have a time limit,
+// accepted connections are counted, and the hand-over of each connection is timed for
+// NotReadyReason.
+func (h *Host) CallerListener(ln net.Listener) net.Listener {
+	return &callerListener{
+		Listener: callerconn.Listener{Listener: ln}, handOver: &h.callerHandOver,
+		accepted: h.Metrics.Scope.Counter("caller_connections"),
+	}
+}
+
+// callerListener must be used by a single accept loop.
+type callerListener struct {
+	net.Listener
+	handOver *busyTimer
+	accepted tally.Counter
+}
+
+// Accept waits for the next connection. The time until it is called again counts as the
+// hand-over of that connection.
+func (l *callerListener) Accept() (net.Conn, error) {
+	l.handOver.end()
+	conn, err := l.Listener.Accept()
+	l.handOver.begin(clock.SinceBoot())
+	if err == nil {
+		l.accepted.Inc(1)
+	}
+	return conn, err
+}
+
+// runListener runs a listener's accept loop and returns why it ended, including by a panic.
+//
+// Package conc holds a panic back until Wait, which is called only at the end of the process.
+// Without the recovery here, an entry whose accept loop panicked would keep running without
+// it and without a log line.
+func runListener(serve func() error) error {
+	err := Failed.New("a listener's accept loop returned without an error")
+	r := panics.Try(func() {
+		if e := serve(); e != nil {
+			err = Failed.Wrap(e, "a listener's accept loop failed")
+		}
+	})
+	if r != nil {
+		return Failed.New("a listener's accept loop panicked: %s", r.String())
+	}
+	return err
+}
--- a/internal/host/spawn.go
+++ b/internal/host/spawn.go
@@ -8,34 +8,34 @@
 	"goldcrestseam.dev/goldcrestseam/internal/obs"
 )
 
-// Spawn runs f on a goroutine of its own. A panic in it is logged at once:
-// conc would keep it until the end of the process and nobody would know why a
-// request hangs.
+// Spawn runs f in a new goroutine and logs a panic in it at once. Package conc would
+// hold the panic back until the process ends, and the request would hang without a
+// visible cause.
 func (h *Host) Spawn(f func()) {
 	h.tasks.Go(func() { h.CatchPanic(f) })
 }
 
-// CatchPanic runs f and tells whether it came to its end. A panic is logged with its stack
-// and counted: the work of one request may fail without the others'.
-func (h *Host) CatchPanic(f func(), about ...any) bool {
+// CatchPanic runs f and reports whether it returned without a panic. A panic is logged with
+// its stack and with attrs, and counted. One request may fail without harm to the others.
+func (h *Host) CatchPanic(f func(), attrs ...any) bool {
 	r := panics.Try(f)
 	if r == nil {
 		return true
 	}
-	h.Log.Error(obs.LineTaskPanicked, append([]any{"panic", r.String()}, about...)...)
+	h.Log.Error(obs.LineTaskPanicked, append([]any{"panic", r.String()}, attrs...)...)
 	h.Metrics.Scope.Counter("panics").Inc(1)
 	return false
 }
 
-// exitPanicked is the exit code of Go's own panics.
+// exitPanicked is the exit code that the Go runtime uses for panics.
 const exitPanicked = 2
 
-// ExitOnPanic runs a loop that the entry can't do without. After a panic its state
-// can't be trusted and the process ends: callers go on at other entries, while
-// an entry whose reducer stands still would hold them for ever.
+// ExitOnPanic runs a loop that the entry can't work without. After a panic the loop's
+// state can't be trusted, so the process exits and callers continue at other entries.
+// An entry with a stopped reducer would keep them waiting forever.
 func (h *Host) ExitOnPanic(f func()) {
 	if r := panics.Try(f); r != nil {
-		h.Log.Error("a loop panicked; the entry ends", "panic", r.String())
+		h.Log.Error("background loop panicked; exiting", "panic", r.String())
 		os.Exit(exitPanicked)
 	}
 }
--- a/internal/host/watch.go
+++ b/internal/host/watch.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// watchHold is how long control may hold a poll. It is well under the lease
-	// of 1.5 s, which counts from when the poll was sent: one lost poll and a
-	// change of leader fit in between.
-	watchHold = 400 * time.Millisecond
-	// watchSilence bounds how long a poll may bring nothing.
-	watchSilence = watchHold + 300*time.Millisecond
-	// watchTry bounds one poll whose answer keeps coming.
-	watchTry = 5 * time.Second
+	// watchHoldTime is how long control may hold a long poll. It is well below the view
+	// lease of 1.5 s, which starts when the poll is sent, so that one lost poll and a
+	// change of leader fit into the lease.
+	watchHoldTime = 400 * time.Millisecond
+	// watchSilenceTimeout bounds how long a poll may receive no data.
+	watchSilenceTimeout = watchHoldTime + 300*time.Millisecond
+	// watchTimeout bounds one poll whose answer is still arriving.
+	watchTimeout = 5 * time.Second
 )
 
-// watch keeps the view up to date until ctx ends.
+// watch keeps the view up to date by long polls to control until ctx ends.
 func (h *Host) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		var sent time.Duration
 		var resp *pb.WatchResponse
-		err := h.Control.Call(ctx, watchTry, func(ctx context.Context, c pb.Control) error {
+		err := h.Control.Call(ctx, watchTimeout, func(ctx context.Context, c pb.Control) error {
 			var err error
 			sent = clock.SinceBoot()
-			resp, err = c.Watch(rpc.WithSilence(ctx, watchSilence), h.watchRequest())
+			resp, err = c.Watch(rpc.WithSilence(ctx, watchSilenceTimeout), h.watchRequest())
 			h.logWatchFailed(sent, err)
 			return err
 		})
@@ -40,7 +40,7 @@
 			resp, err = rpc.UnpackView(resp)
 		}
 		if err != nil {
-			h.Log.Warn("watch failed", "error", err)
+			h.Log.Warn("view poll failed", "error", err)
 			Pause(ctx, time.Second)
 			continue
 		}
@@ -50,22 +50,22 @@
 	}
 }
 
-// logWatchFailed tells of a poll that brought no answer; replicas that do not lead answer at
-// once and are not told of.
+// logWatchFailed logs a poll without an answer. Errors of code Unavailable are left out:
+// replicas that do not lead return them at once.
 func (h *Host) logWatchFailed(sent time.Duration, err error) {
 	var twerr twirp.Error
 	if err == nil || errors.As(err, &twerr) && twerr.Code() == twirp.Unavailable {
 		return
 	}
 	snap := h.Snapshot()
-	h.watchFailures.Do(func() {
-		h.Log.Warn("poll not answered", "error", err.Error(), "after_ms", (clock.SinceBoot() - sent).Milliseconds(),
+	h.watchFailureLog.Do(func() {
+		h.Log.Warn("control did not answer the view poll", "error", err.Error(), "after_ms", (clock.SinceBoot() - sent).Milliseconds(),
 			"known_version", snap.ViewVersion, "revision", snap.Revision)
 	})
 }
 
-// awaitVersion lets the reducer apply a view before the next poll names its
-// version, for a bounded time: the reducer may have dropped it.
+// awaitVersion waits until the reducer has applied a view, so that the next poll names its
+// version. The wait is bounded since the reducer may have rejected the view.
 func (h *Host) awaitVersion(ctx context.Context, version uint64) {
 	for range 10 {
 		if h.Snapshot().ViewVersion >= version || !Pause(ctx, time.Millisecond) {
@@ -79,11 +79,11 @@
 	return &pb.WatchRequest{
 		ClusterId: h.Settings.Cluster, Entry: h.Identity, KnownVersion: snap.ViewVersion,
 		Revision: snap.Revision, Leaving: snap.Leaving, Load: snap.Load,
-		HoldMs: uint32(watchHold.Milliseconds()), TakesPacked: true,
+		HoldMs: uint32(watchHoldTime.Milliseconds()), TakesPacked: true,
 	}
 }
 
-// Pause waits; false when ctx ended before.
+// Pause waits for d. It returns false if ctx ended first.
 func Pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
