--- a/internal/obs/bounded.go
+++ b/internal/obs/bounded.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// boundedLines takes up some seconds of lines at the peak, in at most a few MB.
-	boundedLines = 8192
-	// flushFor bounds how long the last lines are waited for at the end.
-	flushFor = time.Second
+	// bufferedLines holds a few seconds of log lines at peak load, in a few MB at most.
+	bufferedLines = 8192
+	// flushTimeout bounds the writing of the buffered lines in Close.
+	flushTimeout = time.Second
 )
 
-// NonBlockingWriter is a writer of log lines that never blocks. Standard output can block
-// for as long as its reader is paused, and whoever logs would stand still with
-// it. When the buffer is full, lines are dropped, and the next one that is
-// written after them tells how many.
+// NonBlockingWriter writes log lines without ever blocking the caller. Standard output
+// can block for as long as its reader is paused, which would block every goroutine that
+// logs. When the buffer is full, lines are dropped, and a line that is written later
+// reports how many.
 type NonBlockingWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
 	done    chan struct{}
 }
 
-// NewNonBlockingWriter writes to w from a goroutine of its own until Close.
+// NewNonBlockingWriter returns a writer that writes to w in a separate goroutine until Close.
 func NewNonBlockingWriter(w io.Writer) *NonBlockingWriter {
-	b := &NonBlockingWriter{lines: make(chan []byte, boundedLines), done: make(chan struct{})}
+	b := &NonBlockingWriter{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
 
 func (b *NonBlockingWriter) run(w io.Writer) {
 	defer close(b.done)
-	told := uint64(0)
+	reported := uint64(0)
 	for line := range b.lines {
 		if line == nil {
 			return
 		}
-		if n := b.dropped.Load(); n > told {
-			line = fmt.Appendf(line, `{"level":"WARN","msg":"log lines dropped","lines":%d}`+"\n", n-told)
-			told = n
+		if n := b.dropped.Load(); n > reported {
+			line = fmt.Appendf(line, `{"level":"WARN","msg":"log lines dropped","lines":%d}`+"\n", n-reported)
+			reported = n
 		}
-		// There is nowhere to tell of an error of the log itself.
+		// A failure to write the log can't be logged.
 		_, _ = w.Write(line)
 	}
 }
 
-// Write takes one line, or drops it when the buffer is full. It gives no error.
+// Write buffers one line, or drops it if the buffer is full. It never returns an error.
 func (b *NonBlockingWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
@@ -57,12 +57,12 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns how many lines have been dropped so far.
 func (b *NonBlockingWriter) Dropped() uint64 { return b.dropped.Load() }
 
-// Close waits for the lines that are left, for a bounded time.
+// Close writes the buffered lines. It gives up after flushTimeout.
 func (b *NonBlockingWriter) Close() {
-	timeout := time.After(flushFor)
+	timeout := time.After(flushTimeout)
 	select {
 	case b.lines <- nil:
 	case <-timeout:
--- a/internal/obs/bounded_test.go
+++ b/internal/obs/bounded_test.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Nobody reads the process's standard output. Whoever logs must go on as if
-// someone did, and memory must stay bounded.
-func TestLogNeverBlocksWithoutAReader(t *testing.T) {
+// Guards against goroutines that block in the log, and against a buffer that grows
+// without bound, when nothing reads the process's standard output.
+func TestWriterNeverBlocksWithoutReader(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
 	b := NewNonBlockingWriter(w)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 10 * boundedLines {
+		for range 10 * bufferedLines {
 			_, _ = b.Write([]byte("line\n"))
 		}
 	}()
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a write blocked")
+		t.Fatal("Write blocked")
 	}
-	if b.Dropped() < 8*boundedLines {
-		t.Fatalf("%d lines dropped: the buffer has no bound", b.Dropped())
+	if b.Dropped() < 8*bufferedLines {
+		t.Fatalf("only %d lines dropped: the buffer is larger than bufferedLines", b.Dropped())
 	}
 }
 
-// A line was dropped: the log itself says so.
-func TestLogTellsWhatItDropped(t *testing.T) {
+// Guards against log lines that are dropped without a trace in the log.
+func TestLogReportsDroppedLines(t *testing.T) {
 	var out bytes.Buffer
 	b := &NonBlockingWriter{lines: make(chan []byte, 1), done: make(chan struct{})}
 	_, _ = b.Write([]byte("first\n"))
--- a/internal/obs/lines.go
+++ b/internal/obs/lines.go
@@ -1,7 +1,7 @@
 package obs
 
-// Messages of the lines that tell of one request, in the order of its life. Who writes
-// them and who reads them share the names.
+// Messages of the log lines about one request, in the order in which they occur. They are
+// constants since the code that reads logs compares them with the messages written.
 const (
 	LineDecision             = "decision"
 	LineAwaitedConfiguration = "waited for a configuration"
--- a/internal/obs/obs.go
+++ b/internal/obs/obs.go
@@ -1,4 +1,4 @@
-// Package obs sets up logs and metrics the same way in every process.
+// Package obs sets up logging and metrics, alike in every process.
 package obs
 
 import (
@@ -17,13 +17,13 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// reportInterval is how often tally hands its counters to the registry.
+// reportInterval is how often tally updates the Prometheus registry.
 const reportInterval = time.Second
 
-// readHeaderTimeout bounds how long a reader of metrics may take to ask.
+// readHeaderTimeout bounds how long a client may take to send the headers of a scrape.
 const readHeaderTimeout = 5 * time.Second
 
-// NewLogger gives a logger of JSON lines with the process's name.
+// NewLogger returns a logger that writes JSON lines, each with the name of the process.
 func NewLogger(w io.Writer, process string, s settings.Log) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(s.Level)); err != nil {
@@ -33,14 +33,15 @@
 	return slog.New(handler).With("process", process)
 }
 
-// Metrics is a process's metrics: a scope to count in and a page to scrape.
+// Metrics holds the metrics of a process: the scope that records them and the handler that
+// serves them to Prometheus.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// NewMetrics gives metrics under the prefix, with process and Go figures.
+// NewMetrics returns an empty set of metrics whose names begin with the prefix.
 func NewMetrics(prefix string) *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
@@ -56,17 +57,17 @@
 	}
 }
 
-// Serve serves the page at /metrics of an address of its own until ctx ends. Without
-// it the process goes on: nobody's request needs metrics.
+// Serve serves /metrics on a separate address until ctx ends. If it fails, the process keeps
+// running: requests don't depend on metrics.
 func (m *Metrics) Serve(ctx context.Context, address string, log *slog.Logger) {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", m.Handler)
 	server := &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		log.Error("metrics are not served", "address", address, "error", err.Error())
+		log.Error("metrics server failed", "address", address, "error", err.Error())
 	}
 }
 
-// Close writes out what is counted.
+// Close flushes the recorded metrics to the registry and stops the updates.
 func (m *Metrics) Close() error { return m.closer.Close() }
