--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome holds the words in which every answer and refusal says what
-// became of a request, and the error body that callers get.
+// Package outcome defines how answers and refusals state what happened to a request:
+// outcomes, error codes, headers and the error body that callers get.
 package outcome
 
 import (
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Outcome says whether a request ran at a backend server.
+// Outcome states whether a request ran on a backend server.
 type Outcome string
 
 const (
-	// Ran: a backend server ran it and the answer is its answer.
+	// Ran means that a backend server ran the request and the answer is from it.
 	Ran Outcome = "ran"
-	// NotRun: no byte of it reached a backend server, or the server said that
-	// it did not start it. It is safe to send again.
+	// NotRun means that no byte of the request reached a backend server, or that the
+	// server reported that it did not start it. It is safe to retry.
 	NotRun Outcome = "not_run"
-	// Unknown: it may have run. A once-only call must not be sent again under
-	// another key.
+	// Unknown means that the request may have run. A call that must run at most once must
+	// not be retried under another idempotency key.
 	Unknown Outcome = "unknown"
 )
 
-// Header names that the system adds to answers.
+// Names of headers that the system reads from requests or adds to answers.
 const (
 	// HeaderOutcome carries an Outcome.
 	HeaderOutcome = "X-Goldcrest-Outcome"
-	// HeaderRequestID carries the request id, the caller's own or a given one.
+	// HeaderRequestID carries the request id, which the caller chose or the entry generated.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderAttempt carries the attempt number towards backend servers.
+	// HeaderAttempt carries the attempt number on requests to backend servers.
 	HeaderAttempt = "X-Goldcrest-Attempt"
 	// HeaderEntry names the entry that answered.
 	HeaderEntry = "X-Goldcrest-Entry"
-	// HeaderIdempotencyKey carries a once-only call's UUIDv7.
+	// HeaderIdempotencyKey carries the UUIDv7 of a call that must run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRetryAfter is in whole seconds, rounded up.
+	// HeaderRetryAfter carries the wait before a retry in whole seconds, rounded up.
 	HeaderRetryAfter = "Retry-After"
-	// HeaderReplayed is "true" on a stored answer of an earlier run.
+	// HeaderReplayed is "true" if the answer is the stored answer of an earlier run.
 	HeaderReplayed = "X-Goldcrest-Replayed"
 )
 
-// Code names why a request was refused or failed, for programs.
+// Code states in machine-readable form why a request was refused or failed.
 type Code string
 
-// The codes that callers see; docs/CALLERS.md tells what to do on each.
+// The codes that callers get. docs/CALLERS.md describes what to do on each.
 const (
 	CodeInvalidRequest     Code = "invalid_request"
 	CodeTooLarge           Code = "too_large"
@@ -66,53 +66,54 @@
 	CodeEntryFailed        Code = "entry_failed"
 )
 
-// Refusal is a final answer without a result. It is sent at once.
+// Refusal is the final answer to a request that was refused or has failed.
 type Refusal struct {
 	Status  int
 	Code    Code
 	Message string
 	Outcome Outcome
-	// RetryAfter is when to come back; zero means that coming back won't help.
+	// RetryAfter is how long to wait before a retry. Zero means that a retry won't help.
 	RetryAfter time.Duration
 }
 
-// noConfigurationRetry is when to come back to an entry that is still to learn
-// its configuration: control tells it one within about a second.
-const noConfigurationRetry = time.Second
+// viewRetryAfter is the RetryAfter of an entry without a current view. Control sends it
+// one within about a second.
+const viewRetryAfter = time.Second
 
-// NoConfiguration refuses what reaches an entry before its first configuration.
+// NoConfiguration refuses a request that reaches an entry before its first configuration.
 func NoConfiguration() *Refusal {
 	return &Refusal{
 		Status: http.StatusServiceUnavailable, Code: CodeStaleView, Outcome: NotRun,
 		Message:    "this entry has not learned its configuration yet; ask another",
-		RetryAfter: noConfigurationRetry,
+		RetryAfter: viewRetryAfter,
 	}
 }
 
-// OutdatedView refuses what the entry can't judge: it may have missed a change.
+// OutdatedView refuses a request that the entry can't decide because it may have missed a
+// change of the view.
 func OutdatedView() *Refusal {
 	return &Refusal{
 		Status: http.StatusServiceUnavailable, Code: CodeStaleView, Outcome: NotRun,
 		Message:    "this entry is cut off and may have missed a change; ask another",
-		RetryAfter: noConfigurationRetry,
+		RetryAfter: viewRetryAfter,
 	}
 }
 
-// Error makes a Refusal an error.
+// Error returns the code and the message.
 func (r *Refusal) Error() string { return string(r.Code) + ": " + r.Message }
 
-// RetryAfterSeconds is the Retry-After value: whole seconds, rounded up.
+// RetryAfterSeconds returns the value of the Retry-After header: whole seconds, rounded up.
 func (r *Refusal) RetryAfterSeconds() string {
 	secs := (r.RetryAfter + time.Second - 1) / time.Second
 	return strconv.FormatInt(int64(secs), 10)
 }
 
-// Body is the JSON error body, in the shape that OpenAI-style clients read.
+// Body is the JSON error body in the form that OpenAI-compatible clients expect.
 type Body struct {
 	Error BodyError `json:"error"`
 }
 
-// BodyError is the inside of Body.
+// BodyError is the error object of a Body.
 type BodyError struct {
 	Message   string  `json:"message"`
 	Type      string  `json:"type"`
@@ -121,7 +122,7 @@
 	RequestID string  `json:"request_id,omitempty"`
 }
 
-// Body gives the error body for the request with that id.
+// Body returns the error body for the request with that id.
 func (r *Refusal) Body(requestID string) Body {
 	kind := "server_error"
 	if r.Status < 500 {
