--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects what is wrong with a file, each with its place, so
-// that all of it is reported together.
+// Package finding collects the problems of a file with their positions, so that
+// all of them are reported together.
 package finding
 
 import (
@@ -17,18 +17,18 @@
 // Invalid is the type of the error that List.Err returns.
 var Invalid = Namespace.NewType("invalid")
 
-// Finding is one thing that is wrong.
+// Finding is one problem of a file.
 type Finding struct {
 	File string `json:"file"`
-	// Line counts from 1; zero when the place is the whole file.
+	// Line counts from 1. It is zero if the problem concerns the whole file.
 	Line int `json:"line"`
 	// Field is the path of the field, such as "profiles[2].class".
 	Field string `json:"field"`
-	// Problem says what is wrong and what would be right.
+	// Problem states what is wrong and what is expected instead.
 	Problem string `json:"problem"`
 }
 
-// String gives file:line: field: problem.
+// String returns "file:line: field: problem".
 func (f Finding) String() string {
 	place := f.File
 	if f.Line > 0 {
@@ -40,10 +40,10 @@
 	return place + ": " + f.Field + ": " + f.Problem
 }
 
-// List holds findings.
+// List is a list of findings.
 type List []Finding
 
-// Sort orders by file, line and field.
+// Sort orders the findings by file, line and field.
 func (l List) Sort() {
 	slices.SortStableFunc(l, func(a, b Finding) int {
 		return cmp.Or(
@@ -54,7 +54,7 @@
 	})
 }
 
-// Err gives nil for an empty list, else one Invalid error with a line each.
+// Err returns nil for an empty list, else an Invalid error with one line for each finding.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
