--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -1,5 +1,6 @@
-// Package incarnation names the lives of backend servers. A server that starts again
-// may keep its name, so that a life is the name with the time of its start.
+// Package incarnation builds the ids of server incarnations. An incarnation is one run of a
+// backend server's process. A server that restarts may keep its name, so the id is the name
+// together with the time of the start.
 package incarnation
 
 import (
@@ -7,30 +8,30 @@
 	"strings"
 )
 
-// separator stands between a name and a start; names have none.
+// separator separates the name from the start time. Names don't contain it.
 const separator = "~"
 
-// ID names the life of a server that started at that Unix millisecond; 0: not told, and
-// the name alone tells lives apart.
-func ID(name string, startedMS int64) string {
-	if startedMS <= 0 {
+// ID returns the id of the incarnation that started at startUnixMS. If that is 0, the start is
+// unknown and the id is the name alone.
+func ID(name string, startUnixMS int64) string {
+	if startUnixMS <= 0 {
 		return name
 	}
-	return name + separator + strconv.FormatInt(startedMS, 10)
+	return name + separator + strconv.FormatInt(startUnixMS, 10)
 }
 
-// Name is the name that the server gave itself.
-func Name(life string) string {
-	name, _, _ := strings.Cut(life, separator)
+// Name returns the name under which the server announces itself.
+func Name(incarnation string) string {
+	name, _, _ := strings.Cut(incarnation, separator)
 	return name
 }
 
-// Valid tells whether a server's name can be part of a life.
+// Valid reports whether a server's name can be part of an incarnation id.
 func Valid(name string) bool { return name != "" && !strings.Contains(name, separator) }
 
-// started is the Unix millisecond of the life's start, 0 if it is not told.
-func started(life string) int64 {
-	_, text, _ := strings.Cut(life, separator)
+// startUnixMS returns the start of the incarnation in Unix milliseconds, or 0 if it is unknown.
+func startUnixMS(incarnation string) int64 {
+	_, text, _ := strings.Cut(incarnation, separator)
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
@@ -38,11 +39,11 @@
 	return ms
 }
 
-// Before tells that a is an earlier life than b of a server of the same name.
+// Before reports whether a is known to be an earlier incarnation than b of the same server.
 func Before(a, b string) bool {
-	return Name(a) == Name(b) && started(a) > 0 && started(a) < started(b)
+	return Name(a) == Name(b) && startUnixMS(a) > 0 && startUnixMS(a) < startUnixMS(b)
 }
 
-// Matches tells whether a word about the life a is about b: a word that does not tell the
-// start is about any life of its name.
+// Matches reports whether information about incarnation a applies to b. Without a start time,
+// a stands for every incarnation of its server.
 func Matches(a, b string) bool { return a == b || a == Name(b) }
