--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen bounds how many connections a listener holds, and keeps it taking new ones
-// where file descriptors run out.
+// Package listen limits the number of open connections of a listener, and keeps the listener
+// accepting when file descriptors run out.
 package listen
 
 import (
@@ -14,33 +14,36 @@
 )
 
 const (
-	// idleFor is how long a connection must have been still to make room for another one.
-	idleFor = 200 * time.Millisecond
-	// acceptPause is how long nothing is accepted after an error that may pass.
-	acceptPause = 20 * time.Millisecond
+	// minIdleTime is how long a connection must have been idle before it may be closed in favour
+	// of a new one.
+	minIdleTime = 200 * time.Millisecond
+	// acceptRetryDelay is the delay before the next Accept after a temporary error.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// LimitedListener is a listener that holds at most so many connections. It closes the one that has
-// been still the longest to take another, and a new one at once while all are in use.
+// LimitedListener is a listener with a limit on open connections. At the limit it closes the
+// connection that has been idle the longest to accept a new one. If all are in use, it closes
+// the new one.
 //
-// Failure: each of thousands of servers keeps its connection to one replica. At the limit of
-// descriptors accepting fails, the server's loop ends with that error, and the process ends
-// though all it had to do was to let go of a connection.
+// Without it, thousands of servers that each keep a connection to one control replica exhaust
+// its file descriptors. Accept then fails, the HTTP server returns that error, and the process
+// exits although closing one idle connection would have been enough.
 type LimitedListener struct {
 	net.Listener
-	most int
-	log  *slog.Logger
+	limit int
+	log   *slog.Logger
 
 	mu   sync.Mutex
 	open map[*conn]struct{}
 }
 
-// LimitListener bounds a listener; most 0: only errors that may pass are taken care of.
-func LimitListener(ln net.Listener, most int, log *slog.Logger) *LimitedListener {
-	return &LimitedListener{Listener: ln, most: most, log: log, open: make(map[*conn]struct{})}
+// LimitListener limits the open connections of a listener. With limit 0 it only handles
+// temporary errors of Accept.
+func LimitListener(ln net.Listener, limit int, log *slog.Logger) *LimitedListener {
+	return &LimitedListener{Listener: ln, limit: limit, log: log, open: make(map[*conn]struct{})}
 }
 
-// Accept waits for the next connection. Errors: the listener is closed.
+// Accept waits for the next connection. Its only error is net.ErrClosed.
 func (b *LimitedListener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := b.Listener.Accept()
@@ -48,21 +51,22 @@
 			return nil, err
 		}
 		if err != nil {
-			b.log.Warn("no connection accepted", "error", err.Error(), "open", b.count())
+			b.log.Warn("accepting a connection failed", "error", err.Error(), "open", b.count())
 			b.closeIdlest()
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if c := b.admit(accepted); c != nil {
+		if c := b.track(accepted); c != nil {
 			return c, nil
 		}
 	}
 }
 
-// admit takes a connection, or closes it where all are in use.
-func (b *LimitedListener) admit(accepted net.Conn) *conn {
-	if b.most > 0 && b.count() >= b.most && !b.closeIdlest() {
-		b.log.Warn("connection turned away; all are in use", "open", b.most)
+// track registers a connection, or closes it and returns nil if the limit is reached and all
+// others are in use.
+func (b *LimitedListener) track(accepted net.Conn) *conn {
+	if b.limit > 0 && b.count() >= b.limit && !b.closeIdlest() {
+		b.log.Warn("connection limit reached and no connection idle; closing the new one", "open", b.limit)
 		_ = accepted.Close()
 		return nil
 	}
@@ -80,43 +84,43 @@
 	return len(b.open)
 }
 
-// closeIdlest closes the connection that has been still the longest; false if all were in use
-// a moment ago.
+// closeIdlest closes the connection that has been idle the longest. It returns false if none
+// has been idle for minIdleTime.
 func (b *LimitedListener) closeIdlest() bool {
-	if c := b.idlest(clock.SinceBoot() - idleFor); c != nil {
+	if c := b.findIdlest(clock.SinceBoot() - minIdleTime); c != nil {
 		_ = c.Close()
 		return true
 	}
 	return false
 }
 
-func (b *LimitedListener) idlest(before time.Duration) *conn {
+func (b *LimitedListener) findIdlest(before time.Duration) *conn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var found *conn
 	for c := range b.open {
-		if used := c.usedAt(); used < before {
-			found, before = c, used
+		if lastUsed := c.lastUsedAt(); lastUsed < before {
+			found, before = c, lastUsed
 		}
 	}
 	return found
 }
 
-func (b *LimitedListener) forget(c *conn) {
+func (b *LimitedListener) remove(c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.open, c)
 }
 
-// conn notes when it was used last.
+// conn records when it was last used.
 type conn struct {
 	net.Conn
 	listener *LimitedListener
-	used     atomic.Int64
+	lastUsed atomic.Int64
 }
 
-func (c *conn) touch()                { c.used.Store(int64(clock.SinceBoot())) }
-func (c *conn) usedAt() time.Duration { return time.Duration(c.used.Load()) }
+func (c *conn) touch()                    { c.lastUsed.Store(int64(clock.SinceBoot())) }
+func (c *conn) lastUsedAt() time.Duration { return time.Duration(c.lastUsed.Load()) }
 
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
@@ -130,6 +134,6 @@
 }
 
 func (c *conn) Close() error {
-	c.listener.forget(c)
+	c.listener.remove(c)
 	return c.Conn.Close()
 }
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// failing gives an error that may pass before each connection.
-type failing struct {
+// failingListener returns a temporary error before each connection.
+type failingListener struct {
 	net.Listener
 	failures atomic.Int64
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if f.failures.Add(1)%2 == 1 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return f.Listener.Accept()
 }
 
-func listener(t *testing.T) net.Listener {
+func newListener(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,33 +33,33 @@
 	return ln
 }
 
-// Guards against a process that ends since it has no descriptor left for a connection: servers
-// end their loop with any error of Accept.
-func TestListenerOutlivesAcceptErrors(t *testing.T) {
-	ln := LimitListener(&failing{Listener: listener(t)}, 0, slog.New(slog.DiscardHandler))
+// Guards against a process that exits because it has no file descriptor left for a connection:
+// HTTP servers return on any error of Accept.
+func TestListenerSurvivesAcceptErrors(t *testing.T) {
+	ln := LimitListener(&failingListener{Listener: newListener(t)}, 0, slog.New(slog.DiscardHandler))
 	for range 3 {
 		caller, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken, err := ln.Accept()
+		accepted, err := ln.Accept()
 		if err != nil {
-			t.Fatalf("no connection: %v", err)
+			t.Fatalf("Accept: %v", err)
 		}
-		_ = taken.Close()
+		_ = accepted.Close()
 		_ = caller.Close()
 	}
 	_ = ln.Close()
 	if _, err := ln.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after its end: %v", err)
+		t.Errorf("Accept after Close: %v", err)
 	}
 }
 
-// Guards against more connections than there are descriptors for, and against one that is in
-// use and is closed for a newer one.
-func TestIdlestConnectionMakesRoom(t *testing.T) {
-	ln := LimitListener(listener(t), 2, slog.New(slog.DiscardHandler))
-	taken := make(chan net.Conn, 8)
+// Guards against more open connections than the limit, and against closing a connection that is
+// in use in favour of a new one.
+func TestIdlestConnectionIsClosedAtLimit(t *testing.T) {
+	ln := LimitListener(newListener(t), 2, slog.New(slog.DiscardHandler))
+	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -67,7 +67,7 @@
 				return
 			}
 			go func() { _, _ = io.Copy(io.Discard, c) }()
-			taken <- c
+			accepted <- c
 		}
 	}()
 	dial := func() net.Conn {
@@ -78,21 +78,21 @@
 		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
-	used := dial()
-	<-taken
+	active := dial()
+	<-accepted
 	dial()
-	idle := <-taken
-	time.Sleep(2 * idleFor)
-	if _, err := used.Write([]byte("x")); err != nil {
+	idle := <-accepted
+	time.Sleep(2 * minIdleTime)
+	if _, err := active.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(idleFor / 4)
+	time.Sleep(minIdleTime / 4)
 	dial()
-	<-taken
+	<-accepted
 	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the idle connection was kept: %v", err)
 	}
 	if n := ln.count(); n != 2 {
-		t.Errorf("%d connections are held", n)
+		t.Errorf("%d connections are open", n)
 	}
 }
