--- a/internal/devcert/devcert.go
+++ b/internal/devcert/devcert.go
@@ -1,6 +1,6 @@
-// Package devcert makes a throw-away CA with one certificate for the demo and
-// for tests. It is not for deployments: the CA's key is thrown away, so that no
-// second certificate can be made.
+// Package devcert creates a temporary CA with one certificate for the demo and
+// for tests. It is unsuitable for deployments: the CA's key is not stored, so
+// that no second certificate can be issued.
 package devcert
 
 import (
@@ -27,11 +27,11 @@
 // Failed is the type of all errors of this package.
 var Failed = Namespace.NewType("failed")
 
-// lifetime covers the longest test run.
-const lifetime = 24 * time.Hour
+// validity is how long the certificates are valid. It covers the longest test run.
+const validity = 24 * time.Hour
 
-// Write makes CA, certificate and key for the loopback addresses in dir and
-// gives the settings that use them. Errors: Failed.
+// Write writes a CA, a certificate for the loopback addresses and its key to dir, and
+// returns the settings that use them. Errors: Failed.
 func Write(dir string) (settings.Auth, error) {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -68,7 +68,7 @@
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Minute),
-		NotAfter:     now.Add(lifetime),
+		NotAfter:     now.Add(validity),
 	}
 }
 
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,5 +1,5 @@
-// Package version names the version of the programs.
+// Package version holds the version of the programs.
 package version
 
-// Version is set by the build with -ldflags "-X".
+// Version is set at build time with -ldflags "-X".
 var Version = "dev"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the words that backend servers speak (package engineapi)
-// into those of our own messages (package pb) and back.
+// Package wire converts between the types of the protocol with backend servers
+// (package engineapi) and the system's own messages (package pb).
 package wire
 
 import (
@@ -7,7 +7,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Kind gives a backend server's kind; all that is not plain is a model engine.
+// Kind converts a backend server's kind. Every kind but plain counts as a model engine.
 func Kind(k pb.ServerKind) string {
 	if k == pb.ServerKind_SERVER_KIND_PLAIN {
 		return engineapi.KindPlain
@@ -15,7 +15,7 @@
 	return engineapi.KindModel
 }
 
-// KindProto is Kind the other way.
+// KindProto is the inverse of Kind.
 func KindProto(kind string) pb.ServerKind {
 	if kind == engineapi.KindPlain {
 		return pb.ServerKind_SERVER_KIND_PLAIN
@@ -23,7 +23,7 @@
 	return pb.ServerKind_SERVER_KIND_MODEL
 }
 
-// Role gives an engine's role, empty for plain services.
+// Role converts an engine's role. It is empty for plain services.
 func Role(role pb.EngineRole) engineapi.Role {
 	switch role {
 	case pb.EngineRole_ENGINE_ROLE_PREFILL:
@@ -37,7 +37,7 @@
 	}
 }
 
-// RoleProto is Role the other way; an unknown role is unspecified.
+// RoleProto is the inverse of Role. An unknown role becomes unspecified.
 func RoleProto(role engineapi.Role) pb.EngineRole {
 	switch role {
 	case engineapi.RolePrefill:
@@ -51,8 +51,8 @@
 	}
 }
 
-// StateProto gives a server's own state; all that is neither leaving nor
-// changing serves.
+// StateProto converts the state that a server reports. Every state but leaving
+// and changing counts as serving.
 func StateProto(state engineapi.State) pb.ServerState {
 	switch state {
 	case engineapi.StateLeaving:
@@ -64,12 +64,12 @@
 	}
 }
 
-// Token gives a fencing token.
+// Token converts a fencing token.
 func Token(t *pb.FencingToken) engineapi.FencingToken {
 	return engineapi.FencingToken{Term: t.GetTerm(), Sequence: t.GetSequence()}
 }
 
-// TokenProto is Token the other way.
+// TokenProto is the inverse of Token.
 func TokenProto(t engineapi.FencingToken) *pb.FencingToken {
 	return &pb.FencingToken{Term: t.Term, Sequence: t.Sequence}
 }
