--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -1,30 +1,32 @@
-// Package engineapi holds what is spoken with backend servers: JSON over HTTP,
-// OpenAI-style completions streamed as server-sent events, with the extensions
-// that the platform's engines have (resume, cancel, priorities, cache salt, KV
-// export and import, orders with fencing tokens, cache events, load).
+// Package engineapi defines the protocol with backend servers: JSON over HTTP,
+// OpenAI-style completions streamed as server-sent events, and the extensions
+// of the platform's engines (resuming streams, cancellation, priorities, cache
+// salt, KV cache export and import, orders with fencing tokens, cache events,
+// load reports).
 //
-// It has no transport of its own: the entry and control send these types with
-// an HTTP client, the stand-in engine serves them. Another engine protocol can
-// stand behind the entry's engine client interface.
+// It contains no transport: the entry and control send these types with an HTTP
+// client, and the stand-in engine serves them. The entry's engine client
+// interface can be implemented for another engine protocol.
 package engineapi
 
 // Paths that a backend server serves.
 const (
-	// PathCompletions takes a CompletionRequest (POST); the answer is a stream
-	// of Chunk events, each "id: <offset after it>" and "data: <JSON>", closed
-	// by "data: [DONE]". 409 with a Refused body: it did not start.
+	// PathCompletions accepts a CompletionRequest (POST). The answer is a stream
+	// of Chunk events, each "id: <offset after it>" and "data: <JSON>", terminated
+	// by "data: [DONE]". Status 409 with a Refused body means that the request
+	// was not started.
 	PathCompletions = "/v1/completions"
-	// PathStreams + request id + "?attempt=N&from=OFFSET" (GET) goes on with a
-	// stream that this incarnation runs or has just finished; 404 if unknown.
+	// PathStreams + request id + "?attempt=N&from=OFFSET" (GET) resumes a stream
+	// that this incarnation runs or has recently finished. Status 404 if unknown.
 	PathStreams = "/v1/streams/"
-	// PathCancel takes a CancelRequest (POST). Idempotent.
+	// PathCancel accepts a CancelRequest (POST). It is idempotent.
 	PathCancel = "/v1/cancel"
-	// PathOrders takes an Order (POST) and answers with an OrderAnswer.
+	// PathOrders accepts an Order (POST) and answers with an OrderAnswer.
 	PathOrders = "/v1/orders"
 	// PathHealth answers with Health (GET).
 	PathHealth = "/health"
 	// PathKV + request id (GET) exports the KV cache of a running request as
-	// opaque bytes; POST to PathKV imports such bytes, answers KVImported.
+	// opaque bytes. POST to PathKV imports such bytes and answers with KVImported.
 	PathKV = "/v1/kv/"
 	// PathCacheEvents + "?after=SEQ" (GET) answers with CacheEvents.
 	PathCacheEvents = "/v1/cache/events"
@@ -32,12 +34,12 @@
 
 // Paths that entries serve for backend servers.
 const (
-	// PathAnnounce takes an Announcement (POST) and answers AnnounceAnswer.
+	// PathAnnounce accepts an Announcement (POST) and answers with an AnnounceAnswer.
 	PathAnnounce = "/v1/backend/announce"
 )
 
-// Header names on requests to and answers from backend servers, beside
-// outcome.HeaderRequestID and outcome.HeaderAttempt, which answers must echo.
+// Names of headers on requests to and answers from backend servers. In addition,
+// answers must echo outcome.HeaderRequestID and outcome.HeaderAttempt.
 const (
 	// HeaderMember names the member on calls to plain services.
 	HeaderMember = "X-Goldcrest-Member"
@@ -47,15 +49,14 @@
 	HeaderIncarnation = "X-Backend-Incarnation"
 	// HeaderLoad carries a Load as JSON on every answer.
 	HeaderLoad = "X-Backend-Load"
-	// HeaderRateLimit is how many requests a second the server takes from all entries together,
-	// a decimal number, on each answer for as long as it takes no more.
+	// HeaderRateLimit carries how many requests a second the server accepts from all entries
+	// together, as a decimal number. It is on every answer while the limit applies.
 	HeaderRateLimit = "X-Backend-Rate-Limit"
-	// HeaderNotStarted is "true" on an answer that says that the server did
-	// not start the request.
+	// HeaderNotStarted is "true" if the server did not start the request.
 	HeaderNotStarted = "X-Backend-Not-Started"
 )
 
-// State is what a backend server says of itself.
+// State is the state that a backend server reports.
 type State string
 
 // States of a backend server.
@@ -65,7 +66,7 @@
 	StateChanging State = "changing"
 )
 
-// Role is what an engine does: prefill, decode or both.
+// Role is the part of the work that an engine does: prefill, decode or both.
 type Role string
 
 // Roles of an engine.
@@ -75,28 +76,28 @@
 	RoleMixed   Role = "mixed"
 )
 
-// DoneMarker is the data of the event that closes a whole stream.
+// DoneMarker is the data of the event that terminates a complete stream.
 const DoneMarker = "[DONE]"
 
-// CompletionRequest asks an engine for tokens.
+// CompletionRequest asks an engine to generate tokens.
 type CompletionRequest struct {
 	RequestID string `json:"request_id"`
-	// Attempt counts the tries of this request, from 1.
+	// Attempt numbers the attempts of this request, from 1.
 	Attempt   uint32 `json:"attempt"`
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Seed      uint64 `json:"seed"`
-	// Priority: a larger one runs first.
+	// Priority orders waiting requests. The larger one runs first.
 	Priority int `json:"priority"`
-	// CacheSalt keeps members' prefix caches apart.
+	// CacheSalt isolates the prefix caches of members from each other.
 	CacheSalt string `json:"cache_salt"`
-	// GeneratedText and GeneratedTokens are what earlier attempts gave: the
-	// engine prefills prompt and text and goes on from that offset.
+	// GeneratedText and GeneratedTokens are the output of earlier attempts: the
+	// engine prefills prompt and text and continues from that offset.
 	GeneratedText   string `json:"generated_text,omitempty"`
 	GeneratedTokens int    `json:"generated_tokens,omitempty"`
-	// KVHandle names KV cache that was imported; empty: prefill.
+	// KVHandle refers to an imported KV cache. If empty, the engine prefills.
 	KVHandle string `json:"kv_handle,omitempty"`
 	// PrefillOnly stops after the first token and keeps the KV cache for export.
 	PrefillOnly bool `json:"prefill_only,omitempty"`
@@ -104,40 +105,41 @@
 }
 
 // Chunk is one event of a stream. Offsets count tokens from the start of the
-// whole answer, over all attempts.
+// complete output, across all attempts.
 type Chunk struct {
 	RequestID string `json:"request_id"`
 	Attempt   uint32 `json:"attempt"`
-	// Offset is the offset of the chunk's first token, Tokens how many it has.
+	// Offset is the offset of the chunk's first token, Tokens the number of its tokens.
 	Offset int    `json:"offset"`
 	Tokens int    `json:"tokens"`
 	Text   string `json:"text"`
 	// FinishReason is set on the last chunk: stop, length or prefilled.
 	FinishReason string `json:"finish_reason,omitempty"`
-	// Heartbeat chunks have no tokens: the engine is alive, the request waits
-	// or prefills.
+	// Heartbeat chunks have no tokens. They show that the engine is alive while
+	// the request is queued or in prefill.
 	Heartbeat bool `json:"heartbeat,omitempty"`
 }
 
-// Refused is the body of an answer that says that nothing was started.
+// Refused is the body of an answer to a request that was not started.
 type Refused struct {
 	Reason string `json:"reason"`
 	State  State  `json:"state"`
 }
 
-// CancelRequest stops an attempt. Attempts up to and with Attempt are stopped.
+// CancelRequest cancels all attempts of a request up to and including Attempt.
 type CancelRequest struct {
 	RequestID string `json:"request_id"`
 	Attempt   uint32 `json:"attempt"`
 }
 
-// FencingToken orders the orders to one engine: Term first, then Sequence.
+// FencingToken defines the sequence of the orders to one engine, by Term first and then by
+// Sequence.
 type FencingToken struct {
 	Term     uint64 `json:"term"`
 	Sequence uint64 `json:"sequence"`
 }
 
-// Less tells whether t is older than o.
+// Less reports whether t is older than o.
 func (t FencingToken) Less(o FencingToken) bool {
 	if t.Term != o.Term {
 		return t.Term < o.Term
@@ -152,10 +154,11 @@
 	OrderLoadAdapter = "load_adapter"
 )
 
-// Order changes an engine. The same ID again is answered, not run again.
+// Order changes an engine. A repeated order with the same ID is answered but not
+// carried out again.
 type Order struct {
 	ID string `json:"id"`
-	// Incarnation is the engine's: an engine refuses another one's order.
+	// Incarnation is that of the engine, which refuses an order for another one.
 	Incarnation string       `json:"incarnation"`
 	Token       FencingToken `json:"token"`
 	Kind        string       `json:"kind"`
@@ -163,7 +166,7 @@
 	Model       string       `json:"model,omitempty"`
 	Version     string       `json:"version,omitempty"`
 	Adapter     string       `json:"adapter,omitempty"`
-	// Sender names the control process and its incarnation, for the journal.
+	// Sender identifies the control process and its incarnation, for the engine's journal.
 	Sender string `json:"sender"`
 }
 
@@ -175,16 +178,16 @@
 	OrderRefused = "refused"
 )
 
-// OrderAnswer tells what became of an order.
+// OrderAnswer states the result of an order.
 type OrderAnswer struct {
 	ID     string `json:"id"`
 	Result string `json:"result"`
 	Reason string `json:"reason,omitempty"`
-	// Newest is the newest token that the engine has seen.
+	// Newest is the newest fencing token that the engine has received.
 	Newest FencingToken `json:"newest"`
 }
 
-// Load is what a backend server says of itself, with a lag.
+// Load is the load that a backend server reports. It lags behind by AgeMS.
 type Load struct {
 	Running             uint32  `json:"running"`
 	Queued              uint32  `json:"queued"`
@@ -193,20 +196,20 @@
 	PrefillRate         float64 `json:"prefill_rate"`
 	DecodeRate          float64 `json:"decode_rate"`
 	CacheUsed           float64 `json:"cache_used"`
-	// KVTokens is how many tokens of KV cache fit, KVUsed how many are reserved
-	// by what runs or waits there. Zero KVTokens: not told.
+	// KVTokens is the capacity of the KV cache in tokens, KVUsed how many of them
+	// running and queued requests reserve. If KVTokens is zero, it is unknown.
 	KVTokens uint64 `json:"kv_tokens"`
 	KVUsed   uint64 `json:"kv_used"`
 	AgeMS    uint32 `json:"age_ms"`
 }
 
-// Announcement is how a backend server makes itself known, once a second and
-// at once on every change of state, to two entries or more.
+// Announcement is the report by which a backend server registers with two or more
+// entries. It is sent once a second and at once on every change of state.
 type Announcement struct {
 	Cluster     string `json:"cluster"`
 	ID          string `json:"id"`
 	Incarnation string `json:"incarnation"`
-	// Address is where it serves, host:port.
+	// Address is where the server accepts requests, as host:port.
 	Address    string `json:"address"`
 	Region     string `json:"region"`
 	DataCentre string `json:"data_centre"`
@@ -220,7 +223,8 @@
 	State    State    `json:"state"`
 	Slots    uint32   `json:"slots"`
 	Load     Load     `json:"load"`
-	// LastOrder is the last order carried out, RunningOrder one under way.
+	// LastOrder is the last order carried out, with LastToken. RunningOrder is the one
+	// in progress.
 	LastOrder    string       `json:"last_order,omitempty"`
 	LastToken    FencingToken `json:"last_token"`
 	RunningOrder string       `json:"running_order,omitempty"`
@@ -232,17 +236,17 @@
 	KindPlain = "plain"
 )
 
-// AnnounceAnswer tells a backend server how to go on.
+// AnnounceAnswer tells a backend server when and where to announce next, and whether to leave.
 type AnnounceAnswer struct {
-	// IntervalMS is when to announce again.
+	// IntervalMS is the time until the next announcement.
 	IntervalMS uint32 `json:"interval_ms"`
-	// Entries are caller addresses to announce to, best first.
+	// Entries are the caller addresses of the entries to announce to, best first.
 	Entries []string `json:"entries"`
-	// Leave asks the server to leave: an operator drained it.
+	// Leave asks the server to finish its requests and leave, since an operator drains it.
 	Leave bool `json:"leave,omitempty"`
 }
 
-// Health is what a backend server says when asked.
+// Health is the answer of a backend server to a health probe.
 type Health struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"incarnation"`
@@ -251,23 +255,23 @@
 	Load        Load   `json:"load"`
 }
 
-// KVImported names imported KV cache for CompletionRequest.KVHandle.
+// KVImported carries the handle of an imported KV cache, for CompletionRequest.KVHandle.
 type KVImported struct {
 	Handle string `json:"handle"`
 	Tokens int    `json:"tokens"`
 }
 
-// CacheEvents are changes of an engine's prefix cache, late and with gaps:
-// Next may be more than the last Seq plus one.
+// CacheEvents are changes of an engine's prefix cache. They may be late and have gaps:
+// Next may be greater than the last Seq plus one.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   uint64       `json:"next"`
 }
 
-// CacheEvent tells that a block of prompt prefix was stored or dropped.
+// CacheEvent reports that a block of a prompt prefix was stored or evicted.
 type CacheEvent struct {
 	Seq uint64 `json:"seq"`
-	// Salt and Hash name the block; Hash is the prefix hash chain up to it.
+	// Salt and Hash identify the block. Hash is the chained hash of the prefix up to its end.
 	Salt    string `json:"salt"`
 	Hash    uint64 `json:"hash"`
 	Dropped bool   `json:"dropped,omitempty"`
--- a/internal/engineapi/wireid.go
+++ b/internal/engineapi/wireid.go
@@ -2,22 +2,24 @@
 
 import "strings"
 
-// wireSeparator stands in no member name and in no request id of a caller.
+// wireSeparator occurs neither in member names nor in request ids of callers.
 const wireSeparator = "~"
 
-// WireID is the request id that backend servers see: the member's name, the
-// caller's request id and a nonce of the entry that took the request.
+// WireID returns the request id that backend servers see. It consists of the member's
+// name, the caller's request id and a nonce of the entry that accepted the request.
 //
-// Callers choose request ids, so that two members may choose the same one, or
-// one member the same one twice. With the bare id an engine would take the
-// second request for an attempt of the first and answer with its stream.
+// Callers choose request ids, so two members may choose the same one, or one member
+// may use the same one twice. With the caller's id alone, an engine would take the
+// second request for another attempt of the first and answer with the first one's
+// stream.
 func WireID(member, requestID, nonce string) string {
 	return member + wireSeparator + requestID + wireSeparator + nonce
 }
 
-// SplitWireID gives member and request id back; ok is false for other strings.
-func SplitWireID(wire string) (member, requestID string, ok bool) {
-	parts := strings.Split(wire, wireSeparator)
+// SplitWireID returns the member and the request id of a wire id. ok is false for other
+// strings.
+func SplitWireID(wireID string) (member, requestID string, ok bool) {
+	parts := strings.Split(wireID, wireSeparator)
 	if len(parts) != 3 {
 		return "", "", false
 	}
