--- a/internal/enginemodel/advance.go
+++ b/internal/enginemodel/advance.go
@@ -2,130 +2,135 @@
 
 import "time"
 
-// pace is what goes on now and how fast.
-type pace struct {
-	prefill *stream // the one that prefills, nil for none
-	rate    float64 // its tokens/s
-	streams int     // that decode
-	step    float64 // seconds per token of each
+// activity is the work in progress and its speed.
+type activity struct {
+	prefill       *stream // the stream in prefill, nil if there is none
+	prefillRate   float64 // tokens/s
+	decodeStreams int
+	stepSeconds   float64 // seconds per token of each decoding stream
 }
 
-func (e *Engine) pace() pace {
-	var p pace
-	for _, s := range e.order {
-		if s.prefilling() && p.prefill == nil {
-			p.prefill = s
+func (e *Engine) activity() activity {
+	var current activity
+	for _, s := range e.streams {
+		if s.prefilling() && current.prefill == nil {
+			current.prefill = s
 		}
 		if s.decoding(e.now) {
-			p.streams++
+			current.decodeStreams++
 		}
 	}
-	prefill, decode := e.speeds(p.prefill != nil, p.streams > 0)
-	p.rate = e.cfg.PrefillRate * prefill
-	full := e.cfg.StepBase + time.Duration(p.streams)*e.cfg.StepPerStream
-	p.step = full.Seconds() / decode
-	return p
+	prefill, decode := e.relativeSpeeds(current.prefill != nil, current.decodeStreams > 0)
+	current.prefillRate = e.cfg.PrefillRate * prefill
+	full := e.cfg.StepBase + time.Duration(current.decodeStreams)*e.cfg.StepPerStream
+	current.stepSeconds = full.Seconds() / decode
+	return current
 }
 
-// speeds are the parts of the full rates that the engine does now.
-func (e *Engine) speeds(prefilling, decoding bool) (prefill, decode float64) {
-	s := speedsOf(e.role)
+// relativeSpeeds returns the fractions of the full rates at which the engine works, given
+// whether prefill and decode run.
+func (e *Engine) relativeSpeeds(prefilling, decoding bool) (prefill, decode float64) {
+	s := speedsOfRole(e.role)
 	prefill, decode = s.prefillAlone, s.decodeAlone
 	if prefilling && decoding {
-		prefill, decode = s.prefillBoth, s.decodeBoth
+		prefill, decode = s.prefillShared, s.decodeShared
 	}
 	return prefill / e.cfg.Slowdown, decode / e.cfg.Slowdown
 }
 
-// NextEventAt is when the engine's state changes next of itself: a prefill, a
-// stream, an import or a change of role ends. Never when nothing goes on.
-func (e *Engine) NextEventAt() time.Duration { return e.nextEventAt(e.pace()) }
+// NextEventAt returns when the engine's state will next change by itself, that is, when a
+// prefill, a stream, an import or a role change ends. It returns Never if the engine is
+// idle.
+func (e *Engine) NextEventAt() time.Duration { return e.nextEventAt(e.activity()) }
 
-// NextTokenAt is when the next token comes of those streams that decode now, or
-// NextEventAt when that is earlier.
+// NextTokenAt returns when one of the decoding streams will produce its next token, or
+// NextEventAt if that is earlier.
 func (e *Engine) NextTokenAt() time.Duration {
-	p := e.pace()
-	next := e.nextEventAt(p)
-	for _, s := range e.order {
+	current := e.activity()
+	next := e.nextEventAt(current)
+	for _, s := range e.streams {
 		if s.decoding(e.now) {
-			missing := float64(int(s.produced+tiny)+1) - s.produced
-			next = min(next, e.after(missing*p.step))
+			missing := float64(int(s.producedTokens+tokenEpsilon)+1) - s.producedTokens
+			next = min(next, e.timeAfter(missing*current.stepSeconds))
 		}
 	}
 	return next
 }
 
-func (e *Engine) nextEventAt(p pace) time.Duration {
+func (e *Engine) nextEventAt(current activity) time.Duration {
 	next := Never
 	if e.ChangingRole() {
-		next = e.done
+		next = e.roleChangeEnd
 	}
-	if p.prefill != nil {
-		next = min(next, e.after(p.prefill.prefill/p.rate))
+	if current.prefill != nil {
+		next = min(next, e.timeAfter(current.prefill.prefillLeft/current.prefillRate))
 	}
-	for _, s := range e.order {
+	for _, s := range e.streams {
 		switch {
-		case s.running && s.imported && s.importing > e.now:
-			next = min(next, s.importing)
+		case s.running && s.imported && s.importEnd > e.now:
+			next = min(next, s.importEnd)
 		case s.decoding(e.now):
-			next = min(next, e.after((s.target()-s.produced)*p.step))
+			next = min(next, e.timeAfter((s.target()-s.producedTokens)*current.stepSeconds))
 		}
 	}
 	return next
 }
 
-// after is the time in secs from now, rounded up so that what takes it is done.
-func (e *Engine) after(secs float64) time.Duration { return e.now + seconds(secs) + 1 }
+// timeAfter returns the time after the delay, rounded up so that work of that duration is
+// complete by then.
+func (e *Engine) timeAfter(delaySeconds float64) time.Duration {
+	return e.now + seconds(delaySeconds) + 1
+}
 
-// Advance lets time pass up to now and gives what was produced, in the order in
-// which requests run. The result is valid until the next call.
+// Advance simulates the engine up to now and returns what requests have produced, in the
+// order in which they run. The result is valid until the next call.
 func (e *Engine) Advance(now time.Duration) []Progress {
-	e.out = e.out[:0]
+	e.progress = e.progress[:0]
 	for e.now < now {
-		p := e.pace()
-		until := min(now, max(e.nextEventAt(p), e.now+1))
-		e.progress(p, until)
-		e.settle()
+		current := e.activity()
+		until := min(now, max(e.nextEventAt(current), e.now+1))
+		e.advanceStreams(current, until)
+		e.completeDue()
 	}
-	for _, s := range e.order {
-		e.tell(s, false)
+	for _, s := range e.streams {
+		e.reportProgress(s, false)
 	}
-	e.observe()
-	return e.out
+	e.sampleLoad()
+	return e.progress
 }
 
-// progress moves all running requests from e.now to until.
-func (e *Engine) progress(p pace, until time.Duration) {
+// advanceStreams advances all running requests from e.now to until.
+func (e *Engine) advanceStreams(current activity, until time.Duration) {
 	dt := (until - e.now).Seconds()
-	for _, s := range e.order {
+	for _, s := range e.streams {
 		if s.decoding(e.now) {
-			e.decode(s, dt, p.step)
+			e.decode(s, dt, current.stepSeconds)
 		}
 	}
-	if p.prefill != nil {
-		p.prefill.prefill -= dt * p.rate
+	if current.prefill != nil {
+		current.prefill.prefillLeft -= dt * current.prefillRate
 	}
 	e.now = until
 }
 
 func (e *Engine) decode(s *stream, dt, step float64) {
-	if s.firstAt == 0 && s.produced+dt/step >= 1-tiny {
-		s.firstAt = e.now + seconds(max(0, 1-s.produced)*step)
+	if s.firstTokenAt == 0 && s.producedTokens+dt/step >= 1-tokenEpsilon {
+		s.firstTokenAt = e.now + seconds(max(0, 1-s.producedTokens)*step)
 	}
-	s.produced = min(s.target(), s.produced+dt/step)
+	s.producedTokens = min(s.target(), s.producedTokens+dt/step)
 }
 
-// settle takes in what ended at e.now.
-func (e *Engine) settle() {
-	if e.ChangingRole() && e.now >= e.done {
-		e.role, e.next = e.next, ""
+// completeDue completes the role change, prefills and streams that are due at e.now.
+func (e *Engine) completeDue() {
+	if e.ChangingRole() && e.now >= e.roleChangeEnd {
+		e.role, e.nextRole = e.nextRole, ""
 		e.cache = newCache(e.cfg.CacheTokens, e.cfg.RecordCacheEvents)
 	}
-	for i := 0; i < len(e.order); i++ {
-		s := e.order[i]
-		if s.running && !s.imported && s.firstAt == 0 && s.prefill <= tiny {
-			s.firstAt = e.now
-			s.produced = 1
+	for i := 0; i < len(e.streams); i++ {
+		s := e.streams[i]
+		if s.running && !s.imported && s.firstTokenAt == 0 && s.prefillLeft <= tokenEpsilon {
+			s.firstTokenAt = e.now
+			s.producedTokens = 1
 			e.cache.store(s.req.Salt, s.req.Prefix)
 		}
 		if s.done() {
@@ -137,22 +142,22 @@
 
 func (e *Engine) finish(s *stream) {
 	if s.req.PrefillOnly {
-		e.exports[s.req.ID] = s.req.PromptTokens + s.req.GeneratedTokens + 1
+		e.exportableKVTokens[s.req.ID] = s.req.PromptTokens + s.req.GeneratedTokens + 1
 	}
-	e.tell(s, true)
+	e.reportProgress(s, true)
 	e.remove(s)
-	e.fill()
+	e.assignSlots()
 }
 
-// tell notes what a request produced since it was told last.
-func (e *Engine) tell(s *stream, finished bool) {
-	produced := int(s.produced + tiny)
-	if produced == s.reported && !finished {
+// reportProgress records what a request has produced since its last report.
+func (e *Engine) reportProgress(s *stream, finished bool) {
+	producedTokens := int(s.producedTokens + tokenEpsilon)
+	if producedTokens == s.reportedTokens && !finished {
 		return
 	}
-	e.out = append(e.out, Progress{
-		ID: s.req.ID, Tokens: produced - s.reported, Finished: finished,
-		FirstTokenAt: s.firstAt, LastTokenAt: e.now,
+	e.progress = append(e.progress, Progress{
+		ID: s.req.ID, Tokens: producedTokens - s.reportedTokens, Finished: finished,
+		FirstTokenAt: s.firstTokenAt, LastTokenAt: e.now,
 	})
-	s.reported = produced
+	s.reportedTokens = producedTokens
 }
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -6,35 +6,35 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// maxCacheEvents bounds the events that are kept for CacheEvents; older ones
-// are the gaps that readers see.
-const maxCacheEvents = 1024
+// keptCacheEvents is how many recent events are at least kept for CacheEvents, out of up to
+// twice as many stored. Dropped events appear to readers as gaps.
+const keptCacheEvents = 1024
 
-// blockKey names a cached block. The salt keeps members apart.
+// blockKey identifies a cached block. The salt isolates members from each other.
 type blockKey struct {
 	salt string
 	hash uint64
 }
 
-// cache is the prefix cache: blocks, the one used last at the front.
+// cache is the prefix cache. It evicts the least recently used blocks.
 type cache struct {
-	capacity int // blocks
-	order    *list.List
-	blocks   map[blockKey]*list.Element
-	record   bool
-	events   []engineapi.CacheEvent
-	seq      uint64
+	capacity     int // blocks
+	lru          *list.List
+	blocks       map[blockKey]*list.Element
+	recordEvents bool
+	events       []engineapi.CacheEvent
+	seq          uint64
 }
 
 func newCache(tokens int, record bool) *cache {
 	return &cache{
-		capacity: max(1, tokens/engineapi.BlockTokens), order: list.New(),
-		blocks: make(map[blockKey]*list.Element), record: record,
+		capacity: max(1, tokens/engineapi.BlockTokens), lru: list.New(),
+		blocks: make(map[blockKey]*list.Element), recordEvents: record,
 	}
 }
 
-// held is how many leading blocks of the chain are cached.
-func (c *cache) held(salt string, chain []uint64) int {
+// cachedBlocks returns how many leading blocks of the chain are cached.
+func (c *cache) cachedBlocks(salt string, chain []uint64) int {
 	for i, hash := range chain {
 		if c.blocks[blockKey{salt, hash}] == nil {
 			return i
@@ -43,44 +43,44 @@
 	return len(chain)
 }
 
-// store puts the chain in, its last block first, so that the leading blocks
-// that more prompts share are dropped last.
+// store adds the blocks of the chain, the last one first, so that leading blocks,
+// which more prompts share, are evicted last.
 func (c *cache) store(salt string, chain []uint64) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		c.storeBlock(blockKey{salt, chain[i]})
 	}
-	for c.order.Len() > c.capacity {
-		last := c.order.Back()
-		key := c.order.Remove(last).(blockKey)
+	for c.lru.Len() > c.capacity {
+		last := c.lru.Back()
+		key := c.lru.Remove(last).(blockKey)
 		delete(c.blocks, key)
-		c.note(key, true)
+		c.recordEvent(key, true)
 	}
 }
 
 func (c *cache) storeBlock(key blockKey) {
 	if e := c.blocks[key]; e != nil {
-		c.order.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		return
 	}
-	c.blocks[key] = c.order.PushFront(key)
-	c.note(key, false)
+	c.blocks[key] = c.lru.PushFront(key)
+	c.recordEvent(key, false)
 }
 
-func (c *cache) note(key blockKey, dropped bool) {
-	if !c.record {
+func (c *cache) recordEvent(key blockKey, dropped bool) {
+	if !c.recordEvents {
 		return
 	}
 	c.seq++
 	c.events = append(c.events, engineapi.CacheEvent{Seq: c.seq, Salt: key.salt, Hash: key.hash, Dropped: dropped})
-	if len(c.events) > 2*maxCacheEvents {
-		c.events = append(c.events[:0], c.events[maxCacheEvents:]...)
+	if len(c.events) > 2*keptCacheEvents {
+		c.events = append(c.events[:0], c.events[keptCacheEvents:]...)
 	}
 }
 
-func (c *cache) used() float64 { return float64(c.order.Len()) / float64(c.capacity) }
+func (c *cache) usedRatio() float64 { return float64(c.lru.Len()) / float64(c.capacity) }
 
-// after gives the events that are still kept with a larger sequence number.
-func (c *cache) after(seq uint64) engineapi.CacheEvents {
+// eventsAfter returns the stored events with a larger sequence number.
+func (c *cache) eventsAfter(seq uint64) engineapi.CacheEvents {
 	out := engineapi.CacheEvents{Next: c.seq + 1}
 	for _, e := range c.events {
 		if e.Seq > seq {
--- a/internal/enginemodel/config.go
+++ b/internal/enginemodel/config.go
@@ -1,16 +1,16 @@
-// Package enginemodel is a model of one model engine in virtual time: continuous
-// batching with a token-time model, priorities, roles, a prefix cache of limited
-// memory, KV cache import and export, and load that is told with a lag.
+// Package enginemodel simulates one language model engine in virtual time: continuous
+// batching with a time per token, priorities, roles, a prefix cache of limited
+// size, KV cache import and export, and load reports with a lag.
 //
 // The policy experiment and the end-to-end tests of the decisions run on it, and
-// the stand-in engine serves it over HTTP, so both see the same engine. It reads
-// no clock, does no I/O and has no goroutines.
+// the stand-in engine serves it over HTTP, so that all of them use the same model. It
+// reads no clock, does no I/O and starts no goroutines.
 //
-// The model: prefill takes prompt tokens one request at a time, the highest
-// priority first. Decode gives every running stream one token a step, and a step
-// grows with the number of streams. While both go on at a mixed engine they slow
-// each other down (chunked prefill shares the steps); an engine with only one
-// part runs it at full speed. That is what makes roles worth changing.
+// Prefill processes the prompt tokens of one request at a time, the highest priority
+// first. Decode gives every running stream one token per step, and a step takes longer
+// the more streams there are. When both run on a mixed engine they slow each other
+// down, since chunked prefill shares the steps. An engine that does only one of them
+// runs it at full speed, which is why role changes pay off.
 package enginemodel
 
 import (
@@ -19,42 +19,43 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Config is what one engine can do. The zero value of a field takes its
-// default.
+// Config describes the capacity and speed of one engine. Fields that are zero get their
+// defaults.
 type Config struct {
-	// PrefillRate is tokens/s of prefill alone.
+	// PrefillRate is the speed of prefill without decode, in tokens/s.
 	PrefillRate float64
-	// StepBase and StepPerStream give the time of a decode step.
+	// StepBase and StepPerStream determine the duration of a decode step: StepBase plus
+	// StepPerStream for each stream.
 	StepBase, StepPerStream time.Duration
-	// Slots is how many requests run at once; more wait.
+	// Slots is how many requests run at once. Others are queued.
 	Slots int
-	// KVTokens bounds the tokens of running requests.
+	// KVTokens limits the KV cache of all running requests together.
 	KVTokens int
-	// CacheTokens bounds the prefix cache.
+	// CacheTokens limits the prefix cache.
 	CacheTokens int
-	// KVImportRate is tokens/s of KV cache import.
+	// KVImportRate is the speed of KV cache import, in tokens/s.
 	KVImportRate float64
-	// RoleChangeTime is how long a change of role takes.
+	// RoleChangeTime is how long a role change takes.
 	RoleChangeTime time.Duration
-	// LoadLag is how old the load is that Load tells.
+	// LoadLag is how old the load returned by Load is.
 	LoadLag time.Duration
-	// Slowdown divides all rates; 1 is a healthy engine.
+	// Slowdown divides all rates. It is 1 for a healthy engine.
 	Slowdown float64
-	// RecordCacheEvents keeps cache events for CacheEvents.
+	// RecordCacheEvents makes the engine keep cache events for CacheEvents.
 	RecordCacheEvents bool
 }
 
-// Defaults: an engine with one accelerator and a model of some ten thousand
-// million parameters, whose full batch of 32 gives each stream a token in 36 ms.
+// Defaults of Config. They describe an engine with one accelerator and a model of about
+// ten billion parameters, on which a full batch of 32 gives each stream a token in 36 ms.
 const (
 	DefaultPrefillRate   = 10000
 	DefaultStepBase      = 20 * time.Millisecond
 	DefaultStepPerStream = 500 * time.Microsecond
 	DefaultSlots         = 32
-	// DefaultKVTokens holds twenty dossiers of 30,000 tokens.
+	// DefaultKVTokens holds twenty requests of 30,000 tokens.
 	DefaultKVTokens    = 600000
 	DefaultCacheTokens = 200000
-	// DefaultKVImportRate is 160 kB a token over 25 Gbit/s.
+	// DefaultKVImportRate is the rate at 160 kB per token over 25 Gbit/s.
 	DefaultKVImportRate   = 20000
 	DefaultRoleChangeTime = 5 * time.Second
 	DefaultLoadLag        = time.Second
@@ -80,34 +81,36 @@
 	}
 }
 
-// FullDecodeRate is tokens/s of decode alone with all slots in use.
+// FullDecodeRate returns the speed of decode without prefill and with all slots in use, in
+// tokens/s.
 func (c Config) FullDecodeRate() float64 {
 	c = c.withDefaults()
 	step := c.StepBase + time.Duration(c.Slots)*c.StepPerStream
 	return float64(c.Slots) / step.Seconds()
 }
 
-// speeds are the parts of the full rates that a role reaches: with only one
-// kind of work there, and with both.
-type speeds struct {
-	prefillAlone, decodeAlone float64
-	prefillBoth, decodeBoth   float64
+// roleSpeeds are the fractions of the full rates that a role reaches: Alone if only
+// prefill or only decode runs, Shared if both run.
+type roleSpeeds struct {
+	prefillAlone, decodeAlone   float64
+	prefillShared, decodeShared float64
 }
 
-// MixedEfficiency is what a mixed engine does of two engines' work when both
-// kinds are there, as a part of one engine: prefillBoth + decodeBoth.
+// MixedEfficiency is the throughput of a mixed engine that runs prefill and decode
+// together, as a fraction of that of an engine that runs only one of them: prefillShared
+// + decodeShared.
 const MixedEfficiency = 0.8
 
-// speedsOf: a prefill or decode engine does the other kind badly, because its
-// batch sizes and memory are laid out for its own. A mixed engine loses a fifth
-// to interference, little when it has only one kind.
-func speedsOf(role engineapi.Role) speeds {
+// speedsOfRole returns the speeds of a role. A prefill or decode engine is slow at the
+// other kind of work, since its batch sizes and memory are set up for its own. A mixed
+// engine loses a fifth to interference if both kinds run, and 5% if only one does.
+func speedsOfRole(role engineapi.Role) roleSpeeds {
 	switch role {
 	case engineapi.RolePrefill:
-		return speeds{prefillAlone: 1, decodeAlone: 0.4, prefillBoth: 0.7, decodeBoth: 0.1}
+		return roleSpeeds{prefillAlone: 1, decodeAlone: 0.4, prefillShared: 0.7, decodeShared: 0.1}
 	case engineapi.RoleDecode:
-		return speeds{prefillAlone: 0.4, decodeAlone: 1, prefillBoth: 0.1, decodeBoth: 0.7}
+		return roleSpeeds{prefillAlone: 0.4, decodeAlone: 1, prefillShared: 0.1, decodeShared: 0.7}
 	default:
-		return speeds{prefillAlone: 0.95, decodeAlone: 0.95, prefillBoth: 0.4, decodeBoth: 0.4}
+		return roleSpeeds{prefillAlone: 0.95, decodeAlone: 0.95, prefillShared: 0.4, decodeShared: 0.4}
 	}
 }
--- a/internal/enginemodel/load.go
+++ b/internal/enginemodel/load.go
@@ -6,21 +6,21 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// sampleEvery is how often the engine looks at its own load.
-const sampleEvery = 100 * time.Millisecond
+// sampleInterval is how often the engine samples its load.
+const sampleInterval = 100 * time.Millisecond
 
-// sample is the load at one time.
+// sample is the load at one point in time.
 type sample struct {
 	at   time.Duration
 	load engineapi.Load
 }
 
-// observe keeps samples that are young enough to be told once the lag is over.
-func (e *Engine) observe() {
-	if n := len(e.samples); n > 0 && e.now-e.samples[n-1].at < sampleEvery {
+// sampleLoad records the load and drops samples that are too old to be reported any more.
+func (e *Engine) sampleLoad() {
+	if n := len(e.samples); n > 0 && e.now-e.samples[n-1].at < sampleInterval {
 		return
 	}
-	e.samples = append(e.samples, sample{e.now, e.current()})
+	e.samples = append(e.samples, sample{e.now, e.currentLoad()})
 	old := 0
 	for old+1 < len(e.samples) && e.samples[old+1].at <= e.now-e.cfg.LoadLag {
 		old++
@@ -30,40 +30,40 @@
 	}
 }
 
-// Load is what the engine says of itself: the newest sample that is at least as
-// old as the lag, or the oldest there is. Time must have been advanced to now.
+// Load returns the load that the engine reports: the newest sample that is at least as
+// old as Config.LoadLag, else the oldest sample. The engine must have been advanced to now.
 func (e *Engine) Load(now time.Duration) engineapi.Load {
 	if len(e.samples) == 0 {
-		return e.current()
+		return e.currentLoad()
 	}
-	told := e.samples[0]
+	reported := e.samples[0]
 	for _, s := range e.samples {
 		if s.at <= now-e.cfg.LoadLag {
-			told = s
+			reported = s
 		}
 	}
-	told.load.AgeMS = uint32((now - told.at) / time.Millisecond)
-	return told.load
+	reported.load.AgeMS = uint32((now - reported.at) / time.Millisecond)
+	return reported.load
 }
 
-// current is the load right now.
-func (e *Engine) current() engineapi.Load {
-	load := engineapi.Load{CacheUsed: e.cache.used(), KVTokens: uint64(e.cfg.KVTokens)}
+// currentLoad returns the load without any lag.
+func (e *Engine) currentLoad() engineapi.Load {
+	load := engineapi.Load{CacheUsed: e.cache.usedRatio(), KVTokens: uint64(e.cfg.KVTokens)}
 	prefilling, decoding := false, false
-	for _, s := range e.order {
+	for _, s := range e.streams {
 		if s.running {
 			load.Running++
 		} else {
 			load.Queued++
 		}
-		load.KVUsed += uint64(s.kv)
-		load.QueuedPrefillTokens += uint64(max(0, s.prefill))
-		load.RunningDecodeTokens += uint64(max(0, s.target()-s.produced))
+		load.KVUsed += uint64(s.reservedKVTokens)
+		load.QueuedPrefillTokens += uint64(max(0, s.prefillLeft))
+		load.RunningDecodeTokens += uint64(max(0, s.target()-s.producedTokens))
 		prefilling = prefilling || s.prefilling()
 		decoding = decoding || s.decoding(e.now)
 	}
-	prefill, _ := e.speeds(true, decoding)
-	_, decode := e.speeds(prefilling, true)
+	prefill, _ := e.relativeSpeeds(true, decoding)
+	_, decode := e.relativeSpeeds(prefilling, true)
 	load.PrefillRate = e.cfg.PrefillRate * prefill
 	load.DecodeRate = e.cfg.FullDecodeRate() * decode
 	return load
--- a/internal/enginemodel/stream.go
+++ b/internal/enginemodel/stream.go
@@ -7,71 +7,73 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Request is what an engine is asked to run.
+// Request is a request to an engine.
 type Request struct {
 	ID string
-	// Priority: a larger one runs first.
+	// Priority orders requests. The larger one runs first.
 	Priority int
-	// PromptTokens and OutputTokens are the sizes of the whole; of the output
-	// GeneratedTokens were produced by earlier attempts.
+	// PromptTokens and OutputTokens are the total sizes. GeneratedTokens of the output
+	// were produced by earlier attempts.
 	PromptTokens, OutputTokens, GeneratedTokens int
-	// Salt and Prefix are for the prefix cache.
+	// Salt and Prefix, a chain of engineapi.PrefixChain, identify the prompt's blocks in
+	// the prefix cache.
 	Salt   string
 	Prefix []uint64
-	// PrefillOnly stops after the first token.
+	// PrefillOnly ends the request after the first token and keeps its KV cache for export.
 	PrefillOnly bool
-	// KVImported: the KV cache of prompt and generated tokens is imported, so
-	// that nothing is prefilled.
+	// KVImported means that the KV cache of prompt and generated tokens is imported
+	// and no prefill is needed.
 	KVImported bool
 }
 
-// Progress is what a request produced since the last call of Advance.
+// Progress is what a request has produced since the last call of Advance.
 type Progress struct {
 	ID string
-	// Tokens are new tokens; the first one comes with the end of the prefill.
+	// Tokens is the number of new tokens. The end of the prefill produces the first one.
 	Tokens int
-	// Finished: nothing more comes.
+	// Finished means that the request is complete.
 	Finished bool
-	// FirstTokenAt is when the first of the attempt's tokens came, and LastTokenAt when
-	// the last token so far did.
+	// FirstTokenAt is when the attempt produced its first token, LastTokenAt when it
+	// produced its latest one.
 	FirstTokenAt, LastTokenAt time.Duration
 }
 
-// tiny is below any real remainder of a token; it takes up rounding.
-const tiny = 1e-6
+// tokenEpsilon absorbs rounding errors. It is smaller than any real fraction of a token.
+const tokenEpsilon = 1e-6
 
-// stream is a request at the engine.
+// stream is a request on the engine.
 type stream struct {
 	req Request
 	seq uint64
-	// kv is the tokens of memory reserved for it while it has a slot.
-	kv      int
-	running bool
-	// prefill is the prompt tokens left.
-	prefill float64
-	// importing is until when its KV cache is imported.
-	importing time.Duration
+	// reservedKVTokens is the KV cache reserved for the stream while it has a slot.
+	reservedKVTokens int
+	running          bool
+	// prefillLeft is the number of tokens still to be prefilled.
+	prefillLeft float64
+	// importEnd is when the import of the KV cache ends.
+	importEnd time.Duration
 	imported  bool
-	// produced counts the attempt's tokens, reported those already told.
-	produced float64
-	reported int
-	firstAt  time.Duration
+	// producedTokens counts the attempt's tokens, reportedTokens those already returned by
+	// Advance.
+	producedTokens float64
+	reportedTokens int
+	firstTokenAt   time.Duration
 }
 
-func newStream(now time.Duration, r Request, seq uint64, held int, kvRate float64) *stream {
-	s := &stream{req: r, seq: seq, kv: r.PromptTokens + r.OutputTokens}
+func newStream(now time.Duration, r Request, seq uint64, cachedBlocks int, kvRate float64) *stream {
+	s := &stream{req: r, seq: seq, reservedKVTokens: r.PromptTokens + r.OutputTokens}
 	context := r.PromptTokens + r.GeneratedTokens
 	if r.KVImported {
-		s.importing = now + seconds(float64(context)/kvRate)
+		s.importEnd = now + seconds(float64(context)/kvRate)
 		s.imported = true
 		return s
 	}
-	// At least one token is prefilled: it gives the first output token.
-	s.prefill = max(1, float64(context-held*engineapi.BlockTokens))
+	// At least one token is always prefilled, since that yields the first output token.
+	s.prefillLeft = max(1, float64(context-cachedBlocks*engineapi.BlockTokens))
 	return s
 }
 
-// target is how many tokens the attempt has to produce.
+// target returns how many tokens the attempt has to produce.
 func (s *stream) target() float64 {
 	if s.req.PrefillOnly {
 		return 1
@@ -79,26 +81,28 @@
 	return max(1, float64(s.req.OutputTokens-s.req.GeneratedTokens))
 }
 
-func (s *stream) prefilling() bool { return s.running && s.prefill > tiny }
+func (s *stream) prefilling() bool { return s.running && s.prefillLeft > tokenEpsilon }
 
 func (s *stream) decoding(now time.Duration) bool {
-	return s.running && s.prefill <= tiny && s.importing <= now && s.produced < s.target()-tiny
+	return s.running && s.prefillLeft <= tokenEpsilon && s.importEnd <= now && s.producedTokens < s.target()-tokenEpsilon
 }
 
-func (s *stream) done() bool { return s.running && s.prefill <= tiny && s.produced >= s.target()-tiny }
+func (s *stream) done() bool {
+	return s.running && s.prefillLeft <= tokenEpsilon && s.producedTokens >= s.target()-tokenEpsilon
+}
 
-// before orders streams: the larger priority first, then the earlier one.
-func (s *stream) before(o *stream) bool {
+// runsBefore orders streams by priority, the larger one first, and then by arrival.
+func (s *stream) runsBefore(o *stream) bool {
 	if s.req.Priority != o.req.Priority {
 		return s.req.Priority > o.req.Priority
 	}
 	return s.seq < o.seq
 }
 
-// insert puts s into the ordered list.
-func insert(list []*stream, s *stream) []*stream {
+// insert adds s to the ordered list.
+func insertOrdered(list []*stream, s *stream) []*stream {
 	at, _ := slices.BinarySearchFunc(list, s, func(a, b *stream) int {
-		if a.before(b) {
+		if a.runsBefore(b) {
 			return -1
 		}
 		return 1
