--- a/internal/host/control.go
+++ b/internal/host/control.go
@@ -65,7 +65,8 @@
 	}
 }
 
-func (c *ControlClient) leader() (string, pb.Control) {
+// currentReplica returns the replica that is presumed to be the leader.
+func (c *ControlClient) currentReplica() (string, pb.Control) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client := c.clients[c.current]
@@ -115,7 +116,7 @@
 }
 
 // Call calls fn at the leader, with attemptTimeout for each attempt, until it succeeds, fails
-// with an error that a retry can't help, or ctx ends. fn must be idempotent.
+// with an error that a retry can't resolve, or ctx ends. fn must be idempotent.
 //
 // The delay between attempts grows and is randomized: hundreds of entries that retry at a
 // constant rate would keep overloaded replicas from ever electing a leader.
@@ -143,7 +144,7 @@
 }
 
 func (c *ControlClient) attempt(ctx context.Context, timeout time.Duration, fn func(context.Context, pb.Control) error) error {
-	address, client := c.leader()
+	address, client := c.currentReplica()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := fn(ctx, client)
@@ -153,7 +154,7 @@
 	return err
 }
 
-// isFinal reports whether a retry can't help.
+// isFinal reports whether the call would fail again with the same error.
 func isFinal(err error) bool {
 	var twerr twirp.Error
 	if !errors.As(err, &twerr) {
--- a/internal/host/decisionlog.go
+++ b/internal/host/decisionlog.go
@@ -24,19 +24,19 @@
 // would block the control goroutine and with it all callers. When the buffer is full,
 // decisions are dropped and counted.
 type decisionLog struct {
-	decisions chan entry.LogDecision
-	dropped   tally.Counter
+	queue   chan entry.LogDecision
+	dropped tally.Counter
 }
 
 func newDecisionLog(scope tally.Scope) *decisionLog {
 	return &decisionLog{
-		decisions: make(chan entry.LogDecision, decisionBufferSize), dropped: scope.Counter("log_lines_dropped"),
+		queue: make(chan entry.LogDecision, decisionBufferSize), dropped: scope.Counter("log_lines_dropped"),
 	}
 }
 
 func (l *decisionLog) enqueue(d entry.LogDecision) {
 	select {
-	case l.decisions <- d:
+	case l.queue <- d:
 	default:
 		l.dropped.Inc(1)
 	}
@@ -46,7 +46,7 @@
 func (h *Host) writeDecisions(ctx context.Context) {
 	for {
 		select {
-		case d := <-h.decisions.decisions:
+		case d := <-h.decisionLog.queue:
 			h.logDecision(d)
 		case <-ctx.Done():
 			h.flushDecisions()
@@ -58,7 +58,7 @@
 func (h *Host) flushDecisions() {
 	for end := time.Now().Add(finalFlushTimeout); time.Now().Before(end); {
 		select {
-		case d := <-h.decisions.decisions:
+		case d := <-h.decisionLog.queue:
 			h.logDecision(d)
 		default:
 			return
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -34,7 +34,8 @@
 
 const (
 	// AddressPropagation is how long other entries may still list a leaving entry in
-	// their answers with entry addresses: the time of a poll, a report and a view.
+	// their answers with entry addresses. It covers one poll of control, one report and
+	// one update of the view.
 	AddressPropagation = 2 * time.Second
 	// connectGrace is how long callers may still arrive after the last answer that lists this
 	// entry has expired: their connection and request may be in flight.
@@ -66,8 +67,8 @@
 	TaskContext  context.Context
 	cancelTasks  context.CancelFunc
 	loop         *loop
-	decisions    *decisionLog
-	peerReports  *peerReports
+	decisionLog  *decisionLog
+	peers        *peerExchange
 	tasks        conc.WaitGroup
 	peerListener net.Listener
 	// callerHandOver times the hand-over of accepted caller connections.
@@ -96,8 +97,8 @@
 	}
 	h.watchFailureLog = rate.Sometimes{First: watchFailureLogFirst, Interval: watchFailureLogInterval}
 	h.Control = NewControlClient(auth, set.Control)
-	h.decisions = newDecisionLog(h.Metrics.Scope)
-	h.peerReports = newPeerReports(h)
+	h.decisionLog = newDecisionLog(h.Metrics.Scope)
+	h.peers = newPeerExchange(h)
 	return h, nil
 }
 
@@ -116,17 +117,17 @@
 func (h *Host) applyEffect(e entry.Effect, applyFrontendEffect func(entry.Effect)) {
 	switch e := e.(type) {
 	case entry.LogDecision:
-		h.decisions.enqueue(e)
+		h.decisionLog.enqueue(e)
 	case entry.Report:
 		h.Spawn(func() { h.sendReport(e.Request) })
 	case entry.ReportToPeers:
-		h.peerReports.sendAll(e)
+		h.peers.sendAll(e)
 	case entry.AnswerSum:
-		h.peerReports.sumRequests.resolve(e.Key, e.Sum)
+		h.peers.sumRequests.resolve(e.Key, e.Sum)
 	case entry.AnswerPermit:
-		h.peerReports.permitRequests.resolve(e.Key, e.Answer)
+		h.peers.permitRequests.resolve(e.Key, e.Answer)
 	case entry.RequestPermit:
-		h.Spawn(func() { h.peerReports.requestPermit(e) })
+		h.Spawn(func() { h.peers.requestPermit(e) })
 	case entry.RequestSum:
 		h.Spawn(func() { h.RefreshPeerSum(h.TaskContext) })
 	default:
@@ -259,12 +260,12 @@
 }
 
 // peerHandler serves other entries, metrics and health on the peer address.
-func (h *Host) peerHandler(frontend http.Handler) http.Handler {
+func (h *Host) peerHandler(frontendHandler http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	if frontend != nil {
-		mux.Handle("/", h.Auth.Require(frontend))
+	if frontendHandler != nil {
+		mux.Handle("/", h.Auth.Require(frontendHandler))
 	}
-	mux.Handle(pb.PeerLoadPathPrefix, h.Auth.Require(pb.NewPeerLoadServer(h.peerReports)))
+	mux.Handle(pb.PeerLoadPathPrefix, h.Auth.Require(pb.NewPeerLoadServer(h.peers)))
 	mux.Handle("GET /metrics", h.Metrics.Handler)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		if h.NotReadyReason() != "" {
--- a/internal/host/peer_reports.go
+++ b/internal/host/peer_reports.go
@@ -16,9 +16,9 @@
 // replaces it.
 const peerReportTimeout = 150 * time.Millisecond
 
-// peerReports exchanges backlog reports, sums of backlogs and permits with other entries. It
+// peerExchange exchanges backlog reports, sums of backlogs and permits with other entries. It
 // implements pb.PeerLoad.
-type peerReports struct {
+type peerExchange struct {
 	host *Host
 	http *http.Client
 
@@ -35,22 +35,22 @@
 // and not twenty more each second.
 type peerClient struct {
 	pb.PeerLoad
-	inFlight bool
+	sending bool
 }
 
-func newPeerReports(h *Host) *peerReports {
-	return &peerReports{
+func newPeerExchange(h *Host) *peerExchange {
+	return &peerExchange{
 		host: h, http: h.Auth.Client(), clients: make(map[string]*peerClient),
 	}
 }
 
-// client returns a client for the entry at an address.
-func (b *peerReports) client(address string) pb.PeerLoad {
+// clientFor returns a client for the entry at an address.
+func (b *peerExchange) clientFor(address string) pb.PeerLoad {
 	return pb.NewPeerLoadProtobufClient(b.host.Auth.URL(address), b.http)
 }
 
 // Report receives the report of another entry.
-func (b *peerReports) Report(_ context.Context, req *pb.PeerReport) (*pb.PeerReportAnswer, error) {
+func (b *peerExchange) Report(_ context.Context, req *pb.PeerReport) (*pb.PeerReportAnswer, error) {
 	if req.GetEntry() == "" {
 		return nil, twirp.RequiredArgumentError("entry")
 	}
@@ -59,18 +59,18 @@
 }
 
 // sendAll sends a report to all of its addresses and drops the clients of all other addresses.
-func (b *peerReports) sendAll(e entry.ReportToPeers) {
+func (b *peerExchange) sendAll(e entry.ReportToPeers) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clients := make(map[string]*peerClient, len(e.Addresses))
 	for _, address := range e.Addresses {
 		c := b.clients[address]
 		if c == nil {
-			c = &peerClient{PeerLoad: b.client(address)}
+			c = &peerClient{PeerLoad: b.clientFor(address)}
 		}
 		clients[address] = c
-		if !c.inFlight {
-			c.inFlight = true
+		if !c.sending {
+			c.sending = true
 			b.host.Spawn(func() { b.send(c, e.Request) })
 		}
 	}
@@ -79,13 +79,13 @@
 
 // send sends the report to one peer. A lost report is not retried: the next one is newer, and
 // without any report the peer falls back on estimates.
-func (b *peerReports) send(c *peerClient, req *pb.PeerReport) {
+func (b *peerExchange) send(c *peerClient, req *pb.PeerReport) {
 	ctx, cancel := context.WithTimeout(b.host.TaskContext, peerReportTimeout)
 	defer cancel()
 	_, err := c.Report(ctx, req)
 	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okLabel(err)}).Counter("peer_reports").Inc(1)
 	b.mu.Lock()
-	c.inFlight = false
+	c.sending = false
 	b.mu.Unlock()
 }
 
--- a/internal/host/peer_sums.go
+++ b/internal/host/peer_sums.go
@@ -20,11 +20,11 @@
 	sumMaxAge = 5 * time.Millisecond
 )
 
-// aggregatorState is the state of the requests for sums, guarded by peerReports.mu.
+// aggregatorState is the state of the requests for sums, guarded by peerExchange.mu.
 type aggregatorState struct {
-	// lastSentAt is when the last answered request was sent.
-	lastSentAt time.Duration
-	interval   sumInterval
+	// lastAnsweredSentAt is when the last answered request was sent.
+	lastAnsweredSentAt time.Duration
+	interval           sumInterval
 	// inFlight is closed when the request in flight ends. It is nil if there is none.
 	inFlight chan struct{}
 	// incarnation is that of the aggregator. readsFrom tells it which records of prefilled prompts
@@ -49,15 +49,15 @@
 func (h *Host) refreshPeerSum(ctx context.Context, maxAge time.Duration) {
 	snap := h.Snapshot()
 	if address := snap.Aggregator; address != "" && clock.SinceBoot() >= snap.AskAggregatorFrom {
-		h.peerReports.refreshSum(ctx, address, maxAge)
+		h.peers.refreshSum(ctx, address, maxAge)
 	}
 }
 
 // refreshSum requests a sum unless the last one is recent enough. If a request is in flight, it
 // waits for that one.
-func (b *peerReports) refreshSum(ctx context.Context, address string, maxAge time.Duration) {
+func (b *peerExchange) refreshSum(ctx context.Context, address string, maxAge time.Duration) {
 	b.mu.Lock()
-	if clock.SinceBoot()-b.aggregator.lastSentAt < b.aggregator.interval.maxAge(maxAge) {
+	if clock.SinceBoot()-b.aggregator.lastAnsweredSentAt < b.aggregator.interval.maxAge(maxAge) {
 		b.mu.Unlock()
 		return
 	}
@@ -82,17 +82,17 @@
 
 // requestSum requests a sum from an aggregator and posts the answer or the failure to the
 // reducer.
-func (b *peerReports) requestSum(address string, req *pb.PeerSumRequest) {
+func (b *peerExchange) requestSum(address string, req *pb.PeerSumRequest) {
 	ctx, cancel := context.WithTimeout(b.host.TaskContext, sumTimeout)
 	defer cancel()
 	sent := clock.SinceBoot()
-	sum, err := b.client(address).Sum(ctx, req)
+	sum, err := b.clientFor(address).Sum(ctx, req)
 	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okLabel(err)}).Counter("peer_sums").Inc(1)
 	b.mu.Lock()
 	b.aggregator.inFlight = nil
 	b.aggregator.interval.observe(clock.SinceBoot() - sent)
 	if err == nil {
-		b.aggregator.lastSentAt, b.aggregator.incarnation, b.aggregator.readsFrom = sent, sum.GetIncarnation(), sum.GetReadsNext()
+		b.aggregator.lastAnsweredSentAt, b.aggregator.incarnation, b.aggregator.readsFrom = sent, sum.GetIncarnation(), sum.GetReadsNext()
 	}
 	b.mu.Unlock()
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 // Sum answers another entry's request for the sum of backlogs.
-func (b *peerReports) Sum(ctx context.Context, req *pb.PeerSumRequest) (*pb.PeerSum, error) {
+func (b *peerExchange) Sum(ctx context.Context, req *pb.PeerSumRequest) (*pb.PeerSum, error) {
 	if req.GetEntry() == "" {
 		return nil, twirp.RequiredArgumentError("entry")
 	}
--- a/internal/host/permits.go
+++ b/internal/host/permits.go
@@ -16,10 +16,10 @@
 
 // requestPermit requests permits from another entry and posts the answer or the failure to the
 // reducer.
-func (b *peerReports) requestPermit(e entry.RequestPermit) {
+func (b *peerExchange) requestPermit(e entry.RequestPermit) {
 	ctx, cancel := context.WithTimeout(b.host.TaskContext, permitTimeout)
 	defer cancel()
-	answer, err := b.client(e.Address).Permit(ctx, e.Request)
+	answer, err := b.clientFor(e.Address).Permit(ctx, e.Request)
 	b.host.Metrics.Scope.Tagged(map[string]string{"ok": okLabel(err)}).Counter("permit_questions").Inc(1)
 	if err != nil {
 		b.host.Post(entry.PermitTimedOut{Address: e.Address, Server: e.Server, Incarnation: e.Incarnation})
@@ -29,7 +29,7 @@
 }
 
 // Permit answers another entry's request for permits.
-func (b *peerReports) Permit(ctx context.Context, req *pb.PermitRequest) (*pb.PermitAnswer, error) {
+func (b *peerExchange) Permit(ctx context.Context, req *pb.PermitRequest) (*pb.PermitAnswer, error) {
 	if req.GetEntry() == "" || req.GetServer() == "" {
 		return nil, twirp.RequiredArgumentError("entry and server")
 	}
