--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -19,7 +19,7 @@
 //
 // The host opens the data folder with store.Open, restores its state from
 // Recovered.Initial.SnapshotData if there is any, and calls NewNode with
-// Recovered.Initial. One goroutine owns the Node. Time is clock.Boot. Effects
+// Recovered.Initial. One goroutine owns the Node. Time is clock.SinceBoot. Effects
 // are carried out in order:
 //
 //   - Send: pass the message to the network. It may be lost, duplicated or
@@ -50,7 +50,7 @@
 //
 // A proposal is decided once Apply delivers its index: it is committed if the entry
 // has the proposal's term, and lost otherwise. The host reads LeaseUntil before an
-// action that needs the lease; the lease is valid only while clock.Boot is lower. A
+// action that needs the lease; the lease is valid only while clock.SinceBoot is lower. A
 // read that needs no lease uses ReadIndex and waits until the state is applied up to
 // the returned index.
 package consensus
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -153,7 +153,7 @@
 // byIncarnation returns the server with that incarnation, or nil.
 func (s *State) byIncarnation(incarnationID string) *server {
 	for _, sv := range s.sortedServers() {
-		if incarnation.Covers(incarnationID, sv.info.GetIncarnation()) {
+		if incarnation.Matches(incarnationID, sv.info.GetIncarnation()) {
 			return sv
 		}
 	}
--- a/internal/control/runner/announcerelay.go
+++ b/internal/control/runner/announcerelay.go
@@ -193,7 +193,7 @@
 
 // acceptedByLeader reports whether the leader accepts this replica's reports.
 func (r *announcementRelay) acceptedByLeader() bool {
-	return r.lastAcceptedAt > 0 && clock.Boot() < r.lastAcceptedAt+reportValidity
+	return r.lastAcceptedAt > 0 && clock.SinceBoot() < r.lastAcceptedAt+reportValidity
 }
 
 func (r *announcementRelay) recordConfirmed(leader string, a *pb.Announcement, sequence uint64) {
@@ -232,7 +232,7 @@
 // report sends the leader the servers that repeated their announcement.
 func (r *announcementRelay) report(ctx context.Context, leader string) {
 	heartbeats := r.takeRepeated(leader)
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
 	client := pb.NewControlProtobufClient(r.auth.URL(leader), r.http)
@@ -302,7 +302,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reporters[address] = clock.Boot()
+	r.reporters[address] = clock.SinceBoot()
 }
 
 // replicaFor returns the replica that should take a server's next announcements. A follower
@@ -316,7 +316,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for address, at := range r.reporters {
-		if clock.Boot() >= at+reportValidity {
+		if clock.SinceBoot() >= at+reportValidity {
 			delete(r.reporters, address)
 			continue
 		}
--- a/internal/control/runner/engines.go
+++ b/internal/control/runner/engines.go
@@ -171,7 +171,7 @@
 
 // Write writes while the lease is valid. Errors: LeaseExpired.
 func (c *guardedConn) Write(p []byte) (int, error) {
-	if clock.Boot() >= c.guard.leaseUntil {
+	if clock.SinceBoot() >= c.guard.leaseUntil {
 		return 0, LeaseExpired.New("this leader's lease has expired")
 	}
 	c.guard.recordWrite()
--- a/internal/relay/caller.go
+++ b/internal/relay/caller.go
@@ -46,10 +46,10 @@
 // the process ends.
 func (s *Server) Serve(ctx context.Context, req *Request, caller Caller) {
 	tracked := &trackedCaller{Caller: caller}
-	if s.host.Try(func() { s.serve(ctx, req, tracked) }, "request_id", req.ID) {
+	if s.host.CatchPanic(func() { s.serve(ctx, req, tracked) }, "request_id", req.ID) {
 		return
 	}
-	s.host.Try(func() { s.endAfterPanic(tracked) }, "request_id", req.ID)
+	s.host.CatchPanic(func() { s.endAfterPanic(tracked) }, "request_id", req.ID)
 }
 
 // endAfterPanic ends a request whose goroutine has panicked.
--- a/internal/relay/fault_test.go
+++ b/internal/relay/fault_test.go
@@ -78,7 +78,7 @@
 	if len(caller.refusals) != 1 || caller.refusals[0] != refusal || caller.responses != 0 {
 		t.Errorf("the caller got %+v", caller)
 	}
-	if !bytes.Contains(out.Bytes(), []byte(obs.LineDecodeDropped)) {
+	if !bytes.Contains(out.Bytes(), []byte(obs.LineLateDecodeEngine)) {
 		t.Errorf("no log line of the dropped engine: %s", out.String())
 	}
 }
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -55,7 +55,7 @@
 // serve relays one request and returns once the caller has its final answer. ctx ends when the
 // caller disconnects.
 func (s *Server) serve(ctx context.Context, req *Request, caller *trackedCaller) {
-	at := clock.Boot()
+	at := clock.SinceBoot()
 	if !s.awaitConfiguration(ctx, req) {
 		s.refuse(req, caller, outcome.NoConfiguration())
 		return
@@ -74,18 +74,18 @@
 // awaitConfiguration reports whether the entry has a configuration; it waits a limited time for
 // one.
 func (s *Server) awaitConfiguration(ctx context.Context, req *Request) bool {
-	return s.host.Snapshot().Ready() || s.await(ctx, req, "a configuration", s.host.Configured)
+	return s.host.Snapshot().Ready() || s.await(ctx, req, "a configuration", s.host.AwaitConfiguration)
 }
 
 // findRoute returns the request's route. If there is none and the lease on the entry's view has
 // expired, it waits a limited time for a view in force, because the route may have been added
 // since.
 func (s *Server) findRoute(ctx context.Context, req *Request) (*entry.Snapshot, *declaration.HostRoute, *outcome.Refusal) {
-	inForce := s.host.ViewInForce()
+	inForce := s.host.ViewLeaseValid()
 	snap := s.host.Snapshot()
 	route := snap.Routes.Find(req.Host, req.Path)
 	if route == nil && !inForce {
-		inForce = s.await(ctx, req, "a view in force", s.host.AwaitView)
+		inForce = s.await(ctx, req, "a view in force", s.host.AwaitViewLease)
 		snap = s.host.Snapshot()
 		route = snap.Routes.Find(req.Host, req.Path)
 	}
@@ -110,7 +110,7 @@
 	defer s.waiting.Add(-1)
 	limit, start := admission.StartupWait(req.CallerTimeout), time.Now()
 	ok := wait(ctx, limit)
-	s.host.Log.Info(obs.LineWaited, "request_id", req.ID, "for", awaited, "came", ok,
+	s.host.Log.Info(obs.LineAwaitedConfiguration, "request_id", req.ID, "for", awaited, "came", ok,
 		"ms", time.Since(start).Milliseconds(), "limit_ms", limit.Milliseconds(), "waiting", s.waiting.Load())
 	return ok
 }
@@ -119,8 +119,8 @@
 func (j *job) run(ctx context.Context) {
 	key := j.arrived.Work.RequestID
 	j.caller.key = key
-	j.effects = j.s.host.Open(key)
-	defer j.s.host.Close(key)
+	j.effects = j.s.host.OpenMailbox(key)
+	defer j.s.host.CloseMailbox(key)
 	ctx, cancel := j.withDeadline(ctx)
 	defer cancel()
 	j.refreshPeers(ctx)
@@ -146,7 +146,7 @@
 // while the lease from control is running out, for the servers that are alive.
 func (j *job) refreshPeers(ctx context.Context) {
 	if j.arrived.Work.Kind == declaration.KindModel || j.s.host.Snapshot().LeaseExpiring {
-		j.s.host.RefreshPeers(ctx)
+		j.s.host.RefreshPeerSum(ctx)
 	}
 }
 
@@ -270,7 +270,7 @@
 	if cache == nil {
 		attempt.FetchAddress = d.FetchAddress
 	}
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	resp, err := j.s.backend.Send(ctx, attempt)
 	if err != nil {
 		j.freeCache(cache)
@@ -298,7 +298,7 @@
 		Target: Target{
 			Address: address, Incarnation: incarnation,
 			MaxConns:        connectionShare(j.service, len(j.s.host.Snapshot().Entries)),
-			AcceptsRequests: func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.Boot()) },
+			AcceptsRequests: func() bool { return j.s.host.Snapshot().AcceptsRequests(incarnation, clock.SinceBoot()) },
 		},
 		Request: j.req, Timeout: j.serverTimeout(), AtMostOnce: j.arrived.Retry == entry.RetryNever,
 		Member: j.member, Rank: j.rank, ResumeAfter: j.resumeAfter(),
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -19,7 +19,7 @@
 var errDeadlinePassed = errors.New("request deadline passed")
 
 // remainingTime returns the time until the request's deadline.
-func remainingTime(w *decision.Work) time.Duration { return w.FinishBy - clock.Boot() }
+func remainingTime(w *decision.Work) time.Duration { return w.FinishBy - clock.SinceBoot() }
 
 // serverTimeout returns how long a server may take. A stream gets transitAllowance on top, until
 // its caller disconnects: events that arrive up to then are still of use, and no refusal can
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -79,7 +79,7 @@
 
 // decodeDropped writes a line for a decode engine that was named after the attempt had ended.
 func (l *jobLog) decodeDropped(e entry.DecodeAt) {
-	l.write(obs.LineDecodeDropped, "server", e.Server, "incarnation", e.Incarnation, "attempt", e.Attempt)
+	l.write(obs.LineLateDecodeEngine, "server", e.Server, "incarnation", e.Incarnation, "attempt", e.Attempt)
 }
 
 // answered writes the line of the final answer and counts it. how is the outcome's name in the
@@ -118,7 +118,7 @@
 		slog.Float64("retry_after_s", r.RetryAfter.Seconds()), slog.String("reason", r.Message),
 		slog.Uint64("on_connection", req.ConnectionSeq),
 	}
-	s.host.Log.LogAttrs(s.host.Background, slog.LevelInfo, obs.LineRefused, append(attrs, extra...)...)
+	s.host.Log.LogAttrs(s.host.TaskContext, slog.LevelInfo, obs.LineRefused, append(attrs, extra...)...)
 }
 
 // count updates the metrics of finished requests. The profile label is bounded, because profiles
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -75,7 +75,7 @@
 // connection after the other unanswered looks like one that accepts none.
 func TestFinalLogLineHasTimeLimitAndConnection(t *testing.T) {
 	var out bytes.Buffer
-	h := &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil)), Metrics: obs.NewMetrics("test"), Background: t.Context()}
+	h := &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil)), Metrics: obs.NewMetrics("test"), TaskContext: t.Context()}
 	j := &job{s: &Server{host: h}, req: &Request{ID: "r1", ConnectionSeq: 1}, route: &declaration.HostRoute{Name: "lookups"}}
 	j.arrived.Work.Arrived, j.arrived.Work.FinishBy = time.Second, 1600*time.Millisecond
 	j.log = newJobLog(j)
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -23,7 +23,7 @@
 	}
 	attempt := j.newAttempt(d.PrefillAddress, d.PrefillIncarnation)
 	attempt.FetchAddress = d.FetchAddress
-	sent := clock.Boot()
+	sent := clock.SinceBoot()
 	cache, status, err := j.s.backend.Prefill(ctx, attempt)
 	if err == nil {
 		j.reportStatus(d.PrefillServer, d.PrefillIncarnation, sent, status)
@@ -45,7 +45,7 @@
 // decodeAt writes the engine that decodes into d, or returns the effect that the reducer chose
 // instead.
 func (j *job) decodeAt(ctx context.Context, d *entry.Dispatch, ended *entry.AttemptEnded) (entry.Effect, error) {
-	j.s.host.RefreshPeersForDecode(ctx)
+	j.s.host.RefreshPeerSumForDecode(ctx)
 	j.s.host.Post(entry.PrefillDone{RequestID: d.RequestID, Attempt: d.Attempt})
 	select {
 	case e := <-j.effects:
@@ -82,7 +82,7 @@
 		return
 	}
 	j.s.host.Spawn(func() {
-		ctx, cancel := context.WithTimeout(j.s.host.Background, freeTimeout)
+		ctx, cancel := context.WithTimeout(j.s.host.TaskContext, freeTimeout)
 		defer cancel()
 		j.s.backend.FreeCache(ctx, c)
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -199,7 +199,7 @@
 func (s *Server) Snapshot() *entry.Snapshot { return s.host.Snapshot() }
 
 // NotReady returns why the entry can't serve callers at present, empty if it can.
-func (s *Server) NotReady() host.NotReady { return s.host.NotReady() }
+func (s *Server) NotReady() host.NotReadyReason { return s.host.NotReadyReason() }
 
 // Settings returns the entry's settings.
 func (s *Server) Settings() *settings.Entry { return s.host.Settings }
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -35,7 +35,7 @@
 		timeout = min(timeout, r.CallerTimeout-transitAllowance)
 	}
 	w := decision.Work{
-		RequestID: host.NewJobKey(r.ID), MemberWeight: 1, Service: service.Name, Profile: profile.Name,
+		RequestID: host.NewRunKey(r.ID), MemberWeight: 1, Service: service.Name, Profile: profile.Name,
 		ProfileShare: profile.Share, Class: profile.Class, Kind: service.Kind, Model: service.Model,
 		Arrived: arrivedAt, FirstTokenBy: arrivedAt + profile.FirstToken, FinishBy: arrivedAt + timeout,
 		SoftFirstTokenDeadline: true, EngineSpeed: engineSpeed(s.host.Settings), Rank: route.Rank,
--- a/internal/relay/work_test.go
+++ b/internal/relay/work_test.go
@@ -43,10 +43,10 @@
 	for _, streamBegun := range []bool{false, true} {
 		j := &job{}
 		j.streamBegun.Store(streamBegun)
-		j.arrived.Work.FinishBy = clock.Boot() + remaining
+		j.arrived.Work.FinishBy = clock.SinceBoot() + remaining
 		ctx, cancel := j.withDeadline(t.Context())
 		<-ctx.Done()
-		overrun := clock.Boot() - j.arrived.Work.FinishBy
+		overrun := clock.SinceBoot() - j.arrived.Work.FinishBy
 		if overrun < 0 || streamBegun && overrun < transitAllowance {
 			t.Errorf("stream begun %v: context ended %v after the deadline", streamBegun, overrun)
 		}
@@ -61,7 +61,7 @@
 // at once, without an answer.
 func TestCallerDisconnectIsNotTakenForDeadline(t *testing.T) {
 	j := &job{}
-	j.arrived.Work.FinishBy = clock.Boot() + time.Hour
+	j.arrived.Work.FinishBy = clock.SinceBoot() + time.Hour
 	requestCtx, disconnect := context.WithCancel(t.Context())
 	ctx, cancel := j.withDeadline(requestCtx)
 	defer cancel()
--- a/internal/traffic/claims.go
+++ b/internal/traffic/claims.go
@@ -149,13 +149,13 @@
 		req.Claims = append(req.Claims, pending.claim.pb)
 	}
 	var resp *pb.ClaimResponse
-	err := c.control.Call(ctx, host.ControlTry, func(ctx context.Context, control pb.Control) error {
+	err := c.control.Call(ctx, host.ControlAttemptTimeout, func(ctx context.Context, control pb.Control) error {
 		var err error
 		resp, err = control.Claim(ctx, req)
 		return err
 	})
 	if err != nil || len(resp.Results) != len(batch) {
-		host.Pause(ctx, host.ControlPause)
+		host.Pause(ctx, host.ControlRetryDelay)
 		c.requeue(batch)
 		return
 	}
--- a/internal/traffic/completions.go
+++ b/internal/traffic/completions.go
@@ -88,7 +88,7 @@
 func (s *Server) newModelJob(call *callerCall, req *completionRequest, service *declaration.Service, wireID string) *modelJob {
 	profile := call.snap.Declaration.Profile(service.Profile)
 	salt := cacheSalt(s.host.Settings.Cluster, call.member.Name)
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	seed := fingerprint(call.member.Name, call.requestID)
 	if req.Seed != nil {
 		seed = *req.Seed
@@ -97,7 +97,7 @@
 		server: s, request: req, wireID: wireID, parts: make(chan answerPart, partBuffer),
 		arrived: entry.RequestArrived{
 			Work: decision.Work{
-				RequestID: host.NewJobKey(wireID), Member: call.member.Name, MemberWeight: call.member.Weight,
+				RequestID: host.NewRunKey(wireID), Member: call.member.Name, MemberWeight: call.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
 				Class: profile.Class, Kind: declaration.KindModel, Model: service.Model,
 				Adapter: service.Adapter, PromptTokens: estimatePromptTokens(req.Prompt),
@@ -141,7 +141,7 @@
 
 // answerModel runs the job and answers its caller.
 func (s *Server) answerModel(c *fiber.Ctx, j *modelJob) error {
-	ctx, cancel := context.WithCancel(s.host.Background)
+	ctx, cancel := context.WithCancel(s.host.TaskContext)
 	done := s.jobs.add(j.wireID, cancel)
 	s.host.Spawn(func() {
 		defer done()
--- a/internal/traffic/http.go
+++ b/internal/traffic/http.go
@@ -90,7 +90,7 @@
 // readCall copies the request and authenticates its member by the bearer token.
 // The member is never taken from the body.
 func (s *Server) readCall(c *fiber.Ctx) (*callerCall, *outcome.Refusal) {
-	leaseValid := s.host.ViewInForce()
+	leaseValid := s.host.ViewLeaseValid()
 	snap := s.host.Snapshot()
 	call := &callerCall{
 		snap: snap, viewLeaseValid: leaseValid, method: strings.Clone(c.Method()), path: strings.Clone(c.Params("*")),
--- a/internal/traffic/model.go
+++ b/internal/traffic/model.go
@@ -59,8 +59,8 @@
 // without one.
 func (j *modelJob) run(ctx context.Context) {
 	key := j.arrived.Work.RequestID
-	effects := j.server.host.Open(key)
-	defer j.server.host.Close(key)
+	effects := j.server.host.OpenMailbox(key)
+	defer j.server.host.CloseMailbox(key)
 	defer close(j.parts)
 	j.server.host.Post(j.arrived)
 	for {
--- a/internal/traffic/once.go
+++ b/internal/traffic/once.go
@@ -39,7 +39,7 @@
 	}
 	j.arrived.Retry = entry.RetryNever
 	j.claim = s.newClaim(j, key)
-	ctx, cancel := context.WithTimeout(s.host.Background, claimTimeout)
+	ctx, cancel := context.WithTimeout(s.host.TaskContext, claimTimeout)
 	defer cancel()
 	result, err := s.claims.acquire(ctx, j.claim)
 	if err != nil {
@@ -57,7 +57,7 @@
 // lives. Control grants the same claim again, so sending it once more reveals
 // whether it was granted.
 func (s *Server) releaseClaim(claim *claim) {
-	ctx, cancel := context.WithTimeout(s.host.Background, settlementTimeout)
+	ctx, cancel := context.WithTimeout(s.host.TaskContext, settlementTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		result, err := s.claims.acquire(ctx, claim)
@@ -98,7 +98,7 @@
 // runClaimed runs a call whose claim was granted, and settles the claim with
 // the result.
 func (s *Server) runClaimed(c *fiber.Ctx, j *plainJob) error {
-	refusal := j.run(s.host.Background)
+	refusal := j.run(s.host.TaskContext)
 	status, stored := pb.ClaimStatus_CLAIM_STATUS_DONE, (*pb.StoredAnswer)(nil)
 	switch {
 	case refusal == nil:
--- a/internal/traffic/plain.go
+++ b/internal/traffic/plain.go
@@ -81,7 +81,7 @@
 	if route.Repeat == declaration.RepeatOnce {
 		return s.answerAtMostOnce(c, job)
 	}
-	if refusal := job.run(s.host.Background); refusal != nil {
+	if refusal := job.run(s.host.TaskContext); refusal != nil {
 		return refusal
 	}
 	return s.writePlainAnswer(c, job.answer)
@@ -119,7 +119,7 @@
 
 func (s *Server) newPlainJob(call *callerCall, service *declaration.Service, target string) *plainJob {
 	profile := call.snap.Declaration.Profile(service.Profile)
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	wireID := engineapi.WireID(call.member.Name, call.requestID, uuid.NewString()[:8])
 	uri := (&url.URL{Path: target}).EscapedPath()
 	if call.query != "" {
@@ -129,7 +129,7 @@
 		server: s, call: call, wireID: wireID, uri: uri, deadline: time.Now().Add(profile.Deadline),
 		arrived: entry.RequestArrived{
 			Work: decision.Work{
-				RequestID: host.NewJobKey(wireID), Member: call.member.Name, MemberWeight: call.member.Weight,
+				RequestID: host.NewRunKey(wireID), Member: call.member.Name, MemberWeight: call.member.Weight,
 				Service: service.Name, Profile: profile.Name, ProfileShare: profile.Share,
 				Class: profile.Class, Kind: declaration.KindPlain, Arrived: now,
 				FirstTokenBy: now + profile.FirstToken, FinishBy: now + profile.Deadline,
@@ -146,8 +146,8 @@
 // the job has an answer.
 func (j *plainJob) run(ctx context.Context) *outcome.Refusal {
 	key := j.arrived.Work.RequestID
-	effects := j.server.host.Open(key)
-	defer j.server.host.Close(key)
+	effects := j.server.host.OpenMailbox(key)
+	defer j.server.host.CloseMailbox(key)
 	j.server.host.Post(j.arrived)
 	for {
 		select {
@@ -207,7 +207,7 @@
 	if timeout <= 0 {
 		return nil, httpconn.NotSent.New("deadline expired before the call was sent")
 	}
-	sentAt := clock.Boot()
+	sentAt := clock.SinceBoot()
 	if err := client.DoTimeout(req, resp, timeout); err != nil {
 		return nil, httpconn.Classify(err)
 	}
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -89,16 +89,16 @@
 // Run serves until ctx ends, then stops gracefully. Errors: those of package
 // host.
 func (s *Server) Run(ctx context.Context) error {
-	return s.host.Run(ctx, host.Way{
+	return s.host.Run(ctx, host.Frontend{
 		Loops: []func(context.Context){
 			func(ctx context.Context) { s.peers.runRenewals(ctx, s.records) },
 			func(ctx context.Context) { s.claims.runClaims(ctx, s.host.Spawn) },
 			s.claims.runSettlements,
 		},
-		Serve:    []func() error{func() error { return s.app.Listener(s.host.CallerListener(s.callerListener)) }},
-		Peers:    pb.NewPeerServer(peerService{s}),
-		LetGo:    s.finishStop,
-		Shutdown: func(ctx context.Context) { _ = s.app.ShutdownWithContext(ctx) },
+		Serve:          []func() error{func() error { return s.app.Listener(s.host.CallerListener(s.callerListener)) }},
+		PeerHandler:    pb.NewPeerServer(peerService{s}),
+		CancelRequests: s.finishStop,
+		Shutdown:       func(ctx context.Context) { _ = s.app.ShutdownWithContext(ctx) },
 	})
 }
 
@@ -110,7 +110,7 @@
 	s.handOffStreams()
 	deadline := time.Now().Add(stopSettlementTimeout)
 	for s.claims.unsettled() > 0 && time.Now().Before(deadline) {
-		time.Sleep(host.StopPoll)
+		time.Sleep(host.StopPollInterval)
 	}
 }
 
@@ -124,7 +124,7 @@
 	s.jobs.cancelAll()
 	deadline := time.Now().Add(finalEventTimeout)
 	for s.host.OpenRequests() > 0 && time.Now().Before(deadline) {
-		time.Sleep(host.StopPoll)
+		time.Sleep(host.StopPollInterval)
 	}
 }
 
--- a/internal/traffic/stream.go
+++ b/internal/traffic/stream.go
@@ -110,7 +110,7 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	sentAt := clock.Boot()
+	sentAt := clock.SinceBoot()
 	if err := client.Do(req, resp); err != nil {
 		fasthttp.ReleaseResponse(resp)
 		return nil, httpconn.Classify(err)
