--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,6 +1,7 @@
-// Package decision holds the types shared by the decisions that entries take under load. The
-// decisions are in its sub-packages: pure code that takes times as arguments and does no
-// I/O.
+// Package decision holds the types shared by the decisions that entries (the gateway processes
+// that callers connect to) and control processes take under load. The decisions are in its
+// sub-packages, such as admission, queue, placement and roles: pure code that takes times as
+// arguments and does no I/O.
 package decision
 
 import (
@@ -47,7 +48,8 @@
 	// Resumed is set for a request that was accepted before; it is never refused for load.
 	Resumed bool
 	// SharedBlocks is the number of leading blocks of Prefix that other requests have too; 0
-	// if unknown. They are cached on a few servers, the same ones for all entries.
+	// if unknown. By rendezvous hashing all entries prefer the same few servers for the same
+	// shared blocks, and these servers keep them cached.
 	SharedBlocks int
 	// SoftFirstTokenDeadline is set if an answer is still useful after FirstTokenBy; then only
 	// FinishBy decides whether the request is given up.
@@ -95,8 +97,9 @@
 	Model    string
 	Adapters []string
 	Role     engineapi.Role
-	// PreferredByOtherGroup is set if another group of entries prefers this server: the latest
-	// requests from that group are not in the reported backlog yet.
+	// PreferredByOtherGroup is set if the server is assigned to another group of entries, which
+	// sends its requests there first. What that group has sent in the last moments is not in
+	// the reported backlog yet.
 	PreferredByOtherGroup bool
 	// Usable is false while the server is leaving, changing its role or model, drained,
 	// unconfirmed or throttled.
@@ -108,7 +111,8 @@
 	// taking work. AvailableIn is the time until that ends, as far as is known.
 	Throttled   bool
 	AvailableIn time.Duration
-	Slots       int
+	// Slots is the number of requests that the server runs at once; more wait there.
+	Slots int
 	// ReportsCountsOnly is set if Load has request counts but no tokens. The backlog is then
 	// estimated from what this entry has sent and from EstimatedPeerRunning and
 	// EstimatedPeerWaiting, which estimate the requests of other entries there.
@@ -142,11 +146,12 @@
 	PrefillBacklog PrefillBacklog
 	// KVTokens is the KV cache that these requests hold at the server.
 	KVTokens int
-	// UrgentPrefillTokens is the prefill of urgent and lookup requests whose first token has
-	// not come. Engines prefill by priority, so such a request waits for nothing else.
+	// UrgentPrefillTokens is the prefill of requests of the classes urgent and lookup whose
+	// first token has not come. Engines prefill by priority, so such a request waits for no
+	// other prefill.
 	UrgentPrefillTokens int
-	// The fields ending in SinceReport count what was sent after the time that the server's
-	// last report describes.
+	// RequestsSinceReport and the fields below count what was sent after the time that the
+	// server's last report describes.
 	RequestsSinceReport      int
 	PrefillTokensSinceReport int
 	DecodeTokensSinceReport  int
--- a/internal/decision/others.go
+++ b/internal/decision/others.go
@@ -29,8 +29,9 @@
 	// meanDecayTime is the time constant with which the server's average loses weight: a queue
 	// of some seconds takes as long to drain.
 	meanDecayTime = 2 * time.Second
-	// serverReportWeight is the weight of one report in the server's averages. They cover the
-	// last few tens of reports, which an entry gets from a server within a few seconds.
+	// serverReportWeight is the weight of one report in the server's averages: the last 20
+	// reports have about two thirds of the weight. An entry gets some tens of reports from a
+	// server within a few seconds.
 	serverReportWeight = 0.05
 )
 
@@ -59,8 +60,8 @@
 	a.waiting += fleetReportWeight * (waiting - a.waiting)
 }
 
-// fleetReportWeight is the weight of one report in the average of all servers, so that it
-// covers about the last hundred reports.
+// fleetReportWeight is the weight of one report in the average of all servers: the last 50
+// reports have about two thirds of the weight, the last 100 nearly nine tenths.
 const fleetReportWeight = 0.02
 
 // Estimate returns how many requests of other entries run and wait at the server now.
--- a/internal/decision/others_test.go
+++ b/internal/decision/others_test.go
@@ -6,8 +6,8 @@
 )
 
 // An engine is full in its last answer and gets no more requests from this entry. The
-// others' requests finish after some seconds, but no answer says so. If the estimate kept
-// the last count, one engine would get all the work.
+// others' requests finish after some seconds, but no answer says so. If entries kept the last
+// counts for half a minute, one engine would get all the work meanwhile.
 func TestFullServerIsTriedAgain(t *testing.T) {
 	var o PeerLoadEstimator
 	var fleet FleetAverage
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -22,8 +22,8 @@
 // It guards against prompts of unequal length at servers that report only counts: one prompt
 // of 40,000 tokens and one of 300 count alike, and a report is as old as the last answer.
 // With seven entries and nine engines, an urgent prompt that is placed by such counts finds
-// as many tokens ahead of it as at a random engine: 32,000 in one case of ten, beside an
-// engine that has 5,600.
+// as many tokens ahead of it as at a random engine: 32,000 or more in one case of ten, while
+// another engine has 5,600.
 type PeerReports struct {
 	reports map[string]*PeerReport
 	// sums adds up the current reports until sumsValidUntil, reportingEntries the entries that
@@ -52,7 +52,7 @@
 	// in for its backlog once its report has expired.
 	PeerReportTTL = time.Second
 	// IdlePeerReportTTL is how long the report of a peer without requests counts. Such a peer
-	// repeats its report rarely, and reports its next request at once.
+	// repeats its report rarely and reports its next request at once.
 	IdlePeerReportTTL = 5 * time.Second
 )
 
--- a/internal/decision/peers_test.go
+++ b/internal/decision/peers_test.go
@@ -7,8 +7,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-func backlogAtE1(requests, unread int) map[string]Backlog {
-	return map[string]Backlog{"e1": {Requests: requests, PrefillBacklog: PrefillBacklog{unread}}}
+func backlogAtE1(requests, prefillTokens int) map[string]Backlog {
+	return map[string]Backlog{"e1": {Requests: requests, PrefillBacklog: PrefillBacklog{prefillTokens}}}
 }
 
 // Reports come late and out of order, peers restart, and one is cut off. An overtaken report
@@ -16,16 +16,16 @@
 // report of a peer that is silent for a second must expire.
 func TestPeerReportsReplaceEachOther(t *testing.T) {
 	p := NewPeerReports()
-	p.AddBacklog(0, "a", "life-1", 2, backlogAtE1(3, 9000))
-	p.AddBacklog(0, "a", "life-1", 1, backlogAtE1(7, 70000))
-	p.AddBacklog(0, "b", "life-1", 1, backlogAtE1(1, 500))
+	p.AddBacklog(0, "a", "incarnation-1", 2, backlogAtE1(3, 9000))
+	p.AddBacklog(0, "a", "incarnation-1", 1, backlogAtE1(7, 70000))
+	p.AddBacklog(0, "b", "incarnation-1", 1, backlogAtE1(1, 500))
 	if got := p.BacklogAt(0, "e1"); got.PrefillBacklog.Ahead(0) != 9500 || got.Requests != 4 {
 		t.Fatalf("backlog at e1: %+v", got)
 	}
 	if coverage := p.Coverage(0, 4); coverage != 0.5 {
 		t.Errorf("coverage %v with reports from two of four peers", coverage)
 	}
-	p.AddBacklog(100*time.Millisecond, "a", "life-2", 1, nil)
+	p.AddBacklog(100*time.Millisecond, "a", "incarnation-2", 1, nil)
 	if got := p.BacklogAt(100*time.Millisecond, "e1"); got.PrefillBacklog.Ahead(0) != 500 {
 		t.Errorf("after a's restart: %+v", got)
 	}
--- a/internal/decision/rates.go
+++ b/internal/decision/rates.go
@@ -37,7 +37,8 @@
 	return float64(s.PeerBacklog.Requests) + s.unreportedRequests()
 }
 
-// PeerKVTokens returns the KV cache that those requests hold at the server, in tokens.
+// PeerKVTokens returns the KV cache that other entries' requests hold at the server, in
+// tokens.
 func (s *Server) PeerKVTokens() float64 {
 	return float64(s.PeerBacklog.KVTokens) + s.unreportedRequests()*s.MeanKVTokens
 }
