--- a/internal/decision/admission/estimate.go
+++ b/internal/decision/admission/estimate.go
@@ -113,14 +113,14 @@
 // otherProfilesAhead returns the part of the other profiles that is served meanwhile: all of
 // it before bulk work, at most as much as the request's own profile before other work.
 func otherProfilesAhead(w *decision.Work, own tokenLoad, profile, all queue.Totals) tokenLoad {
-	rest := tokenLoad{
+	otherProfiles := tokenLoad{
 		float64(all.PrefillTokens - profile.PrefillTokens),
 		float64(all.DecodeTokens - profile.DecodeTokens),
 	}
 	if w.Class == declaration.ClassBulk {
-		return rest
+		return otherProfiles
 	}
-	return tokenLoad{min(rest.prefill, own.prefill), min(rest.decode, own.decode)}
+	return tokenLoad{min(otherProfiles.prefill, own.prefill), min(otherProfiles.decode, own.decode)}
 }
 
 // serverWait returns the wait behind the prefill that servers already have. Engines prefill
@@ -173,9 +173,9 @@
 
 // workTime returns the seconds that the servers need for the load by their own rates, of
 // which each entry has an equal part.
-func (s *serverCapacity) workTime(own, rest tokenLoad, entries float64) float64 {
-	prefill := (own.prefill + rest.prefill) * entries / max(1, s.prefillRate)
-	decode := (own.decode + rest.decode) * entries / max(1, s.decodeRate)
+func (s *serverCapacity) workTime(own, otherProfiles tokenLoad, entries float64) float64 {
+	prefill := (own.prefill + otherProfiles.prefill) * entries / max(1, s.prefillRate)
+	decode := (own.decode + otherProfiles.decode) * entries / max(1, s.decodeRate)
 	return max(prefill, decode)
 }
 
--- a/internal/decision/admission/extra.go
+++ b/internal/decision/admission/extra.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// ResendLimit bounds how often a deployment sends requests again after their first send.
+// ResendLimit bounds how often a deployment sends requests again after their first send, for
+// whatever reason.
 type ResendLimit struct {
 	// Ratio is the number of resends that a service may get per request for it.
 	Ratio float64
@@ -23,7 +24,8 @@
 	windows map[string]*resendWindow
 }
 
-// serviceUse holds the times of one service's requests and of their resends, oldest first.
+// resendWindow holds the times of one service's requests and of their resends within the
+// window, oldest first.
 type resendWindow struct {
 	requests []time.Duration
 	resends  []time.Duration
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -15,14 +15,14 @@
 	busyUntil time.Duration
 }
 
-// tally counts the prompts of one size class.
-type tally struct{ arrived, served, onTime int }
+// promptCounts counts the prompts of one size class.
+type promptCounts struct{ arrived, served, onTime int }
 
-func (t tally) servedShare() float64 { return float64(t.served) / float64(max(1, t.arrived)) }
+func (t promptCounts) servedShare() float64 { return float64(t.served) / float64(max(1, t.arrived)) }
 
 // simulateBurst offers prompts of 500 to 60,000 tokens for two minutes; load is the offered
 // rate as a fraction of the engine's. Refused prompts are retried once.
-func simulateBurst(rate, load float64) (small, large tally) {
+func simulateBurst(rate, load float64) (small, large promptCounts) {
 	const mean = 9000.0
 	e := &simulatedEngine{rate: rate}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -73,10 +73,10 @@
 	return small, large
 }
 
-// Prompts of very unequal length are offered at and beyond the engines' limit. If a prompt's
-// whole prefill counted against the target, idle engines would refuse the longest tenth at
-// any load. Long prompts must be served about as often as short ones, and in a burst most of
-// the prompts that are served must be in time.
+// Prompts of very unequal length are offered at and beyond the engines' limit. If a prompt's whole
+// prefill counted against the target, idle engines would refuse the longest tenth again and again
+// at any load. Long prompts must be served about as often as short ones, and in a burst most of the
+// prompts that are served must be in time.
 func TestLongPromptsAreServedAsOftenAsShortOnes(t *testing.T) {
 	for _, rate := range []float64{12000, 40000, 110000} {
 		for _, load := range []float64{0.5, 0.9, 1.3} {
--- a/internal/decision/admission/supply.go
+++ b/internal/decision/admission/supply.go
@@ -23,8 +23,8 @@
 }
 
 // capacityFor adds up the servers. A server's report is as old as its lag, so the requests
-// sent since are added: this entry's, multiplied by the number of entries in the assumption
-// that the others have sent as much.
+// sent since are added: this entry's, multiplied by the number of entries, on the
+// assumption that the others have sent as much.
 func capacityFor(now time.Duration, w *decision.Work, fleet *decision.Fleet) serverCapacity {
 	var s serverCapacity
 	for i := range fleet.Servers {
--- a/internal/decision/admission/throttled.go
+++ b/internal/decision/admission/throttled.go
@@ -111,7 +111,7 @@
 	return max(t.availableIn, waitBehind(float64(ahead.Requests), cost/max(1, meanCost), secs, t.rate/entries, throttledPriorSeconds))
 }
 
-// requestInterval is the time between two requests that the servers accept, at most
+// requestInterval returns the time between two requests that the servers accept, at most
 // maxRequestInterval.
 func (t *throttledServers) requestInterval() time.Duration {
 	if t.rate == 0 {
