--- a/internal/decision/autoscaling/autoscaling.go
+++ b/internal/decision/autoscaling/autoscaling.go
@@ -32,7 +32,7 @@
 	reorderDelay = 6 * time.Second
 )
 
-// Kind is whether servers are on-demand or spot servers.
+// Kind tells whether servers are on-demand or spot servers.
 type Kind bool
 
 // The kinds of servers.
@@ -122,10 +122,11 @@
 	return orders
 }
 
-// targetSize is the target number of servers within the bounds.
+// targetSize returns the target number of servers within the bounds.
 func targetSize(b Bounds, d *DataCentre) int { return min(b.Max, max(b.Min, d.Target)) }
 
-// onDemandTarget is how many servers are on-demand servers while there are enough spot servers.
+// onDemandTarget returns how many servers are to be on-demand servers while there are enough spot
+// servers.
 func onDemandTarget(b Bounds, d *DataCentre) int {
 	if !spotIsCheaper(b) {
 		return targetSize(b, d)
@@ -154,7 +155,7 @@
 	return out
 }
 
-// spotTarget is how many spot servers a data centre of the given size is to have.
+// spotTarget returns how many spot servers a data centre of the given size is to have.
 func spotTarget(b Bounds, total int) int {
 	if !spotIsCheaper(b) {
 		return 0
@@ -162,7 +163,7 @@
 	return shareOf(spotShare, total)
 }
 
-// shareOf is a share of a number of servers, rounded up.
+// shareOf returns a share of a number of servers, rounded up.
 func shareOf(share float64, total int) int { return int(math.Ceil(share * float64(total))) }
 
 // releaseExcess returns how many on-demand servers to have. It goes below the current number only
