--- a/internal/decision/backpressure/schedule.go
+++ b/internal/decision/backpressure/schedule.go
@@ -102,6 +102,7 @@
 	if _, counted := s.requesters[entry]; counted {
 		others--
 	}
+	// Multiples of the golden ratio spread the entries evenly over the time.
 	s.requestCount++
 	_, fraction := math.Modf(float64(s.requestCount) * math.Phi)
 	spread := time.Duration((0.5 + fraction) * others / (requestersPerPermit * grantRate) * float64(time.Second))
