--- a/internal/decision/queue/drain.go
+++ b/internal/decision/queue/drain.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// throughputDecayTime is the time constant of the measured throughput. An entry serves a
-// bulk request every two seconds, so it covers about sixty of them.
+// throughputDecayTime is the time constant of the measured throughput. An entry's part of the
+// bulk work is one request every two seconds, so the measurement covers about sixty of them.
 const throughputDecayTime = 2 * time.Minute
 
 // throughput measures the rate at which a profile's work leaves the queue while some of it
--- a/internal/decision/queue/flow.go
+++ b/internal/decision/queue/flow.go
@@ -36,7 +36,7 @@
 	weight  float64
 	deficit float64
 	items   flowHeap
-	owner   *profileQueue
+	profile *profileQueue
 }
 
 func (f *flow) push(it *item) {
@@ -47,7 +47,7 @@
 func (f *flow) remove(it *item) {
 	heap.Remove(&f.items, it.flowIndex)
 	if len(f.items) == 0 {
-		f.owner.deactivate(f)
+		f.profile.deactivate(f)
 	}
 }
 
--- a/internal/decision/queue/pool.go
+++ b/internal/decision/queue/pool.go
@@ -15,7 +15,7 @@
 	// resumed holds the requests whose callers have a part of the answer, in order of arrival
 	// in the queue.
 	resumed []*item
-	// virtualTime is the pass of the profile that was served last.
+	// virtualTime is the virtual time (pass) of the profile that was served last.
 	virtualTime float64
 	// waiting is the number of requests waiting here, throughput the rate at which they leave.
 	waiting    int
--- a/internal/decision/queue/profile.go
+++ b/internal/decision/queue/profile.go
@@ -16,18 +16,18 @@
 type profileQueue struct {
 	name  string
 	share float64
-	// pass is the profile's virtual time: cost served divided by share.
+	// pass is the profile's virtual time in stride scheduling: cost served divided by share.
 	pass       float64
 	flows      map[string]*flow
 	active     []*flow
-	turn       int
+	turnIndex  int
 	throughput *throughput
 }
 
 func (p *profileQueue) push(it *item) {
 	f := p.flows[it.work.Member]
 	if f == nil {
-		f = &flow{member: it.work.Member, owner: p}
+		f = &flow{member: it.work.Member, profile: p}
 		p.flows[it.work.Member] = f
 	}
 	f.weight = weightOrDefault(it.work.MemberWeight)
@@ -45,15 +45,15 @@
 			continue
 		}
 		p.active = append(p.active[:i], p.active[i+1:]...)
-		if i < p.turn {
-			p.turn--
+		if i < p.turnIndex {
+			p.turnIndex--
 		}
 		break
 	}
 	if len(p.active) > 0 {
-		p.turn %= len(p.active)
+		p.turnIndex %= len(p.active)
 	} else {
-		p.turn = 0
+		p.turnIndex = 0
 	}
 	delete(p.flows, f.member)
 }
@@ -64,7 +64,7 @@
 func (p *profileQueue) earliestCritical(now time.Duration, fits func(*decision.Work) bool, tries *int) *item {
 	var first *item
 	for i := range p.active[:min(len(p.active), maxTries)] {
-		it := p.active[(p.turn+i)%len(p.active)].head()
+		it := p.active[(p.turnIndex+i)%len(p.active)].head()
 		if it.mustStart(now) && (first == nil || it.work.FinishBy < first.work.FinishBy) {
 			first = it
 		}
@@ -99,7 +99,7 @@
 func (p *profileQueue) fewestRounds(tried []*flow) (index int, rounds float64) {
 	index = -1
 	for i := range p.active {
-		at := (p.turn + i) % len(p.active)
+		at := (p.turnIndex + i) % len(p.active)
 		if slices.Contains(tried, p.active[at]) {
 			continue
 		}
@@ -124,9 +124,9 @@
 	f := p.active[index]
 	it := f.head()
 	f.deficit -= it.work.Cost()
-	p.turn = index
+	p.turnIndex = index
 	if len(f.items) > 1 && f.deficit < f.items.nextHead().work.Cost() {
-		p.turn = (index + 1) % len(p.active)
+		p.turnIndex = (index + 1) % len(p.active)
 	}
 	return it
 }
--- a/internal/decision/queue/queue.go
+++ b/internal/decision/queue/queue.go
@@ -4,7 +4,7 @@
 // plain service) has a queue per profile, and each profile has one per member. Profiles
 // share a pool by stride scheduling over their declared shares, members share a profile by
 // deficit round robin in tokens, and each member's requests are ordered by deadline. A
-// request that must start now to finish in time goes before all shares.
+// request that must start now to finish in time is served first, whatever the shares are.
 //
 // Without this, a burst of bulk requests delays the urgent ones, one member's burst delays
 // all other members, and a steady stream of urgent requests starves bulk requests until they
