--- a/internal/decision/replicas/replicas.go
+++ b/internal/decision/replicas/replicas.go
@@ -5,7 +5,7 @@
 // replicas are lost than it tolerates, and the data that it has committed can no longer be read.
 //
 // A new replica joins as a learner, becomes a voter once it has caught up, and only then is a
-// lost one removed. So the remaining voters form a quorum at every step at which they did before.
+// lost one removed. So live voters that form a quorum still form one after every step.
 package replicas
 
 import (
