--- a/internal/decision/roles/backlog.go
+++ b/internal/decision/roles/backlog.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// maxQueueWait is how long work may wait before it counts as lost by a split. Bulk work may wait
-// for minutes (in both deployments five until its first token, of which admission fills some
-// three), so a swing that a backlog bridges costs nothing. The bound is lower to leave time for
-// the role changes, which come one after the other. docs/design/roles.md has the measurement.
+// maxQueueWait is the wait above which queued work counts as lost by a split. A swing of the mix
+// that a shorter backlog bridges costs nothing, because bulk work may wait for minutes: in both
+// deployments five until its first token, of which admission lets the queue fill some three. The
+// bound is 10 s and not minutes, because the role changes come one after the other and need the
+// rest of that time. docs/design/roles.md has the measurement.
 const maxQueueWait = 10 * time.Second
 
 // backlog is the work that would be waiting with a split, in engine-seconds.
--- a/internal/decision/roles/plan.go
+++ b/internal/decision/roles/plan.go
@@ -176,7 +176,7 @@
 // minInterval keeps an observation over an empty interval from counting as infinite demand.
 const minInterval = 0.001
 
-// offeredDemand is the offered demand in units of fully busy engines.
+// offeredDemand returns the offered demand in units of fully busy engines.
 func offeredDemand(o *Observation) Demand {
 	seconds := max(o.Interval.Seconds(), minInterval)
 	return Demand{
--- a/internal/decision/roles/split.go
+++ b/internal/decision/roles/split.go
@@ -9,10 +9,11 @@
 // Split is how many engines have each role.
 type Split struct{ Prefill, Mixed, Decode int }
 
-// Size is the number of engines.
+// Size returns the number of engines.
 func (s Split) Size() int { return s.Prefill + s.Mixed + s.Decode }
 
-// ChangesTo is how many engines must change their role to get from s to o of the same size.
+// ChangesTo returns how many engines must change their role to get from s to o, which has the
+// same size.
 func (s Split) ChangesTo(o Split) int {
 	return max(0, o.Prefill-s.Prefill) + max(0, o.Mixed-s.Mixed) + max(0, o.Decode-s.Decode)
 }
@@ -31,12 +32,12 @@
 // Demand is offered work in units of engines: 1 keeps one engine of that role fully busy.
 type Demand struct{ Prefill, Decode float64 }
 
-// Total is the demand of both roles.
+// Total returns the demand for both roles.
 func (d Demand) Total() float64 { return d.Prefill + d.Decode }
 
-// ServedDemand is the part of d that the split can serve, in units of engines. Prefill and decode
-// are served in the proportion of d, because a request needs both. mixedEfficiency is that of
-// Rates.
+// ServedDemand returns the part of d that the split can serve, in units of engines. Prefill and
+// decode are served in the proportion of d, because a request needs both. mixedEfficiency is that
+// of Rates.
 func ServedDemand(s Split, d Demand, mixedEfficiency float64) float64 {
 	if d.Total() <= 0 {
 		return 0
@@ -44,7 +45,7 @@
 	return d.Total() * min(1, servableFactor(s, d, mixedEfficiency))
 }
 
-// servableFactor is the largest factor by which d can be multiplied so that the split still
+// servableFactor returns the largest factor by which d can be multiplied so that the split still
 // serves all of it. Mixed engines serve what the others leave.
 func servableFactor(s Split, d Demand, mixedEfficiency float64) float64 {
 	prefill, mixedCapacity, decode := float64(s.Prefill), float64(s.Mixed)*mixedEfficiency, float64(s.Decode)
@@ -84,6 +85,6 @@
 // roundingTolerance makes a share of 1/3 of nine engines three and not four.
 const roundingTolerance = 1e-9
 
-// CurrentSplit is the current split of the engines; those that are changing count with their
-// target role.
+// CurrentSplit returns the current split of the engines; those that are changing count with
+// their target role.
 func CurrentSplit(o *Observation) Split { return summarize(o).split }
