--- a/internal/policy/baseline.go
+++ b/internal/policy/baseline.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// bestSplit is the split that serves most of the demand; among equals, the one that needs the
+// bestSplit returns the split that serves most of the demand; among equals, the one that needs the
 // fewest changes.
 func bestSplit(o *roles.Observation, demand roles.Demand) roles.Split {
 	current := roles.CurrentSplit(o)
@@ -82,25 +82,25 @@
 	return best
 }
 
-// thresholdPolicy moves one engine when one role is overloaded and the other underused, and
-// pauses after each change.
+// thresholdPolicy changes the role of one engine when one role is overloaded and the other
+// underused, with a cooldown after each change.
 type thresholdPolicy struct {
 	window     demandWindow
 	lastChange time.Duration
 }
 
 // Settings that operators without a planner commonly use: a role is overloaded above 90% of its
-// capacity and underused below 70%, averaged over 30 plans of one second, with a pause of 30 s.
+// capacity and underused below 70%, averaged over 30 plans of one second, with a cooldown of 30 s.
 const (
 	thresholdOverloaded  = 0.9
 	thresholdUnderused   = 0.7
 	thresholdWindowPlans = 30
-	thresholdPause       = 30 * time.Second
+	thresholdCooldown    = 30 * time.Second
 )
 
 func (p *thresholdPolicy) plan(now time.Duration, o roles.Observation) []roles.Change {
 	d := p.window.add(&o, thresholdWindowPlans)
-	if now-p.lastChange < thresholdPause {
+	if now-p.lastChange < thresholdCooldown {
 		return nil
 	}
 	current := roles.CurrentSplit(&o)
--- a/internal/policy/clairvoyant.go
+++ b/internal/policy/clairvoyant.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-// demandPerSlot is the offered demand in each slot, in units of fully busy engines.
+// demandPerSlot returns the offered demand in each slot, in units of fully busy engines.
 func demandPerSlot(t *Trace) []roles.Demand {
 	demands := make([]roles.Demand, int(t.Length/planSlotLength)+1)
 	for i := range t.Requests {
@@ -58,7 +58,7 @@
 	return out
 }
 
-// bestPlan is the sequence of splits that serves most of the demand if each change costs the
+// bestPlan returns the sequence of splits that serves most of the demand if each change costs the
 // given engine-seconds. It is found by dynamic programming over all splits.
 func bestPlan(s *Scenario, demands []roles.Demand, cost float64) []roles.Split {
 	splits := roles.CandidateSplits(s.Engines, s.Roles.MinMixedShare)
@@ -67,9 +67,9 @@
 	for i, o := range splits {
 		values[i] = -cost * float64(start.ChangesTo(o))
 	}
-	from := make([][]int, len(demands))
+	predecessors := make([][]int, len(demands))
 	for t, d := range demands {
-		values, from[t] = extendPlan(splits, values, d, cost)
+		values, predecessors[t] = extendPlan(splits, values, d, cost)
 	}
 	best := 0
 	for i := range values {
@@ -80,13 +80,13 @@
 	plan := make([]roles.Split, len(demands))
 	for t := len(demands) - 1; t >= 0; t-- {
 		plan[t] = splits[best]
-		best = from[t][best]
+		best = predecessors[t][best]
 	}
 	return plan
 }
 
 func extendPlan(splits []roles.Split, before []float64, demand roles.Demand, cost float64) ([]float64, []int) {
-	after, from := make([]float64, len(splits)), make([]int, len(splits))
+	after, predecessors := make([]float64, len(splits)), make([]int, len(splits))
 	for i, split := range splits {
 		best := -1
 		for j, previous := range splits {
@@ -94,10 +94,10 @@
 				best, after[i] = j, before[j]-cost*float64(n)
 			}
 		}
-		from[i] = best
+		predecessors[i] = best
 		after[i] += roles.ServedDemand(split, demand, enginemodel.MixedEfficiency) * planSlotLength.Seconds()
 	}
-	return after, from
+	return after, predecessors
 }
 
 // Parameters of the plans that the clairvoyant policy tries: the number of slots to average the
@@ -128,8 +128,8 @@
 	return a
 }
 
-// upperBound is a goodput value that no policy can exceed: all engines work at the full rate of
-// their role from the first arrival until the last deadline, nothing is lost to role changes,
+// upperBound returns a goodput value that no policy can exceed: all engines work at the full rate
+// of their role from the first arrival until the last deadline, nothing is lost to role changes,
 // interference or waiting, and the most valuable work goes first.
 func upperBound(s *Scenario, t *Trace) float64 {
 	var urgent, bulk float64
@@ -154,7 +154,7 @@
 	return urgent*s.Urgent.Share + bulk*s.Bulk.Share
 }
 
-// engineSecondsUntil is the total engine time that is available until the given time.
+// engineSecondsUntil returns the total engine time that is available until the given time.
 func engineSecondsUntil(s *Scenario, t *Trace, until time.Duration) float64 {
 	sum := float64(s.Engines) * until.Seconds()
 	for _, l := range t.Losses {
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -20,14 +20,14 @@
 	queue     *queue.Queue
 	picker    *placement.Picker
 	fleet     decision.Fleet
-	sent      []decision.InFlightTracker
+	inFlight  []decision.InFlightTracker
 	byID      map[string]*simRequest
 }
 
 func newEntry(m *sim, index int) *simEntry {
 	e := &simEntry{
 		sim: m, admission: admission.New(), queue: queue.New(), picker: placement.New(),
-		byID: make(map[string]*simRequest), sent: make([]decision.InFlightTracker, len(m.engines)),
+		byID: make(map[string]*simRequest), inFlight: make([]decision.InFlightTracker, len(m.engines)),
 	}
 	e.fleet = decision.Fleet{Entries: m.scenario.Entries}
 	for _, n := range m.engines {
@@ -50,8 +50,8 @@
 		}
 		s.Load = n.engine.Load(e.sim.now)
 		s.ReportedAt = e.sim.now - time.Duration(s.Load.AgeMS)*time.Millisecond
-		e.sent[i].ApplyReport(s.ReportedAt)
-		s.InFlight = e.sent[i].InFlight
+		e.inFlight[i].ApplyReport(s.ReportedAt)
+		s.InFlight = e.inFlight[i].InFlight
 	}
 }
 
@@ -107,14 +107,14 @@
 	r.earlierTokens = r.tokens
 	r.mainEngine, r.prefillEngine = e.serverIndex(c.Server), -1
 	r.stage = running
-	r.serverLoad = decision.RequestTokens{Prefill: prefillTokens(w, c), Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens}
-	e.addSent(r.mainEngine, r.serverLoad)
+	r.mainLoad = decision.RequestTokens{Prefill: prefillTokens(w, c), Decode: w.OutputTokens, KV: w.PromptTokens + w.OutputTokens}
+	e.addInFlight(r.mainEngine, r.mainLoad)
 	e.recordUrgentPrefill(r, w, c)
 	req := e.modelRequest(r)
 	if c.Prefill != nil {
 		r.stage, r.prefillEngine = prefilling, e.serverIndex(c.Prefill)
 		r.prefillLoad = decision.RequestTokens{Prefill: w.PromptTokens, KV: w.PromptTokens}
-		e.addSent(r.prefillEngine, r.prefillLoad)
+		e.addInFlight(r.prefillEngine, r.prefillLoad)
 		req.PrefillOnly = true
 		e.submit(r.prefillEngine, r, req)
 		return
@@ -123,7 +123,7 @@
 	e.submit(r.mainEngine, r, req)
 }
 
-// prefillTokens is the number of prompt tokens that the chosen server itself has to prefill.
+// prefillTokens returns the number of prompt tokens that the chosen server itself has to prefill.
 func prefillTokens(w *decision.Work, c placement.Choice) int {
 	if c.Prefill != nil || w.KVTokens > 0 {
 		return 0
@@ -149,27 +149,27 @@
 	if c.Prefill != nil {
 		r.urgentEngine = e.serverIndex(c.Prefill)
 	}
-	e.sent[r.urgentEngine].AddUrgentPrefill(r.urgentTokens)
-	e.fleet.Servers[r.urgentEngine].InFlight = e.sent[r.urgentEngine].InFlight
+	e.inFlight[r.urgentEngine].AddUrgentPrefill(r.urgentTokens)
+	e.fleet.Servers[r.urgentEngine].InFlight = e.inFlight[r.urgentEngine].InFlight
 }
 
 func (e *simEntry) clearUrgentPrefill(r *simRequest) {
 	if r.urgentTokens > 0 {
-		e.sent[r.urgentEngine].AddUrgentPrefill(-r.urgentTokens)
-		e.fleet.Servers[r.urgentEngine].InFlight = e.sent[r.urgentEngine].InFlight
+		e.inFlight[r.urgentEngine].AddUrgentPrefill(-r.urgentTokens)
+		e.fleet.Servers[r.urgentEngine].InFlight = e.inFlight[r.urgentEngine].InFlight
 		r.urgentTokens = 0
 	}
 }
 
-// addSent and removeSent keep the Sent field of a server up to date.
-func (e *simEntry) addSent(i int, t decision.RequestTokens) {
-	e.sent[i].Add(e.sim.now, t)
-	e.fleet.Servers[i].InFlight = e.sent[i].InFlight
+// addInFlight and removeInFlight keep the InFlight field of a server up to date.
+func (e *simEntry) addInFlight(i int, t decision.RequestTokens) {
+	e.inFlight[i].Add(e.sim.now, t)
+	e.fleet.Servers[i].InFlight = e.inFlight[i].InFlight
 }
 
-func (e *simEntry) removeSent(i int, t decision.RequestTokens) {
-	e.sent[i].Done(t)
-	e.fleet.Servers[i].InFlight = e.sent[i].InFlight
+func (e *simEntry) removeInFlight(i int, t decision.RequestTokens) {
+	e.inFlight[i].Done(t)
+	e.fleet.Servers[i].InFlight = e.inFlight[i].InFlight
 }
 
 func (e *simEntry) modelRequest(r *simRequest) enginemodel.Request {
@@ -236,7 +236,7 @@
 // startDecode continues with the decode after a prefill on another engine.
 func (e *simEntry) startDecode(r *simRequest) {
 	e.sim.engines[r.prefillEngine].engine.Release(r.work.RequestID)
-	e.removeSent(r.prefillEngine, r.prefillLoad)
+	e.removeInFlight(r.prefillEngine, r.prefillLoad)
 	r.prefillEngine = -1
 	r.stage = running
 	req := e.modelRequest(r)
@@ -248,10 +248,10 @@
 func (e *simEntry) releaseServers(r *simRequest) {
 	e.clearUrgentPrefill(r)
 	if r.prefillEngine >= 0 {
-		e.removeSent(r.prefillEngine, r.prefillLoad)
+		e.removeInFlight(r.prefillEngine, r.prefillLoad)
 	}
 	if r.mainEngine >= 0 {
-		e.removeSent(r.mainEngine, r.serverLoad)
+		e.removeInFlight(r.mainEngine, r.mainLoad)
 	}
 	r.prefillEngine, r.mainEngine = -1, -1
 }
--- a/internal/policy/measure.go
+++ b/internal/policy/measure.go
@@ -123,8 +123,8 @@
 	6 * time.Minute, 8 * time.Minute,
 }
 
-// WorstPeriod is the period of oscillation at which the production policy does worst relative to
-// the clairvoyant one, on the first seed.
+// WorstPeriod returns the period of oscillation at which the production policy does worst relative
+// to the clairvoyant one, on the first seed.
 func WorstPeriod(s *Scenario, workers int) (time.Duration, error) {
 	tasks := pool.NewWithResults[float64]().WithErrors().WithMaxGoroutines(max(1, workers))
 	for _, period := range oscillationPeriods {
--- a/internal/policy/scenario.go
+++ b/internal/policy/scenario.go
@@ -68,7 +68,7 @@
 	return s, nil
 }
 
-// price is the engine-seconds that a change must gain: the prices of the profiles, weighted by
+// price returns the engine-seconds that a change must gain: the prices of the profiles, weighted by
 // their shares.
 func (s *Scenario) price() time.Duration {
 	shares := s.Urgent.Share + s.Bulk.Share
--- a/internal/policy/sim.go
+++ b/internal/policy/sim.go
@@ -47,8 +47,8 @@
 	stage         requestStage
 	prefillEngine int // index of the engine that runs only the prefill; -1 if none
 	mainEngine    int // index of the engine that runs the request or only its decode; -1 if none
-	// prefillLoad and serverLoad are the tokens counted at prefillEngine and mainEngine.
-	prefillLoad, serverLoad decision.RequestTokens
+	// prefillLoad and mainLoad are the tokens counted at prefillEngine and mainEngine.
+	prefillLoad, mainLoad decision.RequestTokens
 	// urgentTokens is the urgent prefill counted at urgentEngine until the first token.
 	urgentTokens int
 	urgentEngine int
@@ -77,8 +77,8 @@
 	onChange                      func(now time.Duration, c roles.Change)
 }
 
-// initialSplit is the split that every policy starts from: the smallest allowed number of mixed
-// engines, the others divided evenly.
+// initialSplit returns the split that every policy starts from: the smallest allowed number of
+// mixed engines, the others divided evenly.
 func initialSplit(s *Scenario) roles.Split {
 	mixed := minMixed(s)
 	rest := s.Engines - mixed
--- a/internal/policy/stats.go
+++ b/internal/policy/stats.go
@@ -35,58 +35,58 @@
 
 type memberCount struct{ offered, inTime int }
 
-func (t *runStats) member(w *decision.Work) *memberCount {
-	if t.members == nil {
-		t.members = make(map[memberClass]*memberCount)
+func (s *runStats) member(w *decision.Work) *memberCount {
+	if s.members == nil {
+		s.members = make(map[memberClass]*memberCount)
 	}
 	key := memberClass{w.Member, w.Class}
-	c := t.members[key]
+	c := s.members[key]
 	if c == nil {
 		c = &memberCount{}
-		t.members[key] = c
+		s.members[key] = c
 	}
 	return c
 }
 
-// engineSeconds is the time that a request takes on engines of the matching role.
+// engineSeconds returns the time that a request takes on engines of the matching role.
 func engineSeconds(w *decision.Work) float64 {
 	rate := enginemodel.Config{}.FullDecodeRate()
 	return float64(w.PromptTokens)/enginemodel.DefaultPrefillRate + float64(w.OutputTokens)/rate
 }
 
-// goodputValue is the value of a complete answer in time: the request's engine-seconds times the
-// share that operators gave its profile.
+// goodputValue returns the value of a complete answer in time: the request's engine-seconds times
+// the share that operators gave its profile.
 func goodputValue(w *decision.Work) float64 { return engineSeconds(w) * w.ProfileShare }
 
-func (t *runStats) recordOffered(w *decision.Work) {
-	t.offeredValue += goodputValue(w)
-	t.member(w).offered++
+func (s *runStats) recordOffered(w *decision.Work) {
+	s.offeredValue += goodputValue(w)
+	s.member(w).offered++
 	if w.Class == declaration.ClassBulk {
-		t.bulkOffered++
+		s.bulkOffered++
 	} else {
-		t.urgentOffered++
+		s.urgentOffered++
 	}
 }
 
-func (t *runStats) recordRefused(*decision.Work) { t.refusals++ }
+func (s *runStats) recordRefused(*decision.Work) { s.refusals++ }
 
 // recordAnswered counts a complete answer.
-func (t *runStats) recordAnswered(r *simRequest, at time.Duration) {
+func (s *runStats) recordAnswered(r *simRequest, at time.Duration) {
 	w := &r.work
 	inTime := r.firstTokenAt <= w.FirstTokenBy && at <= w.FinishBy
 	if inTime {
-		t.goodputValue += goodputValue(w)
-		t.member(w).inTime++
+		s.goodputValue += goodputValue(w)
+		s.member(w).inTime++
 	}
 	if w.Class == declaration.ClassBulk {
-		increment(inTime, &t.bulkInTime, &t.bulkLate)
+		increment(inTime, &s.bulkInTime, &s.bulkLate)
 		return
 	}
-	increment(inTime, &t.urgentInTime, &t.urgentLate)
-	if t.urgentFirstTokenMS == nil {
-		t.urgentFirstTokenMS = hdrhistogram.New(1, time.Hour.Milliseconds(), 3)
+	increment(inTime, &s.urgentInTime, &s.urgentLate)
+	if s.urgentFirstTokenMS == nil {
+		s.urgentFirstTokenMS = hdrhistogram.New(1, time.Hour.Milliseconds(), 3)
 	}
-	_ = t.urgentFirstTokenMS.RecordValue((r.firstTokenAt - w.Arrived).Milliseconds()) // maxTail keeps it within an hour
+	_ = s.urgentFirstTokenMS.RecordValue((r.firstTokenAt - w.Arrived).Milliseconds()) // maxTail keeps it within an hour
 }
 
 func increment(condition bool, yes, no *int) {
@@ -97,9 +97,9 @@
 	}
 }
 
-func (t *runStats) urgentP95() float64 {
-	if t.urgentFirstTokenMS == nil {
+func (s *runStats) urgentP95() float64 {
+	if s.urgentFirstTokenMS == nil {
 		return 0
 	}
-	return float64(t.urgentFirstTokenMS.ValueAtQuantile(95)) / 1000
+	return float64(s.urgentFirstTokenMS.ValueAtQuantile(95)) / 1000
 }
--- a/internal/policy/trace.go
+++ b/internal/policy/trace.go
@@ -58,7 +58,7 @@
 	highPrefill = 0.8
 )
 
-// loadShapes are the shapes of all traces, in the order in which they are reported.
+// loadShapes returns the shapes of all traces, in the order in which they are reported.
 func loadShapes(rng *rand.Rand, worstPeriod time.Duration) []shape {
 	steady := func(time.Duration) float64 { return normalLoad }
 	swing := randomSwings(rng)
@@ -177,14 +177,14 @@
 func (g *generator) generate() Trace {
 	for t := time.Duration(0); t < traceLength; t += generationStep {
 		load := g.shape.load(t)
-		g.arrivals(t, urgentLoad/meanUrgentSize, g.urgentWork)
-		g.arrivals(t, (load-urgentLoad)/meanBulkSize, g.bulkWork)
+		g.drawArrivals(t, urgentLoad/meanUrgentSize, g.urgentWork)
+		g.drawArrivals(t, (load-urgentLoad)/meanBulkSize, g.bulkWork)
 	}
 	return Trace{Name: g.shape.name, Length: traceLength, Requests: g.requests, Losses: g.shape.losses}
 }
 
-// arrivals draws the requests that arrive within the step. Rates are well below one a step.
-func (g *generator) arrivals(t time.Duration, rate float64, newWork func(time.Duration) decision.Work) {
+// drawArrivals draws the requests that arrive within the step. Rates are well below one a step.
+func (g *generator) drawArrivals(t time.Duration, rate float64, newWork func(time.Duration) decision.Work) {
 	expected := rate * generationStep.Seconds()
 	for range int(expected) + 1 {
 		if g.rng.Float64() < expected/float64(int(expected)+1) {
