--- a/cmd/goldcrest-control/main.go
+++ b/cmd/goldcrest-control/main.go
@@ -55,7 +55,7 @@
 	out := obs.NewBounded(os.Stdout)
 	defer out.Close()
 	log := obs.NewLogger(out, s.Name, s.Log)
-	ctx := cli.Stopped(cmd.Context())
+	ctx := cli.ShutdownContext(cmd.Context())
 	go cli.WatchFile(ctx, file, log, func() {
 		log.Info("settings changed; they count from the next start on", "settings", file)
 	})
@@ -65,7 +65,7 @@
 			return err
 		}
 		err = r.Run(ctx)
-		if !errorx.IsOfType(err, runner.Removed) || !s.GroupFromControl {
+		if !errorx.IsOfType(err, runner.Removed) || !s.BootstrapFromControl {
 			return err
 		}
 		// The group took another replica in this one's place while it was away. It
--- a/cmd/goldcrest-entry/main.go
+++ b/cmd/goldcrest-entry/main.go
@@ -55,7 +55,7 @@
 	out := obs.NewBounded(os.Stdout)
 	defer out.Close()
 	log := obs.NewLogger(out, s.Name, s.Log)
-	ctx := cli.Stopped(context.Background())
+	ctx := cli.ShutdownContext(context.Background())
 	server, err := newServer(s, log)
 	if err != nil {
 		return cli.WithCode(cli.ExitFailed, err)
@@ -71,7 +71,7 @@
 }
 
 func newServer(s *settings.Entry, log *slog.Logger) (server, error) {
-	if s.Relay.On() {
+	if s.Relay.Enabled() {
 		return platform.NewEntry(s, log)
 	}
 	return traffic.New(s, log)
--- a/internal/cli/process.go
+++ b/internal/cli/process.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// Stopped gives a context that ends with the first SIGTERM or SIGINT. The signals
+// ShutdownContext gives a context that ends with the first SIGTERM or SIGINT. The signals
 // stay taken after it: a second one must not fall back to the default, which
 // would end the process and cut streams.
-func Stopped(parent context.Context) context.Context {
+func ShutdownContext(parent context.Context) context.Context {
 	ctx, cancel := context.WithCancel(parent)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -140,7 +140,7 @@
 // inWindow reports whether a key with that time may run. The upper bound keeps a key from
 // being remembered for longer than the window.
 func (s *State) inWindow(keyMS int64) bool {
-	oldest := max(s.nowMS-s.limits().OnceWindow.Milliseconds(), s.claims.expiredBeforeMS)
+	oldest := max(s.nowMS-s.limits().IdempotencyWindow.Milliseconds(), s.claims.expiredBeforeMS)
 	return keyMS >= oldest && keyMS <= s.nowMS+maxKeyClockSkew.Milliseconds()
 }
 
@@ -187,7 +187,7 @@
 func (s *State) settle(key claimKey, known *claim, st *pb.Settlement, sequence uint64) {
 	switch st.GetStatus() {
 	case pb.ClaimStatus_CLAIM_STATUS_DONE:
-		s.claims.storeAnswer(key, known, st.GetAnswer(), s.limits().OnceAnswerBytes)
+		s.claims.storeAnswer(key, known, st.GetAnswer(), s.limits().MaxIdempotentAnswerBytes)
 		known.answerSequence = sequence
 	case pb.ClaimStatus_CLAIM_STATUS_UNKNOWN, pb.ClaimStatus_CLAIM_STATUS_NOT_RUN:
 	default:
@@ -275,7 +275,7 @@
 // expireClaims removes whole buckets that are older than the window. From then on inWindow
 // refuses their keys.
 func (s *State) expireClaims() {
-	cutMS := s.nowMS - s.limits().OnceWindow.Milliseconds()
+	cutMS := s.nowMS - s.limits().IdempotencyWindow.Milliseconds()
 	last := cutMS / claimBucketWidth.Milliseconds()
 	dropped := false
 	for bucket, keys := range s.claims.buckets {
--- a/internal/control/delivery.go
+++ b/internal/control/delivery.go
@@ -132,7 +132,7 @@
 // readyForOrder reports whether the engine can be sent its order: it is idle, or the
 // declaration says that engines finish their requests before they carry out an order.
 func (r *Reducer) readyForOrder(id string, d *delivery) bool {
-	if r.state.declared.parsed != nil && r.state.declared.parsed.Roles.EnginesDrain {
+	if r.state.declared.parsed != nil && r.state.declared.parsed.Roles.EnginesSelfDrain {
 		return true
 	}
 	return r.idleSince(id, d.viewAppliedAt+idleReportMargin)
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -208,7 +208,7 @@
 		d := &declaration.Declaration{Revision: 1, Author: "ann"}
 		d.Models = []declaration.Model{{Name: "m", Version: "v1"}}
 		d.BackendServers = []declaration.BackendServerRule{{Prefix: "checks", Fencing: declaration.FencingChecked}}
-		d.Roles = declaration.Roles{Automatic: automatic, MaxAway: 1, ChangeTime: time.Second, GoodputWeight: 1, ChangeWeight: 1}
+		d.Roles = declaration.Roles{Automatic: automatic, MaxUnavailable: 1, ChangeTime: time.Second, GoodputWeight: 1, ChangeWeight: 1}
 		h.apply(d.ToProto())
 		for _, id := range []string{"checks-1", "checks-2", "checks-3", "checks-4"} {
 			h.engine(id)
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -251,12 +251,12 @@
 func testDeclaration(revision, base uint64, author, mark string) *pb.Declaration {
 	d := &declaration.Declaration{Revision: revision, Base: base, Author: author}
 	d.Limits = declaration.Limits{
-		OnceWindow: time.Hour, OnceAnswerBytes: 100, QuarantineTime: time.Hour, QuarantineDeaths: 2,
+		IdempotencyWindow: time.Hour, MaxIdempotentAnswerBytes: 100, QuarantineTime: time.Hour, QuarantineCrashes: 2,
 	}
 	d.Models = []declaration.Model{{Name: "m", Version: "v1"}}
 	d.Profiles = []declaration.Profile{{Name: "p" + mark, Deadline: time.Minute}}
 	d.BackendServers = []declaration.BackendServerRule{{Prefix: "checks", Fencing: declaration.FencingChecked}}
-	d.Roles = declaration.Roles{MaxAway: 1}
+	d.Roles = declaration.Roles{MaxUnavailable: 1}
 	return d.ToProto()
 }
 
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -279,7 +279,7 @@
 
 // expiryDue reports whether an Expire at that time would remove any record.
 func (s *State) expiryDue(nowMS int64) bool {
-	firstKept := (nowMS - s.limits().OnceWindow.Milliseconds()) / claimBucketWidth.Milliseconds()
+	firstKept := (nowMS - s.limits().IdempotencyWindow.Milliseconds()) / claimBucketWidth.Milliseconds()
 	for bucket := range s.claims.buckets {
 		if bucket < firstKept {
 			return true
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -126,9 +126,9 @@
 
 func (s *State) maxAway() int {
 	if s.declared.parsed == nil {
-		return declaration.DefaultMaxAway
+		return declaration.DefaultMaxUnavailable
 	}
-	return orDefault(s.declared.parsed.Roles.MaxAway, declaration.DefaultMaxAway)
+	return orDefault(s.declared.parsed.Roles.MaxUnavailable, declaration.DefaultMaxUnavailable)
 }
 
 // updateOrder moves the unresolved order to its next state. A SENT order never returns to
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -134,7 +134,7 @@
 func (r *Reducer) roleBounds() roles.Bounds {
 	d := r.state.declared.parsed.Roles
 	limit := r.state.maxAway()
-	if loaded := d.MaxAwayLoaded; loaded > 0 {
+	if loaded := d.MaxUnavailableUnderLoad; loaded > 0 {
 		idle := max(loaded, maxChangeNotifications/max(1, len(r.state.entries)))
 		if r.now < r.lead.lastDemandAt+noDemandPeriod {
 			idle = loaded
--- a/internal/control/runner/join.go
+++ b/internal/control/runner/join.go
@@ -18,7 +18,7 @@
 
 // join asks the group to add this replica while it is not on the member list.
 func (r *Runner) join(ctx context.Context) {
-	if !r.cfg.GroupFromControl {
+	if !r.cfg.BootstrapFromControl {
 		return
 	}
 	for {
--- a/internal/control/runner/runner.go
+++ b/internal/control/runner/runner.go
@@ -88,7 +88,7 @@
 		Cluster: cfg.Cluster, ID: id,
 		Sender:       cfg.Name + "/" + uuid.NewString(),
 		OrderPause:   cfg.OrderPause,
-		TargetVoters: cfg.Voters(),
+		TargetVoters: cfg.TargetVoters(),
 		Duties:       dutiesConfig(cfg),
 	}, node, state)
 	r.loop = newLoop(reducer, log, r.metrics.Scope)
@@ -108,7 +108,7 @@
 		return control.DutiesConfig{}
 	}
 	return control.DutiesConfig{
-		Usage: control.UsageConfig{Window: d.UsageWindow, ReportDelay: d.UsageLate}, Lease: d.Lease, Holder: cfg.Name,
+		Usage: control.UsageConfig{Window: d.UsageWindow, ReportDelay: d.UsageReportDelay}, Lease: d.Lease, Holder: cfg.Name,
 		OrderServers: d.OrderServers,
 	}
 }
--- a/internal/control/scale.go
+++ b/internal/control/scale.go
@@ -97,7 +97,7 @@
 		p = autoscaling.NewPlanner()
 		r.lead.scale.planners[s.Name] = p
 	}
-	bounds := autoscaling.Bounds{Min: s.Scale.Min, Max: s.Scale.Max, BootTime: s.Scale.Boot, SpotPrice: s.Scale.SpotPrice}
+	bounds := autoscaling.Bounds{Min: s.Scale.Min, Max: s.Scale.Max, BootTime: s.Scale.BootTime, SpotPrice: s.Scale.SpotPrice}
 	for _, o := range p.Plan(r.now, bounds, withTarget) {
 		r.callDuty(scaleCall(s.Name, o))
 	}
--- a/internal/control/scale_test.go
+++ b/internal/control/scale_test.go
@@ -17,7 +17,7 @@
 		Revision: 1, Profiles: []declaration.Profile{{Name: "p", Class: declaration.ClassUrgent}},
 		Models: []declaration.Model{{Name: "m", Version: declaration.AnyVersion}}, Roles: roles,
 		Services: []declaration.Service{{Name: "lm", Kind: declaration.KindModel, Model: "m", Scale: &declaration.Scale{
-			Min: 1, Max: 60, Boot: 4 * time.Second, SpotPrice: 0.25,
+			Min: 1, Max: 60, BootTime: 4 * time.Second, SpotPrice: 0.25,
 		}}},
 	}
 	h.Reducer.state.applyDeclaration(d.ToProto(), true)
@@ -42,7 +42,7 @@
 // Guards against a new leader that takes the servers that remain after a failure for the
 // target size.
 func TestNewLeaderKeepsScaleTarget(t *testing.T) {
-	h := newScaleHarness(t, 10, declaration.Roles{MaxAway: 1})
+	h := newScaleHarness(t, 10, declaration.Roles{MaxUnavailable: 1})
 	h.advance(4 * time.Second)
 	if n := len(h.Reducer.state.scale); n != 1 {
 		t.Fatalf("%d scale targets, want 1", n)
@@ -70,7 +70,7 @@
 // may change at once, and against half of the fleet changing while there is demand.
 func TestIdleFleetMayChangeAllRoles(t *testing.T) {
 	for _, loaded := range []bool{false, true} {
-		h := newScaleHarness(t, 12, declaration.Roles{MaxAway: 100, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
+		h := newScaleHarness(t, 12, declaration.Roles{MaxUnavailable: 100, MaxUnavailableUnderLoad: 2, PrefillShare: 0.67, EnginesSelfDrain: true})
 		for range 8 {
 			if loaded {
 				h.send(&pb.ReportRequest{ClusterId: cluster, Entry: entryIdentity("e1", "1"), Demand: []*pb.Demand{{Model: "m", PrefillTokens: 1000}}})
@@ -87,7 +87,7 @@
 // Guards against role changes of thousands of engines before any demand, each of which is
 // sent to hundreds of entries and leaves control no time for other work.
 func TestRoleChangesAreBoundedByEntryCount(t *testing.T) {
-	h := newScaleHarness(t, 60, declaration.Roles{MaxAway: 1000, MaxAwayLoaded: 2, PrefillShare: 0.67, EnginesDrain: true})
+	h := newScaleHarness(t, 60, declaration.Roles{MaxUnavailable: 1000, MaxUnavailableUnderLoad: 2, PrefillShare: 0.67, EnginesSelfDrain: true})
 	for i := range 200 {
 		name := fmt.Sprint("e", i)
 		h.Reducer.state.entries[name] = &entry{info: &pb.EntryInfo{Identity: entryIdentity(name, "1")}}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -138,10 +138,10 @@
 	if s.declared.parsed != nil {
 		l = s.declared.parsed.Limits
 	}
-	l.OnceWindow = orDefault(l.OnceWindow, declaration.DefaultOnceWindow)
-	l.OnceAnswerBytes = orDefault(l.OnceAnswerBytes, declaration.DefaultOnceAnswerBytes)
+	l.IdempotencyWindow = orDefault(l.IdempotencyWindow, declaration.DefaultIdempotencyWindow)
+	l.MaxIdempotentAnswerBytes = orDefault(l.MaxIdempotentAnswerBytes, declaration.DefaultMaxIdempotentAnswerBytes)
 	l.QuarantineTime = orDefault(l.QuarantineTime, declaration.DefaultQuarantineTime)
-	l.QuarantineDeaths = orDefault(l.QuarantineDeaths, declaration.DefaultQuarantineDeaths)
+	l.QuarantineCrashes = orDefault(l.QuarantineCrashes, declaration.DefaultQuarantineCrashes)
 	return l
 }
 
--- a/internal/control/suspects.go
+++ b/internal/control/suspects.go
@@ -55,12 +55,12 @@
 	}
 	suspect.LastUnixMs = s.nowMS
 	limits := s.limits()
-	if len(suspect.Deaths) < limits.QuarantineDeaths {
+	if len(suspect.Deaths) < limits.QuarantineCrashes {
 		suspect.Deaths = append(suspect.Deaths, death)
 	}
 	s.bumpViewVersion()
 	suspect.SuspectedVersion = s.index
-	if len(suspect.Deaths) >= limits.QuarantineDeaths {
+	if len(suspect.Deaths) >= limits.QuarantineCrashes {
 		suspect.Version = s.index
 		suspect.ExpiresUnixMs = s.nowMS + limits.QuarantineTime.Milliseconds()
 	}
--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -45,17 +45,17 @@
 
 // Limits holds deployment-wide bounds.
 type Limits struct {
-	// OnceWindow is how long a once-only key is remembered; older keys are
+	// IdempotencyWindow is how long a once-only key is remembered; older keys are
 	// refused. Default 24h.
-	OnceWindow time.Duration `yaml:"once_window" json:"once_window"`
-	// OnceAnswerBytes is the largest once-only answer that is kept. Default 16384.
-	OnceAnswerBytes int `yaml:"once_answer_bytes" json:"once_answer_bytes"`
+	IdempotencyWindow time.Duration `yaml:"once_window" json:"once_window"`
+	// MaxIdempotentAnswerBytes is the largest once-only answer that is kept. Default 16384.
+	MaxIdempotentAnswerBytes int `yaml:"once_answer_bytes" json:"once_answer_bytes"`
 	// QuarantineTime is how long a request that crashed servers is refused.
 	// Default 1h.
 	QuarantineTime time.Duration `yaml:"quarantine_time" json:"quarantine_time"`
-	// QuarantineDeaths is how many deaths with the same suspect make a
+	// QuarantineCrashes is how many deaths with the same suspect make a
 	// quarantine. Default 2.
-	QuarantineDeaths int `yaml:"quarantine_deaths" json:"quarantine_deaths"`
+	QuarantineCrashes int `yaml:"quarantine_deaths" json:"quarantine_deaths"`
 }
 
 // Profile describes how a class of work is served.
@@ -117,13 +117,13 @@
 	// HealthPath is where its servers tell their health, empty where they have
 	// no such path.
 	HealthPath string `yaml:"health_path" json:"health_path,omitempty"`
-	// CacheTokens is the memory of one of its engines, in tokens; 0: not known.
-	CacheTokens uint64 `yaml:"cache_tokens" json:"cache_tokens,omitempty"`
+	// KVCacheTokens is the memory of one of its engines, in tokens; 0: not known.
+	KVCacheTokens uint64 `yaml:"cache_tokens" json:"cache_tokens,omitempty"`
 	// Scale says how many engines may be ordered for it; nil: none.
 	Scale *Scale `yaml:"scale" json:"scale,omitempty"`
-	// MoveRate is how many tokens' KV cache move between two of its engines a
+	// KVTransferRate is how many tokens' KV cache move between two of its engines a
 	// second; 0: not known.
-	MoveRate float64 `yaml:"move_rate" json:"move_rate,omitempty"`
+	KVTransferRate float64 `yaml:"move_rate" json:"move_rate,omitempty"`
 }
 
 // Scale says how many servers of a service may be ordered, and what they cost.
@@ -131,8 +131,8 @@
 	// Min and Max bound the servers of one data centre, of both kinds together.
 	Min int `yaml:"min" json:"min"`
 	Max int `yaml:"max" json:"max"`
-	// Boot is how long after its order a server begins to serve.
-	Boot time.Duration `yaml:"boot" json:"boot"`
+	// BootTime is how long after its order a server begins to serve.
+	BootTime time.Duration `yaml:"boot" json:"boot"`
 	// SpotPrice is the price of a spot server as a part of another one's; 0: there are none.
 	SpotPrice float64 `yaml:"spot_price" json:"spot_price,omitempty"`
 }
@@ -193,14 +193,14 @@
 	// PrefillShare is the share of a model's engines that is kept to prefill only,
 	// as long as Automatic is false; 0: roles stay as the engines have them.
 	PrefillShare float64 `yaml:"prefill_share" json:"prefill_share,omitempty"`
-	// EnginesDrain tells that an engine lets its requests finish before it carries
+	// EnginesSelfDrain tells that an engine lets its requests finish before it carries
 	// out an order. Else control waits until it is idle.
-	EnginesDrain bool `yaml:"engines_drain" json:"engines_drain,omitempty"`
-	// MaxAway is how many engines of one model may be away at once. Default 1.
-	MaxAway int `yaml:"max_away" json:"max_away"`
-	// MaxAwayLoaded takes its place for changes of the system's own while callers ask for
-	// work. Default: MaxAway.
-	MaxAwayLoaded int `yaml:"max_away_loaded" json:"max_away_loaded,omitempty"`
+	EnginesSelfDrain bool `yaml:"engines_drain" json:"engines_drain,omitempty"`
+	// MaxUnavailable is how many engines of one model may be away at once. Default 1.
+	MaxUnavailable int `yaml:"max_away" json:"max_away"`
+	// MaxUnavailableUnderLoad takes its place for changes of the system's own while callers ask for
+	// work. Default: MaxUnavailable.
+	MaxUnavailableUnderLoad int `yaml:"max_away_loaded" json:"max_away_loaded,omitempty"`
 	// MinMixedShare is the smallest share of mixed engines, 0 to 1. Default 0.34.
 	MinMixedShare float64 `yaml:"min_mixed_share" json:"min_mixed_share"`
 	// ChangeTime is how long a change takes an engine away. Default 5s.
--- a/internal/declaration/parse.go
+++ b/internal/declaration/parse.go
@@ -13,17 +13,17 @@
 
 // Defaults of fields that a file leaves out.
 const (
-	DefaultOnceWindow       = 24 * time.Hour
-	DefaultOnceAnswerBytes  = 16384
-	DefaultQuarantineTime   = time.Hour
-	DefaultQuarantineDeaths = 2
-	DefaultShare            = 1.0
-	DefaultRetryBudget      = 0.1
-	DefaultRoleChangePrice  = 10 * time.Second
-	DefaultMaxAway          = 1
-	DefaultMinMixedShare    = 0.34
-	DefaultChangeTime       = 5 * time.Second
-	DefaultWeight           = 1.0
+	DefaultIdempotencyWindow        = 24 * time.Hour
+	DefaultMaxIdempotentAnswerBytes = 16384
+	DefaultQuarantineTime           = time.Hour
+	DefaultQuarantineCrashes        = 2
+	DefaultShare                    = 1.0
+	DefaultRetryBudget              = 0.1
+	DefaultRoleChangePrice          = 10 * time.Second
+	DefaultMaxUnavailable           = 1
+	DefaultMinMixedShare            = 0.34
+	DefaultChangeTime               = 5 * time.Second
+	DefaultWeight                   = 1.0
 )
 
 // Bounds of sizes that a declaration may name.
@@ -52,9 +52,11 @@
 	return d, d.finish(file)
 }
 
-// Finish fills in what a declaration that was made by code leaves out, and
+// SetDefaultsAndCheck fills in what a declaration that was made by code leaves out, and
 // checks it as one that was read from a file; name is for findings.
-func (d *Declaration) Finish(name string) finding.List { return d.finish(yamlfile.Unread(name)) }
+func (d *Declaration) SetDefaultsAndCheck(name string) finding.List {
+	return d.finish(yamlfile.WithoutLines(name))
+}
 
 func (d *Declaration) finish(file *yamlfile.File) finding.List {
 	d.setDefaults()
@@ -64,10 +66,10 @@
 }
 
 func (d *Declaration) setDefaults() {
-	setDefault(&d.Limits.OnceWindow, DefaultOnceWindow)
-	setDefault(&d.Limits.OnceAnswerBytes, DefaultOnceAnswerBytes)
+	setDefault(&d.Limits.IdempotencyWindow, DefaultIdempotencyWindow)
+	setDefault(&d.Limits.MaxIdempotentAnswerBytes, DefaultMaxIdempotentAnswerBytes)
 	setDefault(&d.Limits.QuarantineTime, DefaultQuarantineTime)
-	setDefault(&d.Limits.QuarantineDeaths, DefaultQuarantineDeaths)
+	setDefault(&d.Limits.QuarantineCrashes, DefaultQuarantineCrashes)
 	for i := range d.Profiles {
 		setDefault(&d.Profiles[i].Share, DefaultShare)
 		setDefault(&d.Profiles[i].RetryBudget, DefaultRetryBudget)
@@ -79,8 +81,8 @@
 	for i := range d.Members {
 		setDefault(&d.Members[i].Weight, DefaultWeight)
 	}
-	setDefault(&d.Roles.MaxAway, DefaultMaxAway)
-	setDefault(&d.Roles.MaxAwayLoaded, d.Roles.MaxAway)
+	setDefault(&d.Roles.MaxUnavailable, DefaultMaxUnavailable)
+	setDefault(&d.Roles.MaxUnavailableUnderLoad, d.Roles.MaxUnavailable)
 	setDefault(&d.Roles.ChangeTime, DefaultChangeTime)
 	setDefault(&d.Roles.GoodputWeight, DefaultWeight)
 	setDefault(&d.Roles.ChangeWeight, DefaultWeight)
@@ -148,10 +150,10 @@
 
 func (c *checker) limits() {
 	l := c.d.Limits
-	c.duration("limits.once_window", l.OnceWindow, time.Minute, maxWindow)
+	c.duration("limits.once_window", l.IdempotencyWindow, time.Minute, maxWindow)
 	c.duration("limits.quarantine_time", l.QuarantineTime, time.Second, maxWindow)
-	c.between("limits.once_answer_bytes", float64(l.OnceAnswerBytes), 1, maxAnswerBytes)
-	c.between("limits.quarantine_deaths", float64(l.QuarantineDeaths), 1, 100)
+	c.between("limits.once_answer_bytes", float64(l.MaxIdempotentAnswerBytes), 1, maxAnswerBytes)
+	c.between("limits.quarantine_deaths", float64(l.QuarantineCrashes), 1, 100)
 }
 
 func (c *checker) profiles() {
@@ -217,7 +219,7 @@
 	}
 	c.between(path+".max", float64(s.Max), 1, maxScale)
 	c.between(path+".min", float64(s.Min), 0, float64(s.Max))
-	c.duration(path+".boot", s.Boot, 0, time.Hour)
+	c.duration(path+".boot", s.BootTime, 0, time.Hour)
 	c.between(path+".spot_price", s.SpotPrice, 0, 1000)
 }
 
@@ -326,8 +328,8 @@
 
 func (c *checker) roles() {
 	r := c.d.Roles
-	c.between("roles.max_away", float64(r.MaxAway), 1, 1000)
-	c.between("roles.max_away_loaded", float64(r.MaxAwayLoaded), 1, float64(r.MaxAway))
+	c.between("roles.max_away", float64(r.MaxUnavailable), 1, 1000)
+	c.between("roles.max_away_loaded", float64(r.MaxUnavailableUnderLoad), 1, float64(r.MaxUnavailable))
 	c.between("roles.prefill_share", r.PrefillShare, 0, 1)
 	c.between("roles.min_mixed_share", r.MinMixedShare, 0, 1)
 	c.duration("roles.change_time", r.ChangeTime, 0, time.Hour)
--- a/internal/declaration/reader_test.go
+++ b/internal/declaration/reader_test.go
@@ -14,13 +14,13 @@
 // sample gives a declaration with one object of each kind and that many routes.
 func sample(routes int) *Declaration {
 	d := &Declaration{
-		Revision: 3, Limits: Limits{QuarantineDeaths: 2},
+		Revision: 3, Limits: Limits{QuarantineCrashes: 2},
 		Profiles:       []Profile{{Name: "urgent", Deadline: time.Second}},
 		Models:         []Model{{Name: "m", Version: "1"}},
 		Services:       []Service{{Name: "portal", Kind: KindPlain}},
 		Members:        []Member{{Name: "hotels", CredentialsSHA256: []string{"hash"}}},
 		BackendServers: []BackendServerRule{{Prefix: "checks", Fencing: FencingChecked}},
-		Roles:          Roles{MaxAway: 1},
+		Roles:          Roles{MaxUnavailable: 1},
 	}
 	for i := range routes {
 		d.HostRoutes = append(d.HostRoutes, HostRoute{
@@ -48,7 +48,7 @@
 	}
 	d := sample(10)
 	check("first", d)
-	d.HostRoutes[3].Targets[0].Weight, d.Limits.QuarantineDeaths, d.Roles.MaxAway = 5, 7, 9
+	d.HostRoutes[3].Targets[0].Weight, d.Limits.QuarantineCrashes, d.Roles.MaxUnavailable = 5, 7, 9
 	check("changed", d)
 	d.HostRoutes, d.BackendServers = d.HostRoutes[5:], nil
 	check("taken out", d)
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -60,7 +60,7 @@
 func testDeclaration(revision uint64) *declaration.Declaration {
 	return &declaration.Declaration{
 		Revision: revision,
-		Limits:   declaration.Limits{QuarantineDeaths: 2},
+		Limits:   declaration.Limits{QuarantineCrashes: 2},
 		Profiles: []declaration.Profile{{
 			Name: "counter", Class: declaration.ClassUrgent, FirstToken: 10 * second, Deadline: 60 * second, Share: 1,
 		}},
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -64,7 +64,7 @@
 //
 // Occasionally a request crashes each server that runs it, so that servers die one after the
 // other. After the first crash all requests that ran there are suspects. They are resumed on
-// separate servers, so that the next crash identifies the cause. After QuarantineDeaths crashes
+// separate servers, so that the next crash identifies the cause. After QuarantineCrashes crashes
 // the request gets its final answer. Fingerprints are per member, so that no member can
 // quarantine another one's request.
 type suspectTable struct {
@@ -198,10 +198,10 @@
 }
 
 func (r *Reducer) quarantineDeaths() int {
-	if d := r.view.declaration; d != nil && d.Limits.QuarantineDeaths > 0 {
-		return d.Limits.QuarantineDeaths
+	if d := r.view.declaration; d != nil && d.Limits.QuarantineCrashes > 0 {
+		return d.Limits.QuarantineCrashes
 	}
-	return declaration.DefaultQuarantineDeaths
+	return declaration.DefaultQuarantineCrashes
 }
 
 // serverDied records the crash of a server incarnation once and reports the suspects: all
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -152,7 +152,7 @@
 	}
 	v.cacheTokens = make(map[string]uint64)
 	for _, s := range d.Services {
-		v.cacheTokens[s.Model] = max(v.cacheTokens[s.Model], s.CacheTokens)
+		v.cacheTokens[s.Model] = max(v.cacheTokens[s.Model], s.KVCacheTokens)
 	}
 	v.declaration, v.members, v.routes = d, members, declaration.NewRouteTable(d)
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -243,10 +243,10 @@
 
 // leave runs the planned stop up to the point where nothing is cut off any more.
 func (h *Host) leave(letGo func()) {
-	keep := h.Settings.AnswerKeep + LeaveSpread
+	keep := h.Settings.EntryListTTL + LeaveSpread
 	h.Log.Info("entry leaves", "keep", keep.String(), "requests", h.OpenRequests())
 	h.Post(entry.Stop{
-		AcceptFor: keep, ShortOnlyAfter: h.Settings.AnswerKeep + answerSlack, EndsAfter: keep + h.Settings.StopTimeout,
+		AcceptFor: keep, ShortOnlyAfter: h.Settings.EntryListTTL + answerSlack, EndsAfter: keep + h.Settings.StopTimeout,
 	})
 	time.Sleep(keep)
 	deadline := time.Now().Add(h.Settings.StopTimeout)
--- a/internal/policy/sim.go
+++ b/internal/policy/sim.go
@@ -204,7 +204,7 @@
 		Interval: planEvery, PrefillTokens: m.offeredPrefill, DecodeTokens: m.offeredDecode,
 		Rates: roles.Rates{MixedEfficiency: enginemodel.MixedEfficiency},
 		Bounds: roles.Bounds{
-			MaxUnavailable: m.scenario.Roles.MaxAway, MinMixedShare: m.scenario.Roles.MinMixedShare,
+			MaxUnavailable: m.scenario.Roles.MaxUnavailable, MinMixedShare: m.scenario.Roles.MinMixedShare,
 			ChangeTime: m.scenario.Roles.ChangeTime,
 		},
 		Price: roles.ChangePrice{
--- a/internal/proof/member_test.go
+++ b/internal/proof/member_test.go
@@ -90,7 +90,7 @@
 				deaths++
 			}
 		}
-		if limit := tr.Bed.Declaration.Limits.QuarantineDeaths; deaths == 0 || deaths > limit {
+		if limit := tr.Bed.Declaration.Limits.QuarantineCrashes; deaths == 0 || deaths > limit {
 			t.Errorf("the request killed %d servers, want 1 to %d", deaths, limit)
 		}
 	})
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -17,8 +17,8 @@
 	return decision.EngineSpeed{PrefillRate: set.Engines.PrefillRate, TokenTime: set.Engines.TokenTime}
 }
 
-func resendLimit(r settings.Repeats) *admission.ResendLimit {
-	return &admission.ResendLimit{Ratio: r.Ratio, Constant: r.Extra, Window: r.Window}
+func resendLimit(r settings.ResendLimit) *admission.ResendLimit {
+	return &admission.ResendLimit{Ratio: r.Ratio, Constant: r.Constant, Window: r.Window}
 }
 
 func credentialLimits(c settings.Credentials) entry.CredentialLimits {
@@ -40,7 +40,7 @@
 		Arrived: arrivedAt, FirstTokenBy: arrivedAt + profile.FirstToken, FinishBy: arrivedAt + timeout,
 		SoftFirstTokenDeadline: true, EngineSpeed: engineSpeed(s.host.Settings), Rank: route.Rank,
 	}
-	w.EngineSpeed.KVTransferRate = service.MoveRate
+	w.EngineSpeed.KVTransferRate = service.KVTransferRate
 	if r.Prompt != nil {
 		r.Prompt.addTo(&w)
 	}
--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -39,15 +39,15 @@
 	// Join starts an empty data folder as a replica that waits to be added
 	// with goldcrestctl replica add. Default false.
 	Join bool `yaml:"join"`
-	// GroupFromControl takes the place of ReplicaID and Bootstrap. At FirstStart a
+	// BootstrapFromControl takes the place of ReplicaID and Bootstrap. At FirstStart a
 	// replica whose Address is one of Common.Control is a first member, under an
 	// id made from that address. Any other one, and one whose folder is lost,
 	// draws an id and waits to be added. Default false.
-	GroupFromControl bool `yaml:"group_from_control"`
-	// BearLosses is how many replicas may be lost at once. With it the group mends
+	BootstrapFromControl bool `yaml:"group_from_control"`
+	// ToleratedReplicaLosses is how many replicas may be lost at once. With it the group mends
 	// itself: it keeps twice as many voters and one more, and puts replicas that
 	// wait in the place of lost ones. Default 0: operators change the group.
-	BearLosses int `yaml:"bear_losses"`
+	ToleratedReplicaLosses int `yaml:"bear_losses"`
 	// FirstStart is true only while the whole deployment starts for the first time.
 	FirstStart bool `yaml:"first_start"`
 	// RegistryAddress is where backend servers announce themselves to control
@@ -82,8 +82,8 @@
 	// UsageWindow is the length of the windows that members' usage is reported for, as
 	// Usage.Window of the entries; zero: usage is not reported.
 	UsageWindow time.Duration `yaml:"usage_window"`
-	// UsageLate is how long after its end a window's report is due. Default 10s.
-	UsageLate time.Duration `yaml:"usage_late"`
+	// UsageReportDelay is how long after its end a window's report is due. Default 10s.
+	UsageReportDelay time.Duration `yaml:"usage_late"`
 }
 
 func (d *Duties) check(file *yamlfile.File) {
@@ -95,7 +95,7 @@
 	if d.UsageWindow != 0 {
 		checkDuration(file, "duties.usage_window", d.UsageWindow, minUsageWindow, maxUsageWindow)
 	}
-	checkDuration(file, "duties.usage_late", d.UsageLate, 5*time.Second, maxUsageWindow)
+	checkDuration(file, "duties.usage_late", d.UsageReportDelay, 5*time.Second, maxUsageWindow)
 }
 
 // LoadControl reads and checks a settings file of goldcrest-control.
@@ -104,7 +104,7 @@
 		Common:          Common{Log: Log{Level: "info", SampleRouting: 1}},
 		ElectionTimeout: DefaultElectionTimeout, SnapshotEntries: DefaultSnapshotEntries,
 		OrderPause: DefaultOrderPause,
-		Duties:     Duties{Lease: DefaultDutyLease, UsageLate: DefaultUsageLate},
+		Duties:     Duties{Lease: DefaultDutyLease, UsageReportDelay: DefaultUsageReportDelay},
 	}
 	file := load(path, s)
 	if file == nil {
@@ -118,10 +118,10 @@
 
 func (s *Control) check(file *yamlfile.File) {
 	s.Common.check(file)
-	if s.ReplicaID == 0 && !s.GroupFromControl {
+	if s.ReplicaID == 0 && !s.BootstrapFromControl {
 		file.Add("replica_id", "must be at least 1")
 	}
-	if s.BearLosses < 0 {
+	if s.ToleratedReplicaLosses < 0 {
 		file.Add("bear_losses", "is less than 0")
 	}
 	if s.MaxFiles < 0 {
@@ -145,7 +145,7 @@
 }
 
 func (s *Control) checkBootstrap(file *yamlfile.File) {
-	if s.GroupFromControl {
+	if s.BootstrapFromControl {
 		if len(s.Bootstrap) > 0 || s.ReplicaID != 0 || s.Join {
 			file.Add("group_from_control", "takes the place of bootstrap, replica_id and join; leave them out")
 		}
@@ -186,17 +186,17 @@
 // MaxRegistryConnections bounds those connections; 0: no bound.
 func (s *Control) MaxRegistryConnections() int { return int(registryPart * float64(s.MaxFiles)) }
 
-// Voters is how many voters the group is to have; 0: as operators say.
-func (s *Control) Voters() int {
-	if s.BearLosses == 0 {
+// TargetVoters is how many voters the group is to have; 0: as operators say.
+func (s *Control) TargetVoters() int {
+	if s.ToleratedReplicaLosses == 0 {
 		return 0
 	}
-	return 2*s.BearLosses + 1
+	return 2*s.ToleratedReplicaLosses + 1
 }
 
-// formGroup makes the bootstrap list that GroupFromControl stands for.
+// formGroup makes the bootstrap list that BootstrapFromControl stands for.
 func (s *Control) formGroup() {
-	if !s.GroupFromControl {
+	if !s.BootstrapFromControl {
 		return
 	}
 	if !s.FirstStart || !slices.Contains(s.Control, s.Address) {
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -17,8 +17,8 @@
 	Relay Relay `yaml:"relay"`
 	// Engines is what is assumed of model engines until it has been measured.
 	Engines Engines `yaml:"engines"`
-	// Repeats bounds what is sent again, over all entries.
-	Repeats Repeats `yaml:"repeats"`
+	// ResendLimit bounds what is sent again, over all entries.
+	ResendLimit ResendLimit `yaml:"repeats"`
 	// Credentials says how long callers' credentials count at an entry that control does
 	// not reach.
 	Credentials Credentials `yaml:"credentials"`
@@ -31,9 +31,9 @@
 	MaxBodyBytes int `yaml:"max_body_bytes"`
 	// MaxStreams bounds streams that run or wait at once. Default 2000.
 	MaxStreams int `yaml:"max_streams"`
-	// AnswerKeep is how long callers keep an answer of /v1/entries; a planned
+	// EntryListTTL is how long callers keep an answer of /v1/entries; a planned
 	// stop serves that long before it closes. Default 5s.
-	AnswerKeep time.Duration `yaml:"answer_keep"`
+	EntryListTTL time.Duration `yaml:"answer_keep"`
 	// StopTimeout bounds a planned stop; streams still open are then handed
 	// on to other entries. Default 10m.
 	StopTimeout time.Duration `yaml:"stop_timeout"`
@@ -57,8 +57,8 @@
 	ReadyAddress string `yaml:"ready_address"`
 }
 
-// On tells whether the entry relays.
-func (r Relay) On() bool { return r.CallerAddress != "" }
+// Enabled tells whether the entry relays.
+func (r Relay) Enabled() bool { return r.CallerAddress != "" }
 
 // Engines holds rates that are assumed of engines that report none.
 type Engines struct {
@@ -86,13 +86,13 @@
 	ConfirmedWithin time.Duration `yaml:"confirmed_within"`
 }
 
-// Repeats bounds what a deployment's entries together send beyond the first send
+// ResendLimit bounds what a deployment's entries together send beyond the first send
 // of each request. Zero Window: only the profiles' retry budgets count.
-type Repeats struct {
+type ResendLimit struct {
 	// Ratio is how many such sends a service may get per request for it.
 	Ratio float64 `yaml:"ratio"`
-	// Extra is how many it may get besides in each window.
-	Extra int `yaml:"extra"`
+	// Constant is how many it may get besides in each window.
+	Constant int `yaml:"extra"`
 	// Window is the span over which both are counted.
 	Window time.Duration `yaml:"window"`
 }
@@ -102,7 +102,7 @@
 	s := &Entry{
 		Common:       Common{Log: Log{Level: "info", SampleRouting: 1}},
 		MaxBodyBytes: DefaultMaxBodyBytes, MaxStreams: DefaultMaxStreams,
-		AnswerKeep: DefaultAnswerKeep, StopTimeout: DefaultStopTimeout,
+		EntryListTTL: DefaultEntryListTTL, StopTimeout: DefaultStopTimeout,
 	}
 	file := load(path, s)
 	if file == nil {
@@ -115,17 +115,17 @@
 
 func (s *Entry) check(file *yamlfile.File) {
 	s.Common.check(file)
-	if s.CallerAddress != "" || !s.Relay.On() {
+	if s.CallerAddress != "" || !s.Relay.Enabled() {
 		checkAddress(file, "caller_address", s.CallerAddress)
 	}
-	if s.Relay.On() {
+	if s.Relay.Enabled() {
 		checkAddress(file, "relay.caller_address", s.Relay.CallerAddress)
 		checkAddress(file, "relay.directory_address", s.Relay.DirectoryAddress)
 		checkAddress(file, "relay.ready_address", s.Relay.ReadyAddress)
 	}
 	checkAddress(file, "peer_address", s.PeerAddress)
 	s.Engines.check(file)
-	if s.Repeats.Ratio < 0 || s.Repeats.Extra < 0 || s.Repeats.Window < 0 {
+	if s.ResendLimit.Ratio < 0 || s.ResendLimit.Constant < 0 || s.ResendLimit.Window < 0 {
 		file.Add("repeats", "ratio, extra and window must not be less than 0")
 	}
 	if s.Usage.Window != 0 {
@@ -139,7 +139,7 @@
 	}
 	checkPositive(file, "max_body_bytes", s.MaxBodyBytes)
 	checkPositive(file, "max_streams", s.MaxStreams)
-	checkDuration(file, "answer_keep", s.AnswerKeep, time.Second, time.Hour)
+	checkDuration(file, "answer_keep", s.EntryListTTL, time.Second, time.Hour)
 	checkDuration(file, "stop_timeout", s.StopTimeout, time.Second, 24*time.Hour)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -68,15 +68,15 @@
 
 // Defaults of fields that a file leaves out.
 const (
-	DefaultMaxBodyBytes    = 4 << 20
-	DefaultMaxStreams      = 2000
-	DefaultAnswerKeep      = 5 * time.Second
-	DefaultStopTimeout     = 10 * time.Minute
-	DefaultElectionTimeout = 400 * time.Millisecond
-	DefaultSnapshotEntries = 2000
-	DefaultOrderPause      = 10 * time.Second
-	DefaultDutyLease       = 3 * time.Second
-	DefaultUsageLate       = 10 * time.Second
+	DefaultMaxBodyBytes     = 4 << 20
+	DefaultMaxStreams       = 2000
+	DefaultEntryListTTL     = 5 * time.Second
+	DefaultStopTimeout      = 10 * time.Minute
+	DefaultElectionTimeout  = 400 * time.Millisecond
+	DefaultSnapshotEntries  = 2000
+	DefaultOrderPause       = 10 * time.Second
+	DefaultDutyLease        = 3 * time.Second
+	DefaultUsageReportDelay = 10 * time.Second
 	// DefaultPrefillRate is the middle, in proportion, of the engines known: 5,000 to
 	// 112,000 tokens/s. Ten answers correct it by a factor of four (package speed).
 	DefaultPrefillRate = 30000
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -65,7 +65,7 @@
 	if err := findings.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if s.MaxStreams != DefaultMaxStreams || s.AnswerKeep != DefaultAnswerKeep || s.Common.Log.SampleRouting != 1 {
+	if s.MaxStreams != DefaultMaxStreams || s.EntryListTTL != DefaultEntryListTTL || s.Common.Log.SampleRouting != 1 {
 		t.Fatalf("defaults are missing: %+v", s)
 	}
 }
--- a/internal/testbed/write.go
+++ b/internal/testbed/write.go
@@ -119,7 +119,7 @@
 			p, err := b.newProcess(binEntry, name, where, address, settings.Entry{
 				Common: b.common(name, where), CallerAddress: address, PeerAddress: peer,
 				MaxBodyBytes: settings.DefaultMaxBodyBytes, MaxStreams: settings.DefaultMaxStreams,
-				AnswerKeep: b.options.AnswerKeep, StopTimeout: stopTimeout,
+				EntryListTTL: b.options.AnswerKeep, StopTimeout: stopTimeout,
 			})
 			if err != nil {
 				return err
--- a/internal/traffic/entries.go
+++ b/internal/traffic/entries.go
@@ -51,7 +51,7 @@
 			Weight: math.Round(e.Weight*1000) / 1000,
 		})
 	}
-	keep := s.host.Settings.AnswerKeep.Seconds() * (1 - keepSpread*rand.Float64())
+	keep := s.host.Settings.EntryListTTL.Seconds() * (1 - keepSpread*rand.Float64())
 	answer.KeepSeconds = math.Round(keep*10) / 10
 	s.head(c, outcome.Ran)
 	return c.JSON(answer)
--- a/internal/traffic/harness_test.go
+++ b/internal/traffic/harness_test.go
@@ -156,7 +156,7 @@
 	}
 	return &declaration.Declaration{
 		Revision: 1,
-		Limits:   declaration.Limits{QuarantineDeaths: 2, OnceAnswerBytes: 1000},
+		Limits:   declaration.Limits{QuarantineCrashes: 2, MaxIdempotentAnswerBytes: 1000},
 		Profiles: []declaration.Profile{
 			{Name: "counter", Class: declaration.ClassUrgent, FirstToken: 10 * time.Second, Deadline: time.Minute,
 				MaxPromptTokens: 1000, MaxOutputTokens: 100, Share: 1, RetryBudget: 0.2},
@@ -222,7 +222,7 @@
 			Control: []string{serve(b.t, pb.NewControlServer(b.control))}, Auth: settings.Auth{SharedKeyFile: key},
 		},
 		CallerAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", MaxBodyBytes: 1 << 20, MaxStreams: 100,
-		AnswerKeep: 100 * time.Millisecond, StopTimeout: time.Second,
+		EntryListTTL: 100 * time.Millisecond, StopTimeout: time.Second,
 	}
 	server, err := New(set, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/traffic/once.go
+++ b/internal/traffic/once.go
@@ -115,7 +115,7 @@
 
 func (s *Server) storedAnswer(j *plainJob) *pb.StoredAnswer {
 	a := &pb.StoredAnswer{Status: uint32(j.answer.status), ContentType: j.answer.contentType, Body: j.answer.body}
-	if len(a.Body) > j.call.snap.Declaration.Limits.OnceAnswerBytes {
+	if len(a.Body) > j.call.snap.Declaration.Limits.MaxIdempotentAnswerBytes {
 		a.Body, a.Truncated = nil, true
 	}
 	return a
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -38,9 +38,9 @@
 	return f
 }
 
-// Unread gives a file that was not decoded, for checks of what code has made:
+// WithoutLines gives a file that was not decoded, for checks of what code has made:
 // its findings have no lines.
-func Unread(name string) *File { return &File{name: name, lines: make(map[string]int)} }
+func WithoutLines(name string) *File { return &File{name: name, lines: make(map[string]int)} }
 
 // Add notes a finding at the field with that path, or at its nearest parent
 // that stands in the file.
