--- a/internal/declaration/credential.go
+++ b/internal/declaration/credential.go
@@ -5,7 +5,8 @@
 	"encoding/hex"
 )
 
-// HashCredential gives a bearer token's form in a declaration.
+// HashCredential returns the hex SHA-256 of a bearer token, the form in which a declaration holds
+// it.
 func HashCredential(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const good = `revision: 2
+const validYAML = `revision: 2
 base: 1
 author: ops
 profiles:
@@ -29,38 +29,38 @@
 `
 
 func TestObjectsRoundTrip(t *testing.T) {
-	d, findings := Parse("good.yaml", []byte(good))
+	d, findings := Parse("good.yaml", []byte(validYAML))
 	if err := findings.Err(); err != nil {
 		t.Fatal(err)
 	}
-	wire := d.ToProto()
-	back, err := NewReader().Read(wire.Revision, wire.Objects)
+	encoded := d.ToProto()
+	decoded, err := NewReader().Read(encoded.Revision, encoded.Objects)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back.Base, back.Author = d.Base, d.Author
-	if diff := cmp.Diff(d, back); diff != "" {
+	decoded.Base, decoded.Author = d.Base, d.Author
+	if diff := cmp.Diff(d, decoded); diff != "" {
 		t.Fatalf("declaration (-want +got):\n%s", diff)
 	}
-	if back.ToProto().Digest != wire.Digest {
-		t.Fatal("digest changed in a round trip")
+	if decoded.ToProto().Digest != encoded.Digest {
+		t.Fatal("the digest changed in the round trip")
 	}
 }
 
 func TestParseReportsAllFindingsTogether(t *testing.T) {
-	bad := strings.NewReplacer(
+	invalid := strings.NewReplacer(
 		"first_token: 2s", "first_token: 2",
 		"class: lookup", "class: fast",
 		"profile: counter}", "profile: counters}",
 		"repeat: once", "repeat: never",
 		"9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08", `""`,
 		"base: 1", "base: 2",
-	).Replace(good)
-	_, findings := Parse("bad.yaml", []byte(bad))
+	).Replace(validYAML)
+	_, findings := Parse("bad.yaml", []byte(invalid))
 	var fields []string
 	for _, f := range findings {
 		if f.Line == 0 {
-			t.Errorf("no line: %v", f)
+			t.Errorf("finding without a line: %v", f)
 		}
 		fields = append(fields, f.Field)
 	}
@@ -74,8 +74,8 @@
 }
 
 func TestChecksFencingOfUnknownServersIsFalse(t *testing.T) {
-	d, _ := Parse("good.yaml", []byte(good))
+	d, _ := Parse("good.yaml", []byte(validYAML))
 	if !d.ChecksFencing("engine-1") || d.ChecksFencing("other-1") {
-		t.Fatal("a server without a rule must count as one that ignores tokens")
+		t.Fatal("a server without a rule must be assumed to ignore fencing tokens")
 	}
 }
--- a/internal/declaration/objects.go
+++ b/internal/declaration/objects.go
@@ -15,22 +15,23 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("declaration")
 
-// BadObject is the type of errors about objects that can't be read.
+// BadObject is the type of errors about objects that cannot be decoded.
 var BadObject = Namespace.NewType("bad_object")
 
-// Object kinds; Limits and Roles are one object each, with an empty name.
+// The object kinds. Limits, Roles and the rules of backend servers are one object each, with an
+// empty name.
 const (
-	objectLimits  = "limits"
-	objectProfile = "profile"
-	objectModel   = "model"
-	objectService = "service"
-	objectRoute   = "host_route"
-	objectMember  = "member"
-	objectServers = "backend_servers"
-	objectRoles   = "roles"
+	objectLimits      = "limits"
+	objectProfile     = "profile"
+	objectModel       = "model"
+	objectService     = "service"
+	objectRoute       = "host_route"
+	objectMember      = "member"
+	objectServerRules = "backend_servers"
+	objectRoles       = "roles"
 )
 
-// ToProto gives the declaration as objects in a fixed order, with their digest.
+// ToProto returns the declaration as objects in sorted order, with their digest.
 func (d *Declaration) ToProto() *pb.Declaration {
 	b := &objectBuilder{revision: d.Revision}
 	b.add(objectLimits, "", d.Limits)
@@ -49,7 +50,7 @@
 	for _, m := range d.Members {
 		b.add(objectMember, m.Name, m)
 	}
-	b.add(objectServers, "", d.BackendServers)
+	b.add(objectServerRules, "", d.BackendServers)
 	b.add(objectRoles, "", d.Roles)
 	SortObjects(b.objects)
 	return &pb.Declaration{
@@ -66,21 +67,21 @@
 func (b *objectBuilder) add(kind, name string, content any) {
 	data, err := json.Marshal(content)
 	if err != nil {
-		// Only channels, functions and NaN can't be marshalled; the structs
-		// have none and the checks bound the numbers.
+		// Only channels, functions, NaN and infinities cannot be marshalled. The structs have no such
+		// fields, and the checks bound the numbers.
 		panic("declaration: " + err.Error())
 	}
 	b.objects = append(b.objects, &pb.Object{Kind: kind, Name: name, Content: data, Revision: b.revision})
 }
 
-// SortObjects puts objects into the order that Digest expects.
+// SortObjects sorts objects by kind and name, the order that Digest requires.
 func SortObjects(objects []*pb.Object) {
 	slices.SortFunc(objects, func(a, b *pb.Object) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// Digest is the hex SHA-256 over sorted objects, their revisions left out.
+// Digest returns the hex SHA-256 over sorted objects without their revisions.
 func Digest(objects []*pb.Object) string {
 	hash := sha256.New()
 	for _, o := range objects {
--- a/internal/declaration/parse.go
+++ b/internal/declaration/parse.go
@@ -26,7 +26,7 @@
 	DefaultWeight                   = 1.0
 )
 
-// Bounds of sizes that a declaration may name.
+// Upper limits of values in a declaration.
 const (
 	maxWindow      = 7 * 24 * time.Hour
 	maxAnswerBytes = 1 << 20
@@ -35,8 +35,8 @@
 	sha256HexLen   = 64
 )
 
-// Load reads and checks a declaration file. The declaration is nil when the
-// file can't be read, and must not be used when there are findings.
+// Load reads and checks a declaration file. The declaration is nil if the file cannot be read, and
+// must not be used if there are findings.
 func Load(path string) (*Declaration, finding.List) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -45,23 +45,23 @@
 	return Parse(path, data)
 }
 
-// Parse checks the declaration in data; name is for findings.
+// Parse decodes and checks the declaration in data. Findings carry name as their file name.
 func Parse(name string, data []byte) (*Declaration, finding.List) {
 	d := &Declaration{Roles: Roles{Automatic: true, MinMixedShare: DefaultMinMixedShare}}
 	file := yamlfile.Decode(name, data, d)
-	return d, d.finish(file)
+	return d, d.setDefaultsAndCheckIn(file)
 }
 
-// SetDefaultsAndCheck fills in what a declaration that was made by code leaves out, and
-// checks it as one that was read from a file; name is for findings.
+// SetDefaultsAndCheck sets the defaults of a declaration that was built by code, and checks it like
+// one that was read from a file. Findings carry name as their file name.
 func (d *Declaration) SetDefaultsAndCheck(name string) finding.List {
-	return d.finish(yamlfile.WithoutLines(name))
+	return d.setDefaultsAndCheckIn(yamlfile.WithoutLines(name))
 }
 
-func (d *Declaration) finish(file *yamlfile.File) finding.List {
+func (d *Declaration) setDefaultsAndCheckIn(file *yamlfile.File) finding.List {
 	d.setDefaults()
 	c := &checker{d: d, file: file}
-	c.check()
+	c.checkAll()
 	return file.Findings()
 }
 
@@ -95,40 +95,40 @@
 	}
 }
 
-// checker looks for what is wrong in one declaration.
+// checker checks one declaration and adds the findings to file.
 type checker struct {
 	d    *Declaration
 	file *yamlfile.File
-	// The parts by name, made when first asked for: with hundreds of routes a
-	// search through the lists for each of them takes milliseconds.
+	// These indexes are built on first use. With hundreds of host routes, a linear search for each
+	// of them takes milliseconds.
 	profilesByName map[string]*Profile
 	servicesByName map[string]*Service
-	routedTo       map[string]bool
+	routeTargets   map[string]bool
 }
 
-func (c *checker) profile(name string) *Profile {
+func (c *checker) profileNamed(name string) *Profile {
 	if c.profilesByName == nil {
 		c.profilesByName = byName(c.d.Profiles, func(p *Profile) string { return p.Name })
 	}
 	return c.profilesByName[name]
 }
 
-func (c *checker) service(name string) *Service {
+func (c *checker) serviceNamed(name string) *Service {
 	if c.servicesByName == nil {
 		c.servicesByName = byName(c.d.Services, func(s *Service) string { return s.Name })
 	}
 	return c.servicesByName[name]
 }
 
-func byName[T any](list []T, name func(*T) string) map[string]*T {
+func byName[T any](list []T, nameOf func(*T) string) map[string]*T {
 	m := make(map[string]*T, len(list))
 	for i := range list {
-		m[name(&list[i])] = &list[i]
+		m[nameOf(&list[i])] = &list[i]
 	}
 	return m
 }
 
-func (c *checker) check() {
+func (c *checker) checkAll() {
 	if c.d.Revision == 0 {
 		c.file.Add("revision", "must be at least 1")
 	}
@@ -138,29 +138,29 @@
 	if c.d.Author == "" {
 		c.file.Add("author", "is missing; name who answers for this revision")
 	}
-	c.limits()
-	c.profiles()
-	c.models()
-	c.services()
-	c.hostRoutes()
-	c.members()
-	c.servers()
-	c.roles()
+	c.checkLimits()
+	c.checkProfiles()
+	c.checkModels()
+	c.checkServices()
+	c.checkHostRoutes()
+	c.checkMembers()
+	c.checkServerRules()
+	c.checkRoles()
 }
 
-func (c *checker) limits() {
+func (c *checker) checkLimits() {
 	l := c.d.Limits
-	c.duration("limits.once_window", l.IdempotencyWindow, time.Minute, maxWindow)
-	c.duration("limits.quarantine_time", l.QuarantineTime, time.Second, maxWindow)
-	c.between("limits.once_answer_bytes", float64(l.MaxIdempotentAnswerBytes), 1, maxAnswerBytes)
-	c.between("limits.quarantine_deaths", float64(l.QuarantineCrashes), 1, 100)
+	c.checkDuration("limits.once_window", l.IdempotencyWindow, time.Minute, maxWindow)
+	c.checkDuration("limits.quarantine_time", l.QuarantineTime, time.Second, maxWindow)
+	c.checkRange("limits.once_answer_bytes", float64(l.MaxIdempotentAnswerBytes), 1, maxAnswerBytes)
+	c.checkRange("limits.quarantine_deaths", float64(l.QuarantineCrashes), 1, 100)
 }
 
-func (c *checker) profiles() {
+func (c *checker) checkProfiles() {
 	if len(c.d.Profiles) == 0 {
 		c.file.Add("profiles", "is empty; declare at least one")
 	}
-	names := newNames(c.file, "profiles")
+	names := newUniqueNames(c.file, "profiles")
 	for i, p := range c.d.Profiles {
 		path := names.add(i, p.Name)
 		switch p.Class {
@@ -168,21 +168,21 @@
 		default:
 			c.file.Add(path+".class", "%q is none of urgent, lookup, bulk", p.Class)
 		}
-		c.duration(path+".first_token", p.FirstToken, time.Millisecond, maxDeadline)
-		c.duration(path+".deadline", p.Deadline, time.Millisecond, maxDeadline)
+		c.checkDuration(path+".first_token", p.FirstToken, time.Millisecond, maxDeadline)
+		c.checkDuration(path+".deadline", p.Deadline, time.Millisecond, maxDeadline)
 		if p.FirstToken > p.Deadline {
 			c.file.Add(path+".first_token", "%v is longer than deadline %v", p.FirstToken, p.Deadline)
 		}
-		c.between(path+".max_prompt_tokens", float64(p.MaxPromptTokens), 0, maxTokens)
-		c.between(path+".max_output_tokens", float64(p.MaxOutputTokens), 0, maxTokens)
-		c.between(path+".share", p.Share, 0.001, 1000)
-		c.between(path+".retry_budget", p.RetryBudget, 0, 1)
-		c.duration(path+".role_change_price", p.RoleChangePrice, 0, maxDeadline)
+		c.checkRange(path+".max_prompt_tokens", float64(p.MaxPromptTokens), 0, maxTokens)
+		c.checkRange(path+".max_output_tokens", float64(p.MaxOutputTokens), 0, maxTokens)
+		c.checkRange(path+".share", p.Share, 0.001, 1000)
+		c.checkRange(path+".retry_budget", p.RetryBudget, 0, 1)
+		c.checkDuration(path+".role_change_price", p.RoleChangePrice, 0, maxDeadline)
 	}
 }
 
-func (c *checker) models() {
-	names := newNames(c.file, "models")
+func (c *checker) checkModels() {
+	names := newUniqueNames(c.file, "models")
 	for i, m := range c.d.Models {
 		path := names.add(i, m.Name)
 		if m.Version == "" {
@@ -191,39 +191,39 @@
 	}
 }
 
-func (c *checker) services() {
-	names := newNames(c.file, "services")
+func (c *checker) checkServices() {
+	names := newUniqueNames(c.file, "services")
 	for i, s := range c.d.Services {
 		path := names.add(i, s.Name)
-		if c.profile(s.Profile) == nil && !(s.Profile == "" && c.routed(s.Name)) {
+		if c.profileNamed(s.Profile) == nil && !(s.Profile == "" && c.isRouteTarget(s.Name)) {
 			c.file.Add(path+".profile", "%q is not declared under profiles", s.Profile)
 		}
-		c.scale(path+".scale", s.Scale)
+		c.checkScale(path+".scale", s.Scale)
 		switch s.Kind {
 		case KindModel:
-			c.modelService(path, s)
+			c.checkModelService(path, s)
 		case KindPlain:
-			c.plainService(path, s)
+			c.checkPlainService(path, s)
 		default:
 			c.file.Add(path+".kind", "%q is neither model nor plain", s.Kind)
 		}
 	}
 }
 
-// maxScale bounds the servers of one data centre.
+// maxScale bounds Scale.Max, the servers of a service per data centre.
 const maxScale = 10_000
 
-func (c *checker) scale(path string, s *Scale) {
+func (c *checker) checkScale(path string, s *Scale) {
 	if s == nil {
 		return
 	}
-	c.between(path+".max", float64(s.Max), 1, maxScale)
-	c.between(path+".min", float64(s.Min), 0, float64(s.Max))
-	c.duration(path+".boot", s.BootTime, 0, time.Hour)
-	c.between(path+".spot_price", s.SpotPrice, 0, 1000)
+	c.checkRange(path+".max", float64(s.Max), 1, maxScale)
+	c.checkRange(path+".min", float64(s.Min), 0, float64(s.Max))
+	c.checkDuration(path+".boot", s.BootTime, 0, time.Hour)
+	c.checkRange(path+".spot_price", s.SpotPrice, 0, 1000)
 }
 
-func (c *checker) modelService(path string, s Service) {
+func (c *checker) checkModelService(path string, s Service) {
 	if c.d.Model(s.Model) == nil {
 		c.file.Add(path+".model", "%q is not declared under models", s.Model)
 	}
@@ -235,26 +235,26 @@
 	}
 }
 
-func (c *checker) plainService(path string, s Service) {
+func (c *checker) checkPlainService(path string, s Service) {
 	if s.Model != "" || s.Adapter != "" {
 		c.file.Add(path+".model", "is for model services only")
 	}
-	if len(s.Routes) == 0 && !c.routed(s.Name) {
+	if len(s.Routes) == 0 && !c.isRouteTarget(s.Name) {
 		c.file.Add(path+".routes", "is empty; no call would fit")
 	}
-	seen := make(map[string]int)
+	indexByCall := make(map[string]int)
 	for i, r := range s.Routes {
-		route := path + ".routes[" + strconv.Itoa(i) + "]"
-		c.route(route, r)
+		routePath := path + ".routes[" + strconv.Itoa(i) + "]"
+		c.checkRoute(routePath, r)
 		key := r.Method + " " + r.Path
-		if first, ok := seen[key]; ok {
-			c.file.Add(route, "%s stands at routes[%d] too", key, first)
+		if firstIndex, ok := indexByCall[key]; ok {
+			c.file.Add(routePath, "%s stands at routes[%d] too", key, firstIndex)
 		}
-		seen[key] = i
+		indexByCall[key] = i
 	}
 }
 
-func (c *checker) route(path string, r Route) {
+func (c *checker) checkRoute(path string, r Route) {
 	switch r.Method {
 	case "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE":
 	default:
@@ -268,109 +268,110 @@
 	}
 }
 
-func (c *checker) members() {
-	names := newNames(c.file, "members")
-	holders := make(map[string]string)
+func (c *checker) checkMembers() {
+	names := newUniqueNames(c.file, "members")
+	memberByHash := make(map[string]string)
 	for i := range c.d.Members {
 		m := &c.d.Members[i]
 		path := names.add(i, m.Name)
-		c.credentials(path, m, holders)
-		c.between(path+".weight", m.Weight, 0.001, 1000)
+		c.checkCredentials(path, m, memberByHash)
+		c.checkRange(path+".weight", m.Weight, 0.001, 1000)
 		if m.Rank != nil {
-			c.between(path+".rank", float64(*m.Rank), 0, maxRank)
+			c.checkRange(path+".rank", float64(*m.Rank), 0, maxRank)
 		}
 		for j, s := range m.Services {
-			if c.service(s) == nil {
+			if c.serviceNamed(s) == nil {
 				c.file.Add(path+".services["+strconv.Itoa(j)+"]", "%q is not declared under services", s)
 			}
 		}
 	}
 }
 
-// maxRank bounds ranks, which order work of one engine.
+// maxRank bounds the rank of a member.
 const maxRank = 1000
 
-// credentials checks those of one member; holders are the members of all seen before. No
-// finding names a credential.
-func (c *checker) credentials(path string, m *Member, holders map[string]string) {
+// checkCredentials checks the credentials of one member. memberByHash holds the credentials of the
+// members checked before, and those of this one are added to it. Findings never contain a
+// credential.
+func (c *checker) checkCredentials(path string, m *Member, memberByHash map[string]string) {
 	if m.CredentialSHA256 == "" && m.CredentialsSHA256 == nil {
 		c.file.Add(path+".credential_sha256", "is missing; a member without credential can't call, say so with credentials_sha256: []")
 	}
 	for i, hash := range m.Credentials() {
-		at := path + ".credential_sha256"
+		field := path + ".credential_sha256"
 		if m.CredentialSHA256 == "" || i > 0 {
-			at = path + ".credentials_sha256"
+			field = path + ".credentials_sha256"
 		}
-		if raw, err := hex.DecodeString(hash); err != nil || len(raw) != sha256HexLen/2 {
-			c.file.Add(at, "is not the hex SHA-256 of a token")
+		if hashBytes, err := hex.DecodeString(hash); err != nil || len(hashBytes) != sha256HexLen/2 {
+			c.file.Add(field, "is not the hex SHA-256 of a token")
 			continue
 		}
-		if other, ok := holders[hash]; ok && other != m.Name {
-			c.file.Add(at, "members %s and %s have the same one; each needs its own", other, m.Name)
+		if other, ok := memberByHash[hash]; ok && other != m.Name {
+			c.file.Add(field, "members %s and %s have the same one; each needs its own", other, m.Name)
 		}
-		holders[hash] = m.Name
+		memberByHash[hash] = m.Name
 	}
 }
 
-func (c *checker) servers() {
-	seen := make(map[string]int)
+func (c *checker) checkServerRules() {
+	indexByPrefix := make(map[string]int)
 	for i, r := range c.d.BackendServers {
 		path := "backend_servers[" + strconv.Itoa(i) + "]"
 		if r.Fencing != FencingChecked && r.Fencing != FencingIgnored {
 			c.file.Add(path+".fencing", "%q is neither checked nor ignored", r.Fencing)
 		}
-		if first, ok := seen[r.Prefix]; ok {
-			c.file.Add(path+".prefix", "%q stands at backend_servers[%d] too", r.Prefix, first)
+		if firstIndex, ok := indexByPrefix[r.Prefix]; ok {
+			c.file.Add(path+".prefix", "%q stands at backend_servers[%d] too", r.Prefix, firstIndex)
 		}
-		seen[r.Prefix] = i
+		indexByPrefix[r.Prefix] = i
 	}
 }
 
-func (c *checker) roles() {
+func (c *checker) checkRoles() {
 	r := c.d.Roles
-	c.between("roles.max_away", float64(r.MaxUnavailable), 1, 1000)
-	c.between("roles.max_away_loaded", float64(r.MaxUnavailableUnderLoad), 1, float64(r.MaxUnavailable))
-	c.between("roles.prefill_share", r.PrefillShare, 0, 1)
-	c.between("roles.min_mixed_share", r.MinMixedShare, 0, 1)
-	c.duration("roles.change_time", r.ChangeTime, 0, time.Hour)
-	c.between("roles.goodput_weight", r.GoodputWeight, 0.001, 1000)
-	c.between("roles.change_weight", r.ChangeWeight, 0.001, 1000)
+	c.checkRange("roles.max_away", float64(r.MaxUnavailable), 1, 1000)
+	c.checkRange("roles.max_away_loaded", float64(r.MaxUnavailableUnderLoad), 1, float64(r.MaxUnavailable))
+	c.checkRange("roles.prefill_share", r.PrefillShare, 0, 1)
+	c.checkRange("roles.min_mixed_share", r.MinMixedShare, 0, 1)
+	c.checkDuration("roles.change_time", r.ChangeTime, 0, time.Hour)
+	c.checkRange("roles.goodput_weight", r.GoodputWeight, 0.001, 1000)
+	c.checkRange("roles.change_weight", r.ChangeWeight, 0.001, 1000)
 }
 
-func (c *checker) duration(path string, d, low, high time.Duration) {
+func (c *checker) checkDuration(path string, d, low, high time.Duration) {
 	if d < low || d > high {
 		c.file.Add(path, "%v is not between %v and %v", d, low, high)
 	}
 }
 
-func (c *checker) between(path string, v, low, high float64) {
+func (c *checker) checkRange(path string, v, low, high float64) {
 	if v < low || v > high {
 		c.file.Add(path, "%v is not between %v and %v", v, low, high)
 	}
 }
 
-// names notices names that are missing or stand twice in a list.
-type names struct {
-	file *yamlfile.File
-	list string
-	seen map[string]int
+// uniqueNames checks that the elements of a list have names, and that no name is used twice.
+type uniqueNames struct {
+	file        *yamlfile.File
+	list        string
+	indexByName map[string]int
 }
 
-func newNames(file *yamlfile.File, list string) *names {
-	return &names{file: file, list: list, seen: make(map[string]int)}
+func newUniqueNames(file *yamlfile.File, list string) *uniqueNames {
+	return &uniqueNames{file: file, list: list, indexByName: make(map[string]int)}
 }
 
-// add checks the name of element i and gives the element's path.
-func (n *names) add(i int, name string) string {
+// add checks the name of element i and returns the path of the element.
+func (n *uniqueNames) add(i int, name string) string {
 	path := n.list + "[" + strconv.Itoa(i) + "]"
-	first, doubled := n.seen[name]
+	firstIndex, duplicate := n.indexByName[name]
 	switch {
 	case name == "":
 		n.file.Add(path+".name", "is missing")
-	case doubled:
-		n.file.Add(path+".name", "%q stands at %s[%d] too", name, n.list, first)
+	case duplicate:
+		n.file.Add(path+".name", "%q stands at %s[%d] too", name, n.list, firstIndex)
 	default:
-		n.seen[name] = i
+		n.indexByName[name] = i
 	}
 	return path
 }
--- a/internal/declaration/reader.go
+++ b/internal/declaration/reader.go
@@ -7,95 +7,96 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Reader reads declarations that follow each other. What a declaration shares with the last
-// one that was read is not read again.
+// Reader decodes successive declarations. Objects that are unchanged since the last declaration are
+// not decoded again.
 //
-// Failure: one route of thousands changes, and each process stands still for the time that
-// it takes to read them all, a fifth of a second on a small VM, while callers wait.
+// Without this, a change of one route among thousands makes each process decode all of them. That
+// takes a fifth of a second on a small VM, during which callers wait.
 type Reader struct {
-	known map[objectKey]readObject
+	decoded map[objectKey]decodedObject
 }
 
 type objectKey struct{ kind, name string }
 
-// readObject is an object's content and what was read from it, which is never changed.
-type readObject struct {
+// decodedObject holds an object's content and its decoded value, which is shared by declarations
+// and must not be modified.
+type decodedObject struct {
 	content []byte
-	item    any
+	value   any
 }
 
-// NewReader gives a reader that has read nothing.
+// NewReader returns a Reader that has no decoded objects yet.
 func NewReader() *Reader { return &Reader{} }
 
-// Read puts a declaration together. Errors: BadObject; what was known stays then.
+// Read decodes the objects of a declaration. On a BadObject error the reader is unchanged.
 func (r *Reader) Read(revision uint64, objects []*pb.Object) (*Declaration, error) {
 	d := &Declaration{Revision: revision}
-	next := make(map[objectKey]readObject, len(objects))
+	next := make(map[objectKey]decodedObject, len(objects))
 	for _, o := range objects {
 		key := objectKey{o.GetKind(), o.GetName()}
-		known, ok := r.known[key]
-		if !ok || !bytes.Equal(known.content, o.GetContent()) {
-			item, err := readItem(o)
+		object, ok := r.decoded[key]
+		if !ok || !bytes.Equal(object.content, o.GetContent()) {
+			value, err := decodeObject(o)
 			if err != nil {
 				return nil, BadObject.Wrap(err, "%s %q", o.GetKind(), o.GetName())
 			}
-			known = readObject{content: o.GetContent(), item: item}
+			object = decodedObject{content: o.GetContent(), value: value}
 		}
-		next[key] = known
-		d.take(known.item)
+		next[key] = object
+		d.addValue(object.value)
 	}
-	r.known = next
+	r.decoded = next
 	return d, nil
 }
 
-// readItem reads one object's content.
-func readItem(o *pb.Object) (any, error) {
+// decodeObject decodes the content of one object.
+func decodeObject(o *pb.Object) (any, error) {
 	switch o.GetKind() {
 	case objectLimits:
-		return readAs[Limits](o)
+		return decodeAs[Limits](o)
 	case objectProfile:
-		return readAs[Profile](o)
+		return decodeAs[Profile](o)
 	case objectModel:
-		return readAs[Model](o)
+		return decodeAs[Model](o)
 	case objectService:
-		return readAs[Service](o)
+		return decodeAs[Service](o)
 	case objectRoute:
-		return readAs[HostRoute](o)
+		return decodeAs[HostRoute](o)
 	case objectMember:
-		return readAs[Member](o)
-	case objectServers:
-		return readAs[[]BackendServerRule](o)
+		return decodeAs[Member](o)
+	case objectServerRules:
+		return decodeAs[[]BackendServerRule](o)
 	case objectRoles:
-		return readAs[Roles](o)
+		return decodeAs[Roles](o)
 	default:
 		return nil, BadObject.New("unknown kind")
 	}
 }
 
-func readAs[T any](o *pb.Object) (any, error) {
-	var item T
-	err := json.Unmarshal(o.GetContent(), &item)
-	return item, err
+func decodeAs[T any](o *pb.Object) (any, error) {
+	var value T
+	err := json.Unmarshal(o.GetContent(), &value)
+	return value, err
 }
 
-// take adds what was read from an object.
-func (d *Declaration) take(item any) {
-	switch item := item.(type) {
+// addValue adds the decoded value of an object to the declaration.
+func (d *Declaration) addValue(value any) {
+	switch value := value.(type) {
 	case Limits:
-		d.Limits = item
+		d.Limits = value
 	case Profile:
-		d.Profiles = append(d.Profiles, item)
+		d.Profiles = append(d.Profiles, value)
 	case Model:
-		d.Models = append(d.Models, item)
+		d.Models = append(d.Models, value)
 	case Service:
-		d.Services = append(d.Services, item)
+		d.Services = append(d.Services, value)
 	case HostRoute:
-		d.HostRoutes = append(d.HostRoutes, item)
+		d.HostRoutes = append(d.HostRoutes, value)
 	case Member:
-		d.Members = append(d.Members, item)
+		d.Members = append(d.Members, value)
 	case []BackendServerRule:
-		d.BackendServers = item
+		d.BackendServers = value
 	case Roles:
-		d.Roles = item
+		d.Roles = value
 	}
 }
--- a/internal/declaration/reader_test.go
+++ b/internal/declaration/reader_test.go
@@ -11,8 +11,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// sample gives a declaration with one object of each kind and that many routes.
-func sample(routes int) *Declaration {
+// sampleDeclaration returns a declaration with one object of each kind and that many host routes.
+func sampleDeclaration(routes int) *Declaration {
 	d := &Declaration{
 		Revision: 3, Limits: Limits{QuarantineCrashes: 2},
 		Profiles:       []Profile{{Name: "urgent", Deadline: time.Second}},
@@ -31,10 +31,11 @@
 	return d
 }
 
-// Guards against a reader that gives something of an earlier declaration: what was changed, taken out or put back.
+// Guards against a Reader that returns outdated values after objects have been changed, removed or
+// added again.
 func TestReaderFollowsEachChange(t *testing.T) {
 	r := NewReader()
-	check := func(what string, d *Declaration) {
+	check := func(step string, d *Declaration) {
 		t.Helper()
 		objects := d.ToProto().GetObjects()
 		got, err := r.Read(d.Revision, objects)
@@ -43,39 +44,39 @@
 		}
 		want, err := NewReader().Read(d.Revision, objects)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, want %+v", what, got, want)
+			t.Errorf("%s: %+v, want %+v", step, got, want)
 		}
 	}
-	d := sample(10)
+	d := sampleDeclaration(10)
 	check("first", d)
 	d.HostRoutes[3].Targets[0].Weight, d.Limits.QuarantineCrashes, d.Roles.MaxUnavailable = 5, 7, 9
 	check("changed", d)
 	d.HostRoutes, d.BackendServers = d.HostRoutes[5:], nil
 	check("taken out", d)
-	check("put back", sample(10))
+	check("put back", sampleDeclaration(10))
 }
 
-// Guards against a declaration that can't be read and is kept in part.
-func TestUnreadableDeclarationLeavesTheReader(t *testing.T) {
-	r, objects := NewReader(), sample(3).ToProto().GetObjects()
+// Guards against a Reader that keeps a part of a declaration that cannot be decoded.
+func TestUndecodableDeclarationLeavesReaderUnchanged(t *testing.T) {
+	r, objects := NewReader(), sampleDeclaration(3).ToProto().GetObjects()
 	if _, err := r.Read(3, objects); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []*pb.Object{{Kind: "none"}, {Kind: objectRoute, Name: "x", Content: []byte("{")}} {
 		if _, err := r.Read(4, append([]*pb.Object{bad}, objects...)); err == nil {
-			t.Errorf("read %v", bad)
+			t.Errorf("decoded %v", bad)
 		}
 	}
 	if got, err := r.Read(3, objects); err != nil || len(got.HostRoutes) != 3 {
-		t.Errorf("afterwards %v, %v", got, err)
+		t.Errorf("after the error: %v, %v", got, err)
 	}
 }
 
-// Guards against a change of one route that costs as much as reading thousands.
-func TestOneChangeOfManyIsReadAlone(t *testing.T) {
+// Guards against a change of one route that costs as much as decoding thousands of them.
+func TestOnlyChangedObjectIsDecoded(t *testing.T) {
 	r := NewReader()
-	objects := sample(2000).ToProto().GetObjects()
-	first := testing.AllocsPerRun(1, func() { _, _ = NewReader().Read(3, objects) })
+	objects := sampleDeclaration(2000).ToProto().GetObjects()
+	allAllocs := testing.AllocsPerRun(1, func() { _, _ = NewReader().Read(3, objects) })
 	if _, err := r.Read(3, objects); err != nil {
 		t.Fatal(err)
 	}
@@ -86,8 +87,8 @@
 			break
 		}
 	}
-	next := testing.AllocsPerRun(1, func() { _, _ = r.Read(4, changed) })
-	if next > first/20 {
-		t.Errorf("%v allocations for one change, %v for all objects", next, first)
+	changeAllocs := testing.AllocsPerRun(1, func() { _, _ = r.Read(4, changed) })
+	if changeAllocs > allAllocs/20 {
+		t.Errorf("%v allocations for one change, %v for all objects", changeAllocs, allAllocs)
 	}
 }
