--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -11,11 +11,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/yamlfile"
 )
 
-// ControlReplica is one replica of the group as settings bootstrap it.
+// ControlReplica is one replica of a new control group, as listed in Control.Bootstrap.
 type ControlReplica struct {
 	// ID is the replica id, at least 1.
 	ID uint64 `yaml:"id"`
-	// Address is where its services listen, host:port.
+	// Address is the address of its services, host:port.
 	Address    string `yaml:"address"`
 	Region     string `yaml:"region"`
 	DataCentre string `yaml:"data_centre"`
@@ -24,65 +24,67 @@
 // Control holds the settings of goldcrest-control.
 type Control struct {
 	Common `yaml:"common"`
-	// ReplicaID is this replica's id, at least 1; a new VM takes a new id.
+	// ReplicaID is this replica's id, at least 1. A new VM needs a new id.
 	ReplicaID uint64 `yaml:"replica_id"`
-	// Address is where other processes reach its services, host:port.
+	// Address is the address at which other processes reach its services, host:port.
 	Address string `yaml:"address"`
-	// ListenAddress is where they listen, host:port, if that is not Address: where an
-	// address translation or a forwarder stands before the VM. Default: Address.
+	// ListenAddress is the address to listen on, host:port, if it differs from Address because of
+	// address translation or a forwarder in front of the VM. Default: Address.
 	ListenAddress string `yaml:"listen_address"`
-	// DataDir is the data folder on the VM's disk.
+	// DataDir is the data directory on the VM's disk.
 	DataDir string `yaml:"data_dir"`
-	// Bootstrap lists the replicas of a new cluster. It counts only while the
-	// data folder is empty and Join is false.
+	// Bootstrap lists the replicas of a new group. It is used only if the data directory is empty
+	// and Join is false.
 	Bootstrap []ControlReplica `yaml:"bootstrap"`
-	// Join starts an empty data folder as a replica that waits to be added
-	// with goldcrestctl replica add. Default false.
+	// Join makes a replica with an empty data directory wait until it is added with goldcrestctl
+	// replica add. Default false.
 	Join bool `yaml:"join"`
-	// BootstrapFromControl takes the place of ReplicaID and Bootstrap. At FirstStart a
-	// replica whose Address is one of Common.Control is a first member, under an
-	// id made from that address. Any other one, and one whose folder is lost,
-	// draws an id and waits to be added. Default false.
+	// BootstrapFromControl replaces ReplicaID and Bootstrap. With FirstStart, a replica whose
+	// Address is in Common.Control is an initial member, with an id derived from that address. Any
+	// other replica, and one whose data directory is lost, generates a random id and waits to be
+	// added. Default false.
 	BootstrapFromControl bool `yaml:"group_from_control"`
-	// ToleratedReplicaLosses is how many replicas may be lost at once. With it the group mends
-	// itself: it keeps twice as many voters and one more, and puts replicas that
-	// wait in the place of lost ones. Default 0: operators change the group.
+	// ToleratedReplicaLosses is how many replicas may be lost at once. If it is set, the group
+	// repairs itself: it keeps twice as many voters plus one, and replaces lost replicas by ones
+	// that wait to be added. Default 0: operators change the group.
 	ToleratedReplicaLosses int `yaml:"bear_losses"`
-	// FirstStart is true only while the whole deployment starts for the first time.
+	// FirstStart is true only during the first start of the whole deployment.
 	FirstStart bool `yaml:"first_start"`
-	// RegistryAddress is where backend servers announce themselves to control
-	// and operators of a relayed deployment call, host:port; empty for none.
+	// RegistryAddress is the listen address, host:port, for announcements of backend servers and
+	// for calls of the operators of a deployment with host routes; empty for none.
 	RegistryAddress string `yaml:"registry_address"`
-	// MaxFiles is how many file descriptors the process may have; the connections of backend
-	// servers take a part of them. Default 0: not known.
+	// MaxFiles is the process's limit of file descriptors, from which the limit on connections of
+	// backend servers is computed. Default 0: unknown.
 	MaxFiles int `yaml:"max_files"`
-	// Roles bounds role changes where an operator's document says nothing of them.
+	// Roles configures role changes where the operator's document does not.
 	Roles declaration.Roles `yaml:"roles"`
-	// Duties are calls outside of the deployment that one replica at a time makes.
+	// Duties configures the calls to external services that one replica at a time makes.
 	Duties Duties `yaml:"duties"`
-	// ElectionTimeout: a follower that hears no leader for one to two times
-	// this long stands for election. Default 400ms.
+	// ElectionTimeout is the base of the randomized election timeout: a follower without contact to
+	// a leader for one to two times as long starts an election. Default 400ms.
 	ElectionTimeout time.Duration `yaml:"election_timeout"`
-	// SnapshotEntries is how many log entries are applied between snapshots.
+	// SnapshotEntries is the number of log entries that are applied between snapshots.
 	// Default 2000.
 	SnapshotEntries int `yaml:"snapshot_entries"`
-	// OrderPause is the longest pause of a control process that is stated for
-	// engines that ignore fencing tokens. Default 10s.
+	// OrderPause is the longest pause of a control process that is assumed for engines that ignore
+	// fencing tokens: an order from an earlier leader may still arrive for that long. Default 10s.
 	OrderPause time.Duration `yaml:"order_pause"`
 }
 
-// Duties are calls outside of the deployment that one replica at a time makes.
+// Duties configures the calls to external services that one replica at a time makes for the
+// deployment.
 type Duties struct {
-	// Address is where they go, host:port; empty: there are none.
+	// Address is the address of the external service, host:port; empty for no calls.
 	Address string `yaml:"address"`
-	// Lease is how long a new caller waits for the last call of the one before. Default 3s.
+	// Lease is how long a new leader waits before its first call, so that the last call of the
+	// previous leader can no longer take effect. Default 3s.
 	Lease time.Duration `yaml:"lease"`
-	// OrderServers lets servers be ordered there, of the services that are declared so.
+	// OrderServers enables ordering servers for the services that declare autoscaling.
 	OrderServers bool `yaml:"order_servers"`
-	// UsageWindow is the length of the windows that members' usage is reported for, as
+	// UsageWindow is the length of the windows for which members' usage is reported, the same as
 	// Usage.Window of the entries; zero: usage is not reported.
 	UsageWindow time.Duration `yaml:"usage_window"`
-	// UsageReportDelay is how long after its end a window's report is due. Default 10s.
+	// UsageReportDelay is the time from the end of a window until its report is due. Default 10s.
 	UsageReportDelay time.Duration `yaml:"usage_late"`
 }
 
@@ -98,7 +100,8 @@
 	checkDuration(file, "duties.usage_late", d.UsageReportDelay, 5*time.Second, maxUsageWindow)
 }
 
-// LoadControl reads and checks a settings file of goldcrest-control.
+// LoadControl reads and checks a settings file of goldcrest-control. The settings are nil if the
+// file cannot be read, and must not be used if there are findings.
 func LoadControl(path string) (*Control, finding.List) {
 	s := &Control{
 		Common:          Common{Log: Log{Level: "info", SampleRouting: 1}},
@@ -106,13 +109,13 @@
 		OrderPause: DefaultOrderPause,
 		Duties:     Duties{Lease: DefaultDutyLease, UsageReportDelay: DefaultUsageReportDelay},
 	}
-	file := load(path, s)
+	file := decodeFile(path, s)
 	if file == nil {
-		return nil, unreadable(path)
+		return nil, unreadableFile(path)
 	}
 	s.check(file)
-	s.usePort()
-	s.formGroup()
+	s.applyControlPort()
+	s.deriveBootstrap()
 	return s, file.Findings()
 }
 
@@ -135,7 +138,7 @@
 		checkAddress(file, "listen_address", s.ListenAddress)
 	}
 	if s.DataDir == "" {
-		file.Add("data_dir", "is missing; name a folder on the VM's disk")
+		file.Add("data_dir", "is missing; set a directory on the VM's disk")
 	}
 	s.checkBootstrap(file)
 	s.Duties.check(file)
@@ -147,46 +150,48 @@
 func (s *Control) checkBootstrap(file *yamlfile.File) {
 	if s.BootstrapFromControl {
 		if len(s.Bootstrap) > 0 || s.ReplicaID != 0 || s.Join {
-			file.Add("group_from_control", "takes the place of bootstrap, replica_id and join; leave them out")
+			file.Add("group_from_control", "replaces bootstrap, replica_id and join; leave them out")
 		}
 		return
 	}
 	if len(s.Bootstrap) == 0 && !s.Join {
 		file.Add("bootstrap", "is empty: no quorum; list the replicas or set join: true")
 	}
-	ids := make(map[uint64]int)
-	addresses := make(map[string]int)
+	indexByID := make(map[uint64]int)
+	indexByAddress := make(map[string]int)
 	for i, r := range s.Bootstrap {
-		path := elem("bootstrap", i)
+		path := elementPath("bootstrap", i)
 		if r.ID == 0 {
 			file.Add(path+".id", "must be at least 1")
 		}
 		checkAddress(file, path+".address", r.Address)
-		if first, ok := ids[r.ID]; ok {
-			file.Add(path+".id", "%d stands at bootstrap[%d] too", r.ID, first)
+		if firstIndex, ok := indexByID[r.ID]; ok {
+			file.Add(path+".id", "%d is also the id of bootstrap[%d]", r.ID, firstIndex)
 		}
-		if first, ok := addresses[r.Address]; ok {
-			file.Add(path+".address", "%s stands at bootstrap[%d] too", r.Address, first)
+		if firstIndex, ok := indexByAddress[r.Address]; ok {
+			file.Add(path+".address", "%s is also the address of bootstrap[%d]", r.Address, firstIndex)
 		}
-		ids[r.ID], addresses[r.Address] = i, i
+		indexByID[r.ID], indexByAddress[r.Address] = i, i
 	}
-	if i, ok := ids[s.ReplicaID]; ok && s.Bootstrap[i].Address != s.Address {
+	if i, ok := indexByID[s.ReplicaID]; ok && s.Bootstrap[i].Address != s.Address {
 		file.Add("address", "is %s, but bootstrap names %s for replica %d",
 			s.Address, s.Bootstrap[i].Address, s.ReplicaID)
 	}
-	if _, ok := ids[s.ReplicaID]; !ok && !s.Join && len(s.Bootstrap) > 0 {
+	if _, ok := indexByID[s.ReplicaID]; !ok && !s.Join && len(s.Bootstrap) > 0 {
 		file.Add("replica_id", "%d is not in bootstrap; add it there or set join: true", s.ReplicaID)
 	}
 }
 
-// registryPart is the part of the descriptors that connections of backend servers and operators
-// take: the rest is for other replicas, entries and the disk.
-const registryPart = 0.6
+// registryConnectionShare is the share of the file descriptors that connections of backend servers
+// and operators may use. The rest is reserved for other replicas, entries and the disk.
+const registryConnectionShare = 0.6
 
-// MaxRegistryConnections bounds those connections; 0: no bound.
-func (s *Control) MaxRegistryConnections() int { return int(registryPart * float64(s.MaxFiles)) }
+// MaxRegistryConnections returns the limit on connections at RegistryAddress; 0: no limit.
+func (s *Control) MaxRegistryConnections() int {
+	return int(registryConnectionShare * float64(s.MaxFiles))
+}
 
-// TargetVoters is how many voters the group is to have; 0: as operators say.
+// TargetVoters returns the number of voters that the group maintains; 0: operators decide.
 func (s *Control) TargetVoters() int {
 	if s.ToleratedReplicaLosses == 0 {
 		return 0
@@ -194,8 +199,8 @@
 	return 2*s.ToleratedReplicaLosses + 1
 }
 
-// formGroup makes the bootstrap list that BootstrapFromControl stands for.
-func (s *Control) formGroup() {
+// deriveBootstrap sets Join, or Bootstrap and ReplicaID, as BootstrapFromControl describes.
+func (s *Control) deriveBootstrap() {
 	if !s.BootstrapFromControl {
 		return
 	}
@@ -204,10 +209,10 @@
 		return
 	}
 	for _, a := range s.Control {
-		s.Bootstrap = append(s.Bootstrap, ControlReplica{ID: replicaIDOf(a), Address: a, Region: s.Region})
+		s.Bootstrap = append(s.Bootstrap, ControlReplica{ID: replicaIDFromAddress(a), Address: a, Region: s.Region})
 	}
-	s.ReplicaID = replicaIDOf(s.Address)
+	s.ReplicaID = replicaIDFromAddress(s.Address)
 }
 
-// replicaIDOf gives the id that a first member has by its address.
-func replicaIDOf(address string) uint64 { return max(1, xxhash.Sum64String(address)) }
+// replicaIDFromAddress returns the id of the initial member with that address.
+func replicaIDFromAddress(address string) uint64 { return max(1, xxhash.Sum64String(address)) }
--- a/internal/settings/elem.go
+++ b/internal/settings/elem.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// elem is the path of element i of the list at path.
-func elem(path string, i int) string {
+// elementPath returns the path of element i of the list at path.
+func elementPath(path string, i int) string {
 	return path + "[" + strconv.Itoa(i) + "]"
 }
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -10,106 +10,107 @@
 // Entry holds the settings of goldcrest-entry.
 type Entry struct {
 	Common `yaml:"common"`
-	// CallerAddress is where callers and backend servers connect, host:port. It
-	// may be empty where Relay has one.
+	// CallerAddress is the listen address for callers and backend servers, host:port. It may be
+	// empty if Relay is enabled.
 	CallerAddress string `yaml:"caller_address"`
-	// Relay serves host routes; left out, it is off.
+	// Relay configures the serving of host routes, which is disabled by default.
 	Relay Relay `yaml:"relay"`
-	// Engines is what is assumed of model engines until it has been measured.
+	// Engines holds the speeds that are assumed of model engines before any measurement.
 	Engines Engines `yaml:"engines"`
-	// ResendLimit bounds what is sent again, over all entries.
+	// ResendLimit limits resends of requests over all entries together.
 	ResendLimit ResendLimit `yaml:"repeats"`
-	// Credentials says how long callers' credentials count at an entry that control does
-	// not reach.
+	// Credentials configures how long callers' credentials stay valid at an entry without contact to
+	// control.
 	Credentials Credentials `yaml:"credentials"`
-	// Usage says how members' requests are counted.
+	// Usage configures the accounting of members' requests.
 	Usage Usage `yaml:"usage"`
-	// PeerAddress is where other entries connect and metrics are served.
+	// PeerAddress is the listen address for other entries and for metrics.
 	PeerAddress string `yaml:"peer_address"`
-	// MaxBodyBytes bounds a caller's body; a larger one is answered 413.
+	// MaxBodyBytes is the size limit of a request body; a larger one gets status 413.
 	// Default 4194304.
 	MaxBodyBytes int `yaml:"max_body_bytes"`
-	// MaxStreams bounds streams that run or wait at once. Default 2000.
+	// MaxStreams is the limit of concurrent streams, running or waiting. Default 2000.
 	MaxStreams int `yaml:"max_streams"`
-	// EntryListTTL is how long callers keep an answer of /v1/entries; a planned
-	// stop serves that long before it closes. Default 5s.
+	// EntryListTTL is how long callers cache an answer of /v1/entries. A planned shutdown keeps
+	// accepting requests for that long. Default 5s.
 	EntryListTTL time.Duration `yaml:"answer_keep"`
-	// StopTimeout bounds a planned stop; streams still open are then handed
-	// on to other entries. Default 10m.
+	// StopTimeout limits the duration of a planned shutdown. Streams that are open at its end are
+	// handed over to other entries. Default 10m.
 	StopTimeout time.Duration `yaml:"stop_timeout"`
 }
 
-// Bounds of the length of a usage window: reports come every two seconds, and an hour is
-// what invoices tell apart.
+// Bounds of the length of a usage window. Usage is reported to control every two seconds; invoices
+// have a resolution of an hour.
 const (
 	minUsageWindow = time.Second
 	maxUsageWindow = time.Hour
 )
 
-// Relay is where an entry serves callers whose requests are passed on as they
-// are, by the declaration's host routes.
+// Relay holds the listen addresses of an entry that forwards requests unchanged by the declaration's
+// host routes.
 type Relay struct {
-	// CallerAddress is where such callers connect, host:port.
+	// CallerAddress is the listen address for callers of host routes, host:port.
 	CallerAddress string `yaml:"caller_address"`
-	// DirectoryAddress is where they ask which entries to use.
+	// DirectoryAddress is the listen address at which these callers query which entries to use.
 	DirectoryAddress string `yaml:"directory_address"`
-	// ReadyAddress is where the entry tells whether it is ready.
+	// ReadyAddress is the listen address of the readiness check.
 	ReadyAddress string `yaml:"ready_address"`
 }
 
-// Enabled tells whether the entry relays.
+// Enabled reports whether the entry serves host routes.
 func (r Relay) Enabled() bool { return r.CallerAddress != "" }
 
-// Engines holds rates that are assumed of engines that report none.
+// Engines holds the speeds that are assumed of engines that report none.
 type Engines struct {
-	// PrefillRate is in tokens a second. It counts until engines have answered.
-	// Default 30000.
+	// PrefillRate is the prefill rate in tokens per second. It is used until answers of engines
+	// allow an estimate. Default 30000.
 	PrefillRate float64 `yaml:"prefill_rate"`
-	// TokenTime is the time of one token of a stream on a busy engine. Default
-	// 36ms, from the same model.
+	// TokenTime is the inter-token latency of a stream on a busy engine. Default 36ms.
 	TokenTime time.Duration `yaml:"token_time"`
 }
 
-// Usage says how members' requests are counted for those who account for them.
+// Usage configures how members' requests are counted for accounting.
 type Usage struct {
-	// Window is the length of the spans of time that are accounted for, each one counted
-	// from the start of 1970; zero: nothing is counted.
+	// Window is the length of the accounting windows, which are aligned to the Unix epoch; zero:
+	// nothing is counted.
 	Window time.Duration `yaml:"window"`
 }
 
-// Credentials says what becomes of callers while control does not reach the entry, so that
-// a credential that was taken away may still be known here.
+// Credentials configures the authentication of callers while the entry has no contact to control. A
+// credential that has been revoked may then still be known to the entry.
 type Credentials struct {
-	// Strict refuses callers whose credentials are needed, as not run, once control's last
-	// word is older than ConfirmedWithin. Default false: they are served as was declared last.
+	// Strict refuses requests that need credentials, with the outcome not run, once the latest view
+	// confirmed by control is older than ConfirmedWithin. Default false: the last known
+	// declaration applies.
 	Strict          bool          `yaml:"strict"`
 	ConfirmedWithin time.Duration `yaml:"confirmed_within"`
 }
 
-// ResendLimit bounds what a deployment's entries together send beyond the first send
-// of each request. Zero Window: only the profiles' retry budgets count.
+// ResendLimit limits the resends of a deployment's entries together, that is all sends of a request
+// after its first one. With Window zero only the retry budgets of the profiles apply.
 type ResendLimit struct {
-	// Ratio is how many such sends a service may get per request for it.
+	// Ratio is the number of resends allowed per request to the service.
 	Ratio float64 `yaml:"ratio"`
-	// Constant is how many it may get besides in each window.
+	// Constant is the number of resends allowed in addition in each window.
 	Constant int `yaml:"extra"`
-	// Window is the span over which both are counted.
+	// Window is the length of the window in which requests and resends are counted.
 	Window time.Duration `yaml:"window"`
 }
 
-// LoadEntry reads and checks a settings file of goldcrest-entry.
+// LoadEntry reads and checks a settings file of goldcrest-entry. The settings are nil if the file
+// cannot be read, and must not be used if there are findings.
 func LoadEntry(path string) (*Entry, finding.List) {
 	s := &Entry{
 		Common:       Common{Log: Log{Level: "info", SampleRouting: 1}},
 		MaxBodyBytes: DefaultMaxBodyBytes, MaxStreams: DefaultMaxStreams,
 		EntryListTTL: DefaultEntryListTTL, StopTimeout: DefaultStopTimeout,
 	}
-	file := load(path, s)
+	file := decodeFile(path, s)
 	if file == nil {
-		return nil, unreadable(path)
+		return nil, unreadableFile(path)
 	}
 	s.check(file)
-	s.usePort()
+	s.applyControlPort()
 	return s, file.Findings()
 }
 
@@ -132,10 +133,10 @@
 		checkDuration(file, "usage.window", s.Usage.Window, minUsageWindow, maxUsageWindow)
 	}
 	if s.Credentials.Strict && s.Credentials.ConfirmedWithin <= 0 {
-		file.Add("credentials.confirmed_within", "must be more than 0 where credentials are strict")
+		file.Add("credentials.confirmed_within", "must be more than 0 if credentials.strict is true")
 	}
 	if s.CallerAddress == s.PeerAddress {
-		file.Add("peer_address", "is the caller address too; use another port")
+		file.Add("peer_address", "is the same as caller_address; use another port")
 	}
 	checkPositive(file, "max_body_bytes", s.MaxBodyBytes)
 	checkPositive(file, "max_streams", s.MaxStreams)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds what one process learns from its own file: who and
-// where it is, whom it talks to, where its data lies. What operators change for
-// all processes at once is a declaration (package declaration), not a setting.
+// Package settings defines the configuration files of single processes: the identity and location of
+// the process, the addresses of its peers, its data directory. Configuration that operators change
+// for all processes at once is a declaration (package declaration), not a setting.
 package settings
 
 import (
@@ -13,56 +13,55 @@
 	"goldcrestseam.dev/goldcrestseam/internal/yamlfile"
 )
 
-// Common holds the settings that every long-running process has.
+// Common holds the settings that all long-running processes have.
 type Common struct {
-	// Cluster is the cluster id; processes of different clusters refuse each other.
+	// Cluster is the cluster id. Processes of different clusters refuse each other's calls.
 	Cluster string `yaml:"cluster"`
 	// Name names the process within the cluster, for example entry-a1.
 	Name string `yaml:"name"`
-	// Region and DataCentre say where the process's VM stands.
+	// Region and DataCentre are the location of the process's VM.
 	Region     string `yaml:"region"`
 	DataCentre string `yaml:"data_centre"`
-	// Control lists the control replicas' addresses, host:port.
+	// Control lists the addresses of the control replicas, host:port.
 	Control []string `yaml:"control"`
-	// ControlPort takes the place of the ports in Control, for addresses that
-	// name the replicas' VMs by another service of theirs. Default 0: as listed.
+	// ControlPort replaces the ports in Control, for lists that give the addresses of another
+	// service on the replicas' VMs. Default 0: the ports as listed.
 	ControlPort int `yaml:"control_port"`
-	// MetricsAddress is where metrics are served besides, at /metrics, host:port;
-	// empty for nowhere else.
+	// MetricsAddress is an additional listen address, host:port, that serves metrics at /metrics;
+	// empty for none.
 	MetricsAddress string `yaml:"metrics_address"`
-	// MemoryMB is what the process may use of the VM's memory; the runtime
-	// collects garbage harder as it comes near. Default 0: no bound.
+	// MemoryMB is how much of the VM's memory the process may use. The Go runtime collects garbage
+	// more often as the usage approaches this limit. Default 0: no limit.
 	MemoryMB int `yaml:"memory_mb"`
-	// Auth says how the system's own processes know each other.
+	// Auth configures the authentication among the system's own processes.
 	Auth Auth `yaml:"auth"`
-	// Log sets up logging.
+	// Log configures logging.
 	Log Log `yaml:"log"`
 }
 
-// Auth protects the protocols between the system's own processes. A shared key,
-// TLS or both are required.
+// Auth configures the protection of the protocols between the system's own processes. A shared key,
+// TLS or both are required, unless TrustedNetwork is true.
 type Auth struct {
-	// SharedKeyFile holds a key of at least 16 bytes, the same everywhere.
+	// SharedKeyFile is a file with a key of at least 16 bytes, the same for all processes.
 	SharedKeyFile string `yaml:"shared_key_file"`
-	// CertFile, KeyFile and CAFile (PEM) turn on TLS, both sides checked.
+	// CertFile, KeyFile and CAFile (PEM) enable mutual TLS.
 	CertFile string `yaml:"cert_file"`
 	KeyFile  string `yaml:"key_file"`
 	CAFile   string `yaml:"ca_file"`
-	// TrustedNetwork leaves the protocols open to whoever reaches their
-	// addresses, for networks that only the deployment's own VMs are on. Default
-	// false.
+	// TrustedNetwork leaves the protocols open to anyone who can reach their addresses. It is meant
+	// for networks that contain only the deployment's own VMs. Default false.
 	TrustedNetwork bool `yaml:"trusted_network"`
 }
 
-// TLS tells whether TLS is on.
+// TLS reports whether TLS is enabled.
 func (a Auth) TLS() bool { return a.CertFile != "" }
 
-// Log sets up logging: JSON lines on standard output.
+// Log configures logging, which writes JSON lines to standard output.
 type Log struct {
 	// Level is debug, info, warn or error. Default info.
 	Level string `yaml:"level"`
-	// SampleRouting is the share of routing lines that are written, 0 to 1.
-	// Refusals and orders are always written. Default 1.
+	// SampleRouting is the sampling rate of log lines about routing decisions, 0 to 1. Refusals and
+	// orders are always logged. Default 1.
 	SampleRouting float64 `yaml:"sample_routing"`
 }
 
@@ -77,14 +76,15 @@
 	DefaultOrderPause       = 10 * time.Second
 	DefaultDutyLease        = 3 * time.Second
 	DefaultUsageReportDelay = 10 * time.Second
-	// DefaultPrefillRate is the middle, in proportion, of the engines known: 5,000 to
-	// 112,000 tokens/s. Ten answers correct it by a factor of four (package speed).
+	// DefaultPrefillRate is the middle, on a logarithmic scale, of the rates of the known engines,
+	// 5,000 to 112,000 tokens/s. Ten answers correct it by a factor of four
+	// (package speed).
 	DefaultPrefillRate = 30000
 	DefaultTokenTime   = 36 * time.Millisecond
 	minSharedKeyBytes  = 16
 )
 
-func load(path string, out any) *yamlfile.File {
+func decodeFile(path string, out any) *yamlfile.File {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil
@@ -92,7 +92,7 @@
 	return yamlfile.Decode(path, data, out)
 }
 
-func unreadable(path string) finding.List {
+func unreadableFile(path string) finding.List {
 	_, err := os.ReadFile(path)
 	problem := "can't be read"
 	if err != nil {
@@ -116,7 +116,7 @@
 		file.Add("common.control", "is empty; list the control replicas' addresses")
 	}
 	for i, a := range s.Control {
-		checkAddress(file, elem("common.control", i), a)
+		checkAddress(file, elementPath("common.control", i), a)
 	}
 	if s.ControlPort < 0 || s.ControlPort > maxPort {
 		file.Add("common.control_port", "%d is not a port", s.ControlPort)
@@ -133,8 +133,8 @@
 
 const maxPort = 1<<16 - 1
 
-// usePort puts ControlPort into the addresses of the control replicas.
-func (s *Common) usePort() {
+// applyControlPort replaces the ports of the control replicas' addresses by ControlPort.
+func (s *Common) applyControlPort() {
 	if s.ControlPort == 0 {
 		return
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -18,7 +18,7 @@
 }
 
 func TestLoadControlFindings(t *testing.T) {
-	path := write(t, `common:
+	path := writeSettings(t, `common:
   cluster: q
   name: control-1
   region: muscat
@@ -46,12 +46,12 @@
 }
 
 func TestLoadEntryDefaults(t *testing.T) {
-	path := write(t, "")
+	path := writeSettings(t, "")
 	key := filepath.Join(filepath.Dir(path), "key")
 	if err := os.WriteFile(key, []byte("0123456789abcdef"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	path = write(t, `common:
+	path = writeSettings(t, `common:
   cluster: q
   name: entry-1
   region: muscat
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	if s.MaxStreams != DefaultMaxStreams || s.EntryListTTL != DefaultEntryListTTL || s.Common.Log.SampleRouting != 1 {
-		t.Fatalf("defaults are missing: %+v", s)
+		t.Fatalf("defaults are not set: %+v", s)
 	}
 }
 
