--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,5 +1,5 @@
-// Package yamlfile decodes YAML files strictly and remembers the line of every
-// field, so that later checks can name the place of what they find.
+// Package yamlfile decodes YAML files strictly and records the line of every field, so that later
+// checks can report findings with their line.
 package yamlfile
 
 import (
@@ -13,16 +13,16 @@
 	"goldcrestseam.dev/goldcrestseam/internal/finding"
 )
 
-// File is a decoded file with the places of its fields.
+// File holds the lines of a decoded file's fields, and the findings about the file.
 type File struct {
 	name     string
 	lines    map[string]int
 	findings finding.List
 }
 
-// Decode reads data into out, a pointer to a struct with yaml tags on every
-// field. Unknown and doubled fields and values of the wrong type are findings
-// of the returned File; out then holds what could be read.
+// Decode decodes data into out, a pointer to a struct with yaml tags on every field. Unknown fields,
+// duplicate fields and values of the wrong type become findings of the returned File; out then holds
+// the fields that could be decoded. Findings carry name as their file name.
 func Decode(name string, data []byte, out any) *File {
 	f := &File{name: name, lines: make(map[string]int)}
 	var doc yaml.Node
@@ -38,25 +38,25 @@
 	return f
 }
 
-// WithoutLines gives a file that was not decoded, for checks of what code has made:
-// its findings have no lines.
+// WithoutLines returns a File for checks of values that were built by code. Its findings have no
+// lines.
 func WithoutLines(name string) *File { return &File{name: name, lines: make(map[string]int)} }
 
-// Add notes a finding at the field with that path, or at its nearest parent
-// that stands in the file.
+// Add adds a finding about the field with that path. Its line is that of the field, or of the
+// nearest parent that is in the file.
 func (f *File) Add(path, format string, args ...any) {
 	f.findings = append(f.findings, finding.Finding{
-		File: f.name, Line: f.line(path), Field: path, Problem: fmt.Sprintf(format, args...),
+		File: f.name, Line: f.nearestLine(path), Field: path, Problem: fmt.Sprintf(format, args...),
 	})
 }
 
-// Findings gives what was found so far, in order of place.
+// Findings returns the findings so far, sorted by line and field.
 func (f *File) Findings() finding.List {
 	f.findings.Sort()
 	return f.findings
 }
 
-func (f *File) line(path string) int {
+func (f *File) nearestLine(path string) int {
 	for path != "" {
 		if line, ok := f.lines[path]; ok {
 			return line
@@ -92,21 +92,21 @@
 		f.Add(path, "must be a mapping of fields")
 		return
 	}
-	fields := fieldsByTag(out.Type())
+	fields := fieldIndexes(out.Type())
 	seen := make(map[string]bool)
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], node.Content[i+1]
-		child := join(path, key.Value)
-		f.lines[child] = key.Line
+		childPath := joinPath(path, key.Value)
+		f.lines[childPath] = key.Line
 		index, ok := fields[key.Value]
 		switch {
 		case !ok:
-			f.Add(child, "unknown field; known are %s", strings.Join(tags(out.Type()), ", "))
+			f.Add(childPath, "unknown field; known are %s", strings.Join(fieldNames(out.Type()), ", "))
 		case seen[key.Value]:
-			f.Add(child, "the field stands twice; keep one")
+			f.Add(childPath, "the field stands twice; keep one")
 		default:
 			seen[key.Value] = true
-			f.decode(value, child, out.Field(index))
+			f.decode(value, childPath, out.Field(index))
 		}
 	}
 }
@@ -150,30 +150,30 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func fieldsByTag(t reflect.Type) map[string]int {
+func fieldIndexes(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
-		fields[tagOf(t.Field(i))] = i
+		fields[yamlName(t.Field(i))] = i
 	}
 	return fields
 }
 
-func tags(t reflect.Type) []string {
+func fieldNames(t reflect.Type) []string {
 	names := make([]string, 0, t.NumField())
 	for i := range t.NumField() {
-		names = append(names, tagOf(t.Field(i)))
+		names = append(names, yamlName(t.Field(i)))
 	}
 	return names
 }
 
-func tagOf(field reflect.StructField) string {
+func yamlName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return name
 }
--- a/internal/yamlfile/yamlfile_test.go
+++ b/internal/yamlfile/yamlfile_test.go
@@ -48,7 +48,7 @@
 	file := Decode("x.yaml", []byte("items:\n  - name: a\n"), &out)
 	file.Add("items[0].wait", "is missing")
 	if got := file.Findings()[0].Line; got != 2 {
-		t.Fatalf("line %d, want 2, that of the element", got)
+		t.Fatalf("line %d, want 2, the line of the element", got)
 	}
 }
 
