--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the command lines of all programs share: the root
-// command with its version, exit codes and the printing of findings.
+// Package cli holds the code that the command lines of all programs share: the root command with
+// its version, exit codes, signal handling and the watching of settings files.
 package cli
 
 import (
@@ -14,40 +14,40 @@
 	"goldcrestseam.dev/goldcrestseam/internal/version"
 )
 
-// Exit codes of all programs.
+// The exit codes of all programs.
 const (
-	// ExitOK: done as asked.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFailed: it could not be done.
+	// ExitFailed means that the command failed.
 	ExitFailed = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is wrong.
 	ExitUsage = 2
-	// ExitInvalid: a file has findings.
+	// ExitInvalid means that a file is invalid.
 	ExitInvalid = 3
-	// ExitRefused: the system refused it; the message says why.
+	// ExitRefused means that the system refused the request; the message gives the reason.
 	ExitRefused = 4
-	// ExitUnknown: no answer came; it may have been done.
+	// ExitUnknown means that no answer came; the request may have taken effect.
 	ExitUnknown = 5
 )
 
-// exitCodes is the part of every help page that tells them.
-const exitCodes = `
+// exitCodesHelp is the description of the exit codes in every help text.
+const exitCodesHelp = `
 Exit codes: 0 done; 1 failed; 2 wrong usage; 3 a file has findings;
-4 refused by the system; 5 no answer, it may have been done.`
+4 refused by the system; 5 no answer, the request may have taken effect.`
 
-// CodedError carries an exit code.
+// CodedError is an error with an exit code.
 type CodedError struct {
 	Code int
 	Err  error
 }
 
-// Error gives the message of the wrapped error.
+// Error returns the message of the wrapped error.
 func (e *CodedError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the wrapped error.
+// Unwrap returns the wrapped error.
 func (e *CodedError) Unwrap() error { return e.Err }
 
-// WithCode gives err an exit code; nil stays nil.
+// WithCode returns err with an exit code, or nil if err is nil.
 func WithCode(code int, err error) error {
 	if err == nil {
 		return nil
@@ -55,13 +55,13 @@
 	return &CodedError{Code: code, Err: err}
 }
 
-// Invalid gives nil when there are no findings, else an ExitInvalid error.
+// Invalid returns nil if there are no findings, otherwise an error with ExitInvalid.
 func Invalid(l finding.List) error { return WithCode(ExitInvalid, l.Err()) }
 
-// NewRoot gives the root command of a program. cobra adds help and completion.
+// NewRoot returns the root command of a program. Cobra adds the help and completion commands.
 func NewRoot(name, short, long string) *cobra.Command {
 	root := &cobra.Command{
-		Use: name, Short: short, Long: long + "\n" + exitCodes,
+		Use: name, Short: short, Long: long + "\n" + exitCodesHelp,
 		Version: version.Version, SilenceUsage: true, SilenceErrors: true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
@@ -77,12 +77,12 @@
 	return root
 }
 
-// Main runs the command and ends the process with its exit code.
+// Main runs the command and exits with its exit code.
 func Main(root *cobra.Command) {
 	os.Exit(Run(root, os.Stderr))
 }
 
-// Run runs the command, prints its error and gives the exit code.
+// Run runs the command, prints its error to stderr and returns the exit code.
 func Run(root *cobra.Command, stderr io.Writer) int {
 	err := root.Execute()
 	if err == nil {
--- a/internal/cli/process.go
+++ b/internal/cli/process.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// reloadPoll is how often a settings file is looked at: it may change without a
-// signal.
-const reloadPoll = 2 * time.Second
+// settingsPollInterval is how often a settings file is read to detect changes that no signal
+// announces.
+const settingsPollInterval = 2 * time.Second
 
-// memoryShare is the part of a process's memory that the runtime may fill before
-// it collects without regard to cost; the rest is for stacks, buffers of the
-// kernel and what is freed late.
-const memoryShare = 0.75
+// memoryLimitShare is the share of a process's memory that is set as the Go runtime's soft memory
+// limit. The rest is headroom for stacks, kernel buffers and memory that is freed late.
+const memoryLimitShare = 0.75
 
-// LimitMemory makes the runtime keep within the memory; 0: no bound.
+// LimitMemory sets the Go runtime's soft memory limit for a process that may use mb megabytes; 0: no
+// limit.
 func LimitMemory(mb int) {
 	if mb > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(mb<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mb<<20)))
 	}
 }
 
-// ShutdownContext gives a context that ends with the first SIGTERM or SIGINT. The signals
-// stay taken after it: a second one must not fall back to the default, which
-// would end the process and cut streams.
+// ShutdownContext returns a context that is canceled by the first SIGTERM or SIGINT. Further signals
+// stay handled and are ignored: the default action of a second one would end the process and break
+// its streams.
 func ShutdownContext(parent context.Context) context.Context {
 	ctx, cancel := context.WithCancel(parent)
 	signals := make(chan os.Signal, 1)
@@ -41,28 +41,28 @@
 	return ctx
 }
 
-// WatchFile calls changed when the file has other content than before, on SIGHUP
-// and without it, until ctx ends. SIGHUP alone ends no process that watches.
-func WatchFile(ctx context.Context, path string, log *slog.Logger, changed func()) {
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	known, _ := os.ReadFile(path)
+// WatchFile calls onChange when the content of the file has changed, until ctx ends. It checks
+// periodically and on SIGHUP, which then no longer terminates the process.
+func WatchFile(ctx context.Context, path string, log *slog.Logger, onChange func()) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	lastContent, _ := os.ReadFile(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hups:
-			log.Info("reload asked for", "settings", path)
-		case <-time.After(reloadPoll):
+		case <-hangups:
+			log.Info("received SIGHUP; checking the settings file", "settings", path)
+		case <-time.After(settingsPollInterval):
 		}
-		now, err := os.ReadFile(path)
+		content, err := os.ReadFile(path)
 		if err != nil {
-			log.Warn("settings can't be read; the old ones count", "settings", path, "error", err.Error())
+			log.Warn("cannot read the settings; keeping the previous ones", "settings", path, "error", err.Error())
 			continue
 		}
-		if !bytes.Equal(now, known) {
-			known = now
-			changed()
+		if !bytes.Equal(content, lastContent) {
+			lastContent = content
+			onChange()
 		}
 	}
 }
