--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -14,26 +14,26 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// waitInterval is how often apply --wait looks whether all entries have the
-// revision: they take it over within a round trip.
-const waitInterval = 50 * time.Millisecond
+// applyPollInterval is how often apply --wait queries whether all entries use the revision. Entries
+// usually adopt it within a round trip.
+const applyPollInterval = 50 * time.Millisecond
 
-func newApply(o *options) *cobra.Command {
+func newApplyCommand(o *options) *cobra.Command {
 	var wait bool
 	cmd := &cobra.Command{
 		Use: "apply FILE", Short: "Put a declaration in force", Args: cobra.ExactArgs(1),
 		Long: "apply puts a declaration in force. Its revision must be above the one in force and\n" +
-			"its base must be the one in force; else it is refused and the one who won is named.\n" +
-			"It is safe to run again after a lost answer: the same file gets the first answer.",
+			"its base must be the one in force; else the refusal names the author of that one.\n" +
+			"It is safe to run again after a lost answer: the same file gets the same answer.",
 		Example: "  goldcrestctl apply deploy/qazaq/declaration.yaml --wait --settings control.yaml",
 	}
-	cmd.Flags().BoolVar(&wait, "wait", false, "return when all live entries have it in force")
+	cmd.Flags().BoolVar(&wait, "wait", false, "return only when the declaration is in force at all live entries")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		d, findings := declaration.Load(args[0])
 		if len(findings) > 0 {
 			return cli.Invalid(findings)
 		}
-		return o.run(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
+		return o.withClient(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
 			return o.apply(ctx, c, out, d.ToProto(), wait)
 		})(cmd, args)
 	}
@@ -53,10 +53,10 @@
 			return err
 		}
 	}
-	return o.print(out, resp, func(w io.Writer) error {
+	return o.printResult(out, resp, func(w io.Writer) error {
 		note := ""
 		if resp.GetRepeated() {
-			note = " (an earlier call was accepted already)"
+			note = " (by an earlier call)"
 		}
 		_, err := fmt.Fprintf(w, "revision %d accepted%s; revision %d is in force\n",
 			d.GetRevision(), note, resp.GetCurrentRevision())
@@ -64,8 +64,7 @@
 	})
 }
 
-// Apply applies a declaration. Errors: Refused, NoAnswer; whether it was accepted
-// is in the answer.
+// Apply applies a declaration. The response says whether it was accepted. Errors: Refused, NoAnswer.
 func (c *Client) Apply(ctx context.Context, d *pb.Declaration) (*pb.ApplyResponse, error) {
 	var resp *pb.ApplyResponse
 	err := c.Call(ctx, func(ctx context.Context, op pb.Operator) (err error) {
@@ -75,27 +74,27 @@
 	return resp, err
 }
 
-// WaitInForce returns when every live entry has the revision, or a later one, in
-// force. Errors: Refused, NoAnswer.
+// WaitInForce waits until the revision, or a later one, is in force at every live entry. Errors:
+// Refused, NoAnswer.
 func (c *Client) WaitInForce(ctx context.Context, revision uint64) error {
 	for {
 		st, err := c.Status(ctx)
 		if err != nil {
 			return err
 		}
-		behind := entriesBehind(st, revision)
-		if len(behind) == 0 {
+		waitingFor := entriesBelow(st, revision)
+		if len(waitingFor) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return NoAnswer.New("accepted, but not yet in force at %v", behind)
-		case <-time.After(waitInterval):
+			return NoAnswer.New("accepted, but not yet in force at %v", waitingFor)
+		case <-time.After(applyPollInterval):
 		}
 	}
 }
 
-func entriesBehind(st *pb.StatusResponse, revision uint64) []string {
+func entriesBelow(st *pb.StatusResponse, revision uint64) []string {
 	var list []string
 	for _, e := range st.GetEntries() {
 		if e.GetRevision() < revision {
@@ -105,7 +104,7 @@
 	return list
 }
 
-func newPlan(o *options) *cobra.Command {
+func newPlanCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use: "plan FILE", Short: "Show what applying a declaration would change", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -113,43 +112,43 @@
 			if len(findings) > 0 {
 				return cli.Invalid(findings)
 			}
-			return o.run(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
+			return o.withClient(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
 				current, err := c.Declaration(ctx)
 				if err != nil {
 					return err
 				}
 				next := d.ToProto()
 				diff := diffDeclarations(current, next)
-				return o.print(out, &pb.Declaration{Revision: next.GetRevision(), Base: current.GetRevision(), Objects: diff.changed},
+				return o.printResult(out, &pb.Declaration{Revision: next.GetRevision(), Base: current.GetRevision(), Objects: diff.changed},
 					func(w io.Writer) error { return diff.print(w, current, next) })
 			})(cmd, args)
 		},
 	}
 }
 
-// declarationDiff is what a declaration changes in the one in force.
+// declarationDiff holds the objects in which a declaration differs from the one in force.
 type declarationDiff struct {
 	added, changed, removed []*pb.Object
 }
 
 func diffDeclarations(current, next *pb.Declaration) declarationDiff {
 	var diff declarationDiff
-	old := make(map[string]*pb.Object, len(current.GetObjects()))
+	unmatched := make(map[string]*pb.Object, len(current.GetObjects()))
 	for _, o := range current.GetObjects() {
-		old[objectName(o)] = o
+		unmatched[objectName(o)] = o
 	}
 	for _, o := range next.GetObjects() {
-		was := old[objectName(o)]
-		delete(old, objectName(o))
+		previous := unmatched[objectName(o)]
+		delete(unmatched, objectName(o))
 		switch {
-		case was == nil:
+		case previous == nil:
 			diff.added = append(diff.added, o)
-		case !bytes.Equal(was.GetContent(), o.GetContent()):
+		case !bytes.Equal(previous.GetContent(), o.GetContent()):
 			diff.changed = append(diff.changed, o)
 		}
 	}
 	for _, o := range current.GetObjects() {
-		if old[objectName(o)] != nil {
+		if unmatched[objectName(o)] != nil {
 			diff.removed = append(diff.removed, o)
 		}
 	}
@@ -162,7 +161,7 @@
 	fmt.Fprintf(w, "revision %d by %s is in force; this file is revision %d against base %d\n",
 		current.GetRevision(), current.GetAuthor(), next.GetRevision(), next.GetBase())
 	if next.GetBase() != current.GetRevision() || next.GetRevision() <= current.GetRevision() {
-		fmt.Fprintln(w, "it would be refused: its base is not the revision in force, or its number is not above it")
+		fmt.Fprintln(w, "it would be refused: its base is not the revision in force, or its revision is not above it")
 	}
 	for _, part := range []struct {
 		sign    string
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -1,5 +1,5 @@
-// Package ctl is the code of goldcrestctl: a client that finds the leader of the
-// control group, and the commands.
+// Package ctl implements goldcrestctl: a client that finds the leader of the control group, and the
+// commands.
 package ctl
 
 import (
@@ -19,24 +19,26 @@
 var Namespace = errorx.NewNamespace("ctl")
 
 var (
-	// Refused: the system looked at the call and refused it.
+	// Refused is the type of errors about calls that the leader refused.
 	Refused = Namespace.NewType("refused")
-	// NoAnswer: no replica answered in time; the call may come about.
+	// NoAnswer is the type of errors about calls that got no answer in time. Such a call may still
+	// take effect.
 	NoAnswer = Namespace.NewType("no_answer")
-	// NoLines: the input holds no lines of the request, or can't be read.
+	// NoLines is the type of errors about log input that has no lines of the request or cannot be
+	// read.
 	NoLines = Namespace.NewType("no_lines")
 )
 
 const (
-	// firstTimeout bounds the first call to one replica: a leader answers within
-	// two syncs and a round trip, and a frozen one must not use up the time of
-	// its successor. Each call that runs into its timeout doubles the next one's,
-	// up to lastTimeout, so that a slow disk is waited for in the end.
-	firstTimeout = 400 * time.Millisecond
-	lastTimeout  = 5 * time.Second
-	// retryPause is between rounds over replicas of which none leads: an
-	// election takes a few of them.
-	retryPause = 100 * time.Millisecond
+	// initialTimeout is the timeout of the first call to a replica. A leader answers within two disk
+	// syncs and a round trip, and an unresponsive one must not use up the time needed to reach its
+	// successor. Each call that times out doubles the timeout of the next one, up to maxTimeout, so
+	// that a leader with a slow disk is eventually given enough time.
+	initialTimeout = 400 * time.Millisecond
+	maxTimeout     = 5 * time.Second
+	// roundPause is the pause after a round over all replicas without an answer from a leader. An
+	// election takes a few such pauses.
+	roundPause = 100 * time.Millisecond
 )
 
 // Client calls the leader of the control group. It is not safe for concurrent use.
@@ -45,81 +47,82 @@
 	addresses []string
 	auth      *rpc.Auth
 	http      *http.Client
-	// next is the address to try first.
-	next string
-	// frozen is the address that ran into a timeout last, until frozenUntil.
-	frozen      string
-	frozenUntil time.Time
+	// nextAddress is the address to try first.
+	nextAddress string
+	// timedOutAddress is the address of the last call that timed out. It is avoided until
+	// avoidUntil.
+	timedOutAddress string
+	avoidUntil      time.Time
 }
 
-// NewClient gives a client of the group at addresses.
+// NewClient returns a client of the control group with these addresses.
 func NewClient(cluster string, addresses []string, auth *rpc.Auth) *Client {
 	return &Client{
-		cluster: cluster, addresses: addresses, auth: auth, http: auth.Client(), next: addresses[0],
+		cluster: cluster, addresses: addresses, auth: auth, http: auth.Client(), nextAddress: addresses[0],
 	}
 }
 
-// Leader is the address that answered last as the leader.
-func (c *Client) Leader() string { return c.next }
+// Leader returns the address that the next call tries first: that of the leader, after a call that
+// succeeded.
+func (c *Client) Leader() string { return c.nextAddress }
 
-// Cluster is the cluster id that calls must carry.
+// Cluster returns the cluster id that calls must carry.
 func (c *Client) Cluster() string { return c.cluster }
 
-// Call makes one call, trying replica after replica until one answers as the
-// leader or ctx ends. A call may arrive more than once, so it must be
-// idempotent: declarations by revision and digest, all others by a request id.
-// Errors: Refused, NoAnswer.
-func (c *Client) Call(ctx context.Context, do func(context.Context, pb.Operator) error) error {
-	return c.call(ctx, func(ctx context.Context, base string) error {
-		return do(ctx, pb.NewOperatorProtobufClient(base, c.http))
+// Call makes one call to the leader. It tries one replica after the other until one answers as the
+// leader or ctx ends. A call may arrive more than once, so it must be idempotent: declarations are
+// by their revision and digest, all others by a request id. Errors: Refused, NoAnswer.
+func (c *Client) Call(ctx context.Context, send func(context.Context, pb.Operator) error) error {
+	return c.callLeader(ctx, func(ctx context.Context, base string) error {
+		return send(ctx, pb.NewOperatorProtobufClient(base, c.http))
 	})
 }
 
-// CallControl is Call for the service that entries use.
-func (c *Client) CallControl(ctx context.Context, do func(context.Context, pb.Control) error) error {
-	return c.call(ctx, func(ctx context.Context, base string) error {
-		return do(ctx, pb.NewControlProtobufClient(base, c.http))
+// CallControl is like Call, for the service that entries use.
+func (c *Client) CallControl(ctx context.Context, send func(context.Context, pb.Control) error) error {
+	return c.callLeader(ctx, func(ctx context.Context, base string) error {
+		return send(ctx, pb.NewControlProtobufClient(base, c.http))
 	})
 }
 
-func (c *Client) call(ctx context.Context, do func(ctx context.Context, base string) error) error {
-	var last error
-	timeout := firstTimeout
-	for n := 0; ; n++ {
-		err := c.attempt(ctx, timeout, do)
+func (c *Client) callLeader(ctx context.Context, send func(ctx context.Context, base string) error) error {
+	var lastErr error
+	timeout := initialTimeout
+	for attempt := 0; ; attempt++ {
+		err := c.callNext(ctx, timeout, send)
 		if err == nil {
 			return nil
 		}
-		if timedOut(err) {
-			c.frozen, c.frozenUntil = c.next, time.Now().Add(2*timeout)
-			timeout = min(2*timeout, lastTimeout)
+		if isTimeout(err) {
+			c.timedOutAddress, c.avoidUntil = c.nextAddress, time.Now().Add(2*timeout)
+			timeout = min(2*timeout, maxTimeout)
 		}
-		if final(err) {
+		if isFinal(err) {
 			return Refused.Wrap(err, "control")
 		}
-		last = err
-		c.choose(err, n)
-		if !pause(ctx, n, len(c.addresses)) {
-			return NoAnswer.Wrap(last, "no leader answered in time; the call may come about")
+		lastErr = err
+		c.chooseNext(err, attempt)
+		if !pauseAfterRound(ctx, attempt, len(c.addresses)) {
+			return NoAnswer.Wrap(lastErr, "no leader answered in time; the call may still take effect")
 		}
 	}
 }
 
-func (c *Client) attempt(
-	ctx context.Context, timeout time.Duration, do func(ctx context.Context, base string) error,
+func (c *Client) callNext(
+	ctx context.Context, timeout time.Duration, send func(ctx context.Context, base string) error,
 ) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return do(ctx, c.auth.URL(c.next))
+	return send(ctx, c.auth.URL(c.nextAddress))
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	t, ok := err.(twirp.Error)
 	return ok && t.Code() == twirp.DeadlineExceeded || errors.Is(err, context.DeadlineExceeded)
 }
 
-// final tells whether asking another replica would not help.
-func final(err error) bool {
+// isFinal reports whether the error is a refusal that a retry at another replica would not change.
+func isFinal(err error) bool {
 	t, ok := err.(twirp.Error)
 	if !ok {
 		return false
@@ -132,44 +135,44 @@
 	return false
 }
 
-// choose picks whom to ask next: the leader that the answer names, or the next
+// chooseNext selects the replica for the next attempt: the leader that the error names, or the next
 // replica in turn.
 //
-// Failure: a leader freezes, and the others go on naming it until they have
-// elected the next one. A client that goes back each time waits out one timeout
-// after the other. So one that has just run into its timeout is left out for
-// twice as long, unless there is no other.
-func (c *Client) choose(err error, n int) {
+// Failure: a leader becomes unresponsive, and the other replicas name it as the leader until they
+// have elected a new one. A client that follows them waits for one timeout after the other. So an
+// address that has just timed out is avoided for twice its timeout, unless there is no other.
+func (c *Client) chooseNext(err error, attempt int) {
 	if t, ok := err.(twirp.Error); ok {
-		if leader := t.Meta("leader"); leader != "" && leader != c.next && !c.isFrozen(leader) {
-			c.next = leader
+		if leader := t.Meta("leader"); leader != "" && leader != c.nextAddress && !c.recentlyTimedOut(leader) {
+			c.nextAddress = leader
 			return
 		}
 	}
 	for i := range c.addresses {
-		c.next = c.addresses[(n+i)%len(c.addresses)]
-		if !c.isFrozen(c.next) {
+		c.nextAddress = c.addresses[(attempt+i)%len(c.addresses)]
+		if !c.recentlyTimedOut(c.nextAddress) {
 			return
 		}
 	}
 }
 
-func (c *Client) isFrozen(address string) bool {
-	return address == c.frozen && time.Now().Before(c.frozenUntil)
+func (c *Client) recentlyTimedOut(address string) bool {
+	return address == c.timedOutAddress && time.Now().Before(c.avoidUntil)
 }
 
-// pause waits a little after each round; false when ctx has ended.
-func pause(ctx context.Context, n, round int) bool {
+// pauseAfterRound waits for roundPause if the attempt was the last one of a round over all replicas.
+// It returns false if ctx has ended.
+func pauseAfterRound(ctx context.Context, attempt, replicas int) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if n%round != round-1 {
+	if attempt%replicas != replicas-1 {
 		return true
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(retryPause):
+	case <-time.After(roundPause):
 		return true
 	}
 }
--- a/internal/ctl/commands.go
+++ b/internal/ctl/commands.go
@@ -12,23 +12,23 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// NewRoot gives goldcrestctl's command line.
+// NewRoot returns the root command of goldcrestctl.
 func NewRoot() *cobra.Command {
 	root := cli.NewRoot("goldcrestctl", "Operate a goldcrestseam deployment",
-		"goldcrestctl checks and applies declarations and shows and changes what runs.")
+		"goldcrestctl checks and applies declarations, and shows and changes the state of a deployment.")
 	o := &options{}
-	o.add(root)
+	o.addFlags(root)
 	root.AddCommand(
-		newValidate(), newPlan(o), newApply(o),
-		newStatus(o), newEntries(o),
-		newDrain(o, "drain", "Take a backend server out: it gets no new work", true),
-		newDrain(o, "undrain", "Give a drained backend server work again", false),
-		newRoles(o), newReplica(o), newExplain(),
+		newValidateCommand(), newPlanCommand(o), newApplyCommand(o),
+		newStatusCommand(o), newEntriesCommand(o),
+		newDrainCommand(o, "drain", "Drain a backend server: it gets no new requests", true),
+		newDrainCommand(o, "undrain", "Send requests to a drained backend server again", false),
+		newRolesCommand(o), newReplicaCommand(o), newExplainCommand(),
 	)
 	return root
 }
 
-func newValidate() *cobra.Command {
+func newValidateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "validate FILE...",
 		Short:   "Check declaration files and print all findings",
@@ -46,35 +46,35 @@
 	}
 }
 
-func newStatus(o *options) *cobra.Command {
+func newStatusCommand(o *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Show declaration, entries, backend servers, orders and quarantine",
+		Use: "status", Short: "Show the revision in force, entries, backend servers, orders and quarantined requests",
 		Args: cobra.NoArgs,
-		RunE: o.run(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
+		RunE: o.withClient(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
 			st, err := c.Status(ctx)
 			if err != nil {
 				return err
 			}
-			return o.print(out, st, func(w io.Writer) error { return printStatus(w, st) })
+			return o.printResult(out, st, func(w io.Writer) error { return printStatus(w, st) })
 		}),
 	}
 }
 
-func newEntries(o *options) *cobra.Command {
+func newEntriesCommand(o *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "entries", Short: "Show the entries that are alive", Args: cobra.NoArgs,
-		RunE: o.run(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
+		Use: "entries", Short: "Show the live entries", Args: cobra.NoArgs,
+		RunE: o.withClient(func(ctx context.Context, c *Client, out io.Writer, _ []string) error {
 			st, err := c.Status(ctx)
 			if err != nil {
 				return err
 			}
-			only := &pb.StatusResponse{Revision: st.GetRevision(), ViewVersion: st.GetViewVersion(), Entries: st.GetEntries()}
-			return o.print(out, only, func(w io.Writer) error { return printEntries(w, st.GetEntries()) })
+			shown := &pb.StatusResponse{Revision: st.GetRevision(), ViewVersion: st.GetViewVersion(), Entries: st.GetEntries()}
+			return o.printResult(out, shown, func(w io.Writer) error { return printEntries(w, st.GetEntries()) })
 		}),
 	}
 }
 
-// Status asks for the deployment's status. Errors: Refused, NoAnswer.
+// Status returns the status of the deployment. Errors: Refused, NoAnswer.
 func (c *Client) Status(ctx context.Context) (*pb.StatusResponse, error) {
 	var st *pb.StatusResponse
 	err := c.Call(ctx, func(ctx context.Context, op pb.Operator) (err error) {
@@ -84,7 +84,7 @@
 	return st, err
 }
 
-// Declaration asks for the declaration in force. Errors: Refused, NoAnswer.
+// Declaration returns the declaration in force. Errors: Refused, NoAnswer.
 func (c *Client) Declaration(ctx context.Context) (*pb.Declaration, error) {
 	var resp *pb.GetDeclarationResponse
 	err := c.Call(ctx, func(ctx context.Context, op pb.Operator) (err error) {
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -16,30 +16,30 @@
 	"goldcrestseam.dev/goldcrestseam/internal/obs"
 )
 
-func newExplain() *cobra.Command {
+func newExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST-ID",
-		Short: "Order the log lines of one request, read from standard input, and name the deciding one",
+		Short: "Sort the log lines of one request from standard input and name the cause of its outcome",
 		Long: "Reads the log lines of any number of processes from standard input, in any order, and\n" +
-			"prints those of one request by time, with the line that decided how it ended. Text\n" +
-			"before a line's first brace is passed over.",
+			"prints those of one request sorted by time, then the cause of its outcome. Text before\n" +
+			"the first brace of a line is ignored.",
 		Example: "  cat entry-*.log | goldcrestctl explain 8a82ba5e3e95ab54",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			list, err := linesOf(cmd.InOrStdin(), args[0])
+			list, err := requestLines(cmd.InOrStdin(), args[0])
 			if err != nil {
 				return cli.WithCode(cli.ExitFailed, err)
 			}
 			if len(list) == 0 {
-				return cli.WithCode(cli.ExitFailed, NoLines.New("no line of the input tells of request %s", args[0]))
+				return cli.WithCode(cli.ExitFailed, NoLines.New("the input has no log line of request %s", args[0]))
 			}
 			return explain(cmd.OutOrStdout(), list)
 		},
 	}
 }
 
-// line is a log line of one request.
-type line struct {
+// logLine holds the attributes of a request's log line that are used here.
+type logLine struct {
 	Time      time.Time `json:"time"`
 	Message   string    `json:"msg"`
 	Process   string    `json:"process"`
@@ -52,27 +52,27 @@
 	Status    int       `json:"status"`
 	Outcome   string    `json:"outcome"`
 	Error     string    `json:"error"`
-	// Millis and Took are since the request's arrival and of one attempt.
-	Millis int `json:"ms"`
-	Took   int `json:"took_ms"`
+	// ElapsedMS is the time since the arrival of the request, TookMS the duration of one attempt.
+	ElapsedMS int `json:"ms"`
+	TookMS    int `json:"took_ms"`
 }
 
-// maxLine bounds a log line.
-const maxLine = 1 << 20
+// maxLineBytes is the limit on the size of an input line.
+const maxLineBytes = 1 << 20
 
-// linesOf gives the lines of a request, in the order of their times. Errors: NoLines.
-func linesOf(r io.Reader, id string) ([]line, error) {
-	var list []line
+// requestLines returns the log lines of a request, sorted by time. Errors: NoLines.
+func requestLines(r io.Reader, id string) ([]logLine, error) {
+	var list []logLine
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		if !bytes.Contains(text, []byte(id)) {
 			continue
 		}
-		var l line
+		var l logLine
 		start := bytes.IndexByte(text, '{')
-		// What is no line of ours, or one that was cut, tells nothing of the request.
+		// Lines of other programs or requests and truncated lines are skipped.
 		if start < 0 || json.Unmarshal(text[start:], &l) != nil || l.RequestID != id {
 			continue
 		}
@@ -81,14 +81,14 @@
 	if err := scanner.Err(); err != nil {
 		return nil, NoLines.Wrap(err, "standard input")
 	}
-	slices.SortStableFunc(list, func(a, b line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(list, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 	return list, nil
 }
 
-func explain(w io.Writer, list []line) error {
+func explain(w io.Writer, list []logLine) error {
 	first := list[0].Time
 	for _, l := range list {
-		if _, err := fmt.Fprintf(w, "%8.3fs %-18s %s\n", l.Time.Sub(first).Seconds(), l.Process, l.text()); err != nil {
+		if _, err := fmt.Fprintf(w, "%8.3fs %-18s %s\n", l.Time.Sub(first).Seconds(), l.Process, l.summary()); err != nil {
 			return err
 		}
 	}
@@ -96,8 +96,9 @@
 	return err
 }
 
-// text is a line without what all lines have.
-func (l *line) text() string {
+// summary returns the message of the line and those attributes that are set, without time, process
+// and request id.
+func (l *logLine) summary() string {
 	parts := []string{l.Message}
 	for _, part := range []string{l.Kind, l.Code, l.How, l.Server, l.Outcome, l.Reason, l.Error} {
 		if part != "" {
@@ -107,20 +108,20 @@
 	if l.Status != 0 {
 		parts = append(parts, fmt.Sprint("status ", l.Status))
 	}
-	if l.Took > 0 {
-		parts = append(parts, fmt.Sprint("took ", l.Took, " ms"))
+	if l.TookMS > 0 {
+		parts = append(parts, fmt.Sprint("took ", l.TookMS, " ms"))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// howGone is how a request ends whose caller has left. Its connection to the server is
-// closed then, so that a failed attempt of that moment is no cause.
-const howGone = "caller gone"
+// howCallerGone is the attribute "how" of a request whose caller has disconnected. The connection to
+// the server is closed then, so a failed attempt at that time is not the cause.
+const howCallerGone = "caller gone"
 
-// cause names the line that decided how the request ended: of one that was answered the
-// answer, of another one the last failure of a server before its end, if there was any.
-func cause(list []line) string {
-	var end, failure *line
+// cause describes why the request ended as it did. If it did not get a complete answer and its caller
+// did not disconnect, the cause is the last failed attempt, or its final line if no attempt failed.
+func cause(list []logLine) string {
+	var end, failure *logLine
 	for i := range list {
 		switch l := &list[i]; l.Message {
 		case obs.LineAnswered, obs.LineRefused:
@@ -131,20 +132,20 @@
 	}
 	switch {
 	case end == nil:
-		return "not known: the request has no last line; its process may have ended, or lines were dropped"
+		return "not known: the request has no final line; its process may have ended, or lines were dropped"
 	case end.Message == obs.LineAnswered && (end.How == "answer" || end.How == "stream"):
-		return fmt.Sprintf("none: it was answered by %s after %d ms", end.Server, end.Millis)
-	case end.How == howGone:
-		return fmt.Sprintf("its caller left after %d ms, waiting for %s", end.Millis, end.Server)
+		return fmt.Sprintf("none: answered by %s after %d ms", end.Server, end.ElapsedMS)
+	case end.How == howCallerGone:
+		return fmt.Sprintf("the caller disconnected after %d ms while waiting for %s", end.ElapsedMS, end.Server)
 	case failure != nil:
-		return fmt.Sprintf("%s at %s (%s); then: %s", failure.Message, failure.Server, failure.why(), end.text())
+		return fmt.Sprintf("%s at %s (%s); then: %s", failure.Message, failure.Server, failure.failureReason(), end.summary())
 	default:
-		return end.text()
+		return end.summary()
 	}
 }
 
-// why is what a failed attempt says of itself.
-func (l *line) why() string {
+// failureReason returns the reason that the line of a failed attempt gives.
+func (l *logLine) failureReason() string {
 	switch {
 	case l.Error != "":
 		return l.Error
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A clerk's question failed. On call has the logs of all entries in one heap, out of order
-// and with other requests between them, and wants the one line that decided it.
+// A failed request must be explained by the failed attempt that caused it, from the unsorted logs of
+// several entries that also contain lines of other requests and of other programs.
 func TestExplainNamesTheDecidingLine(t *testing.T) {
 	const at = `{"time":"2026-12-03T00:00:0`
 	logs := strings.Join([]string{
@@ -17,7 +17,7 @@
 		at + `1Z","msg":"attempt failed","process":"entry-b","request_id":"r2","server":"s2","status":500}`,
 		`not a line of r1 {`,
 	}, "\n")
-	list, err := linesOf(strings.NewReader(logs), "r1")
+	list, err := requestLines(strings.NewReader(logs), "r1")
 	if err != nil || len(list) != 3 {
 		t.Fatalf("%d lines, %v", len(list), err)
 	}
@@ -34,24 +34,24 @@
 	}
 }
 
-// Requests that ended otherwise: each has its own cause.
-func TestExplainTellsEndsApart(t *testing.T) {
+// Each way in which a request ends must be reported with its own cause.
+func TestExplainDistinguishesHowRequestsEnd(t *testing.T) {
 	for name, c := range map[string]struct{ logs, cause string }{
-		"answered": {`{"msg":"answered","request_id":"r1","how":"stream","server":"s1","ms":40}`, "none: it was answered by s1 after 40 ms"},
+		"answered": {`{"msg":"answered","request_id":"r1","how":"stream","server":"s1","ms":40}`, "none: answered by s1 after 40 ms"},
 		"refused":  {`{"msg":"refused","request_id":"r1","code":"overloaded","status":503,"outcome":"not_run","reason":"full"}`, "refused, overloaded, not_run, full, status 503"},
 		"caller left": {
 			`{"msg":"attempt failed","request_id":"r1","server":"s1","error":"EOF"}
 			{"msg":"answered","request_id":"r1","how":"caller gone","server":"s1","ms":3200}`,
-			"its caller left after 3200 ms, waiting for s1",
+			"the caller disconnected after 3200 ms while waiting for s1",
 		},
-		"no end": {`{"msg":"decision","request_id":"r1","kind":"route"}`, "not known: the request has no last line; its process may have ended, or lines were dropped"},
+		"no end": {`{"msg":"decision","request_id":"r1","kind":"route"}`, "not known: the request has no final line; its process may have ended, or lines were dropped"},
 	} {
-		list, err := linesOf(strings.NewReader(c.logs), "r1")
+		list, err := requestLines(strings.NewReader(c.logs), "r1")
 		if err != nil || cause(list) != c.cause {
 			t.Errorf("%s: %q, %v", name, cause(list), err)
 		}
 	}
-	if list, err := linesOf(strings.NewReader("{}\n\n"), "r1"); err != nil || len(list) != 0 {
-		t.Errorf("nothing told of it: %v, %v", list, err)
+	if list, err := requestLines(strings.NewReader("{}\n\n"), "r1"); err != nil || len(list) != 0 {
+		t.Errorf("input without lines of the request: %v, %v", list, err)
 	}
 }
--- a/internal/ctl/options.go
+++ b/internal/ctl/options.go
@@ -19,17 +19,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// Output formats.
+// The values of --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// defaultTimeout bounds a command: several elections, and entries that are slow
-// to take a declaration over.
+// defaultTimeout is the timeout of a command. It allows for several elections, and for entries that
+// adopt a declaration slowly.
 const defaultTimeout = 15 * time.Second
 
-// options are the flags that say which deployment a command is for.
+// options holds the flags that all commands share: the deployment, how to reach it and the output
+// format.
 type options struct {
 	settings string
 	control  []string
@@ -39,41 +40,41 @@
 	timeout  time.Duration
 }
 
-func (o *options) add(cmd *cobra.Command) {
+func (o *options) addFlags(cmd *cobra.Command) {
 	f := cmd.PersistentFlags()
-	f.StringVar(&o.settings, "settings", "", "take cluster, control and auth from this settings file of a process")
-	f.StringSliceVar(&o.control, "control", nil, "addresses of the control replicas, IP:port, comma separated")
+	f.StringVar(&o.settings, "settings", "", "settings file of a process to take cluster, control and auth from")
+	f.StringSliceVar(&o.control, "control", nil, "addresses of the control replicas, IP:port, comma-separated")
 	f.StringVar(&o.cluster, "cluster", "", "cluster id")
 	f.StringVar(&o.auth.SharedKeyFile, "shared-key-file", "", "file with the shared key")
-	f.StringVar(&o.auth.CertFile, "cert-file", "", "certificate (PEM), turns TLS on")
+	f.StringVar(&o.auth.CertFile, "cert-file", "", "certificate (PEM), enables TLS")
 	f.StringVar(&o.auth.KeyFile, "key-file", "", "key of the certificate (PEM)")
 	f.StringVar(&o.auth.CAFile, "ca-file", "", "CA of the deployment (PEM)")
 	f.StringVar(&o.output, "output", outputText, "text or json")
-	f.DurationVar(&o.timeout, "timeout", defaultTimeout, "how long to try")
+	f.DurationVar(&o.timeout, "timeout", defaultTimeout, "how long to retry before giving up")
 }
 
-// commonFile is the part of any process's settings file that is used here.
+// commonFile is the part of a process's settings file that is used here.
 type commonFile struct {
 	Common settings.Common `yaml:"common"`
 }
 
-// client gives a client by the flags, or says what is missing.
-func (o *options) client() (*Client, error) {
+// newClient returns a client as set by the flags, or an error that names a missing flag.
+func (o *options) newClient() (*Client, error) {
 	if o.output != outputText && o.output != outputJSON {
-		return nil, usage("--output is neither text nor json")
+		return nil, usageError("--output is neither text nor json")
 	}
 	if o.settings != "" {
-		if err := o.fromSettings(); err != nil {
+		if err := o.fillFromSettings(); err != nil {
 			return nil, err
 		}
 	}
 	switch {
 	case len(o.control) == 0:
-		return nil, usage("--control or --settings is needed")
+		return nil, usageError("--control or --settings is needed")
 	case o.cluster == "":
-		return nil, usage("--cluster or --settings is needed")
+		return nil, usageError("--cluster or --settings is needed")
 	case o.auth.SharedKeyFile == "" && !o.auth.TLS():
-		return nil, usage("--shared-key-file, --cert-file or --settings is needed")
+		return nil, usageError("--shared-key-file, --cert-file or --settings is needed")
 	}
 	auth, err := rpc.LoadAuth(o.auth)
 	if err != nil {
@@ -82,9 +83,9 @@
 	return NewClient(o.cluster, o.control, auth), nil
 }
 
-// fromSettings fills what the flags leave out. The process that runs from the
-// file checks it strictly; here only the common part is looked at.
-func (o *options) fromSettings() error {
+// fillFromSettings sets the options that the flags leave out. It decodes only the common part of the
+// file; the process whose file it is checks it strictly.
+func (o *options) fillFromSettings() error {
 	data, err := os.ReadFile(o.settings)
 	if err != nil {
 		return cli.WithCode(cli.ExitInvalid, err)
@@ -105,24 +106,24 @@
 	return nil
 }
 
-func usage(problem string) error {
+func usageError(problem string) error {
 	return cli.WithCode(cli.ExitUsage, errorx.IllegalArgument.New("%s", problem))
 }
 
-// run gives a command its client and deadline, and errors their exit codes.
-func (o *options) run(do func(ctx context.Context, c *Client, out io.Writer, args []string) error) func(*cobra.Command, []string) error {
+// withClient runs a command with a client and a deadline, and sets the exit codes of its errors.
+func (o *options) withClient(runCommand func(ctx context.Context, c *Client, out io.Writer, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
-		c, err := o.client()
+		c, err := o.newClient()
 		if err != nil {
 			return err
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), o.timeout)
 		defer cancel()
-		return coded(do(ctx, c, cmd.OutOrStdout(), args))
+		return withExitCode(runCommand(ctx, c, cmd.OutOrStdout(), args))
 	}
 }
 
-func coded(err error) error {
+func withExitCode(err error) error {
 	switch {
 	case errorx.IsOfType(err, Refused):
 		return cli.WithCode(cli.ExitRefused, err)
@@ -132,10 +133,10 @@
 	return err
 }
 
-// print writes a message as JSON, or what text writes.
-func (o *options) print(out io.Writer, m proto.Message, text func(io.Writer) error) error {
+// printResult writes the message as JSON, or calls printText, depending on --output.
+func (o *options) printResult(out io.Writer, m proto.Message, printText func(io.Writer) error) error {
 	if o.output != outputJSON {
-		return text(out)
+		return printText(out)
 	}
 	data, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(m)
 	if err != nil {
--- a/internal/ctl/print.go
+++ b/internal/ctl/print.go
@@ -9,10 +9,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// tabPadding is the space between columns.
+// tabPadding is the number of spaces between columns.
 const tabPadding = 2
 
-func table(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, tabPadding, ' ', 0) }
+func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, tabPadding, ' ', 0) }
 
 func printStatus(w io.Writer, st *pb.StatusResponse) error {
 	fmt.Fprintf(w, "revision %d, view %d, term %d, leader replica %d, role changes %d, open claims %d\n\n",
@@ -32,7 +32,7 @@
 }
 
 func printEntries(w io.Writer, entries []*pb.EntryInfo) error {
-	t := table(w)
+	t := newTable(w)
 	fmt.Fprintln(t, "ENTRY\tDATA CENTRE\tCALLERS\tREVISION\tVIEW\tLOAD\tLEAVING")
 	for _, e := range entries {
 		id := e.GetIdentity()
@@ -43,13 +43,13 @@
 }
 
 func printServers(w io.Writer, servers []*pb.ServerStatus) error {
-	t := table(w)
+	t := newTable(w)
 	fmt.Fprintln(t, "BACKEND SERVER\tDATA CENTRE\tSTATE\tROLE\tMODEL\tRUNNING\tDRAINED\tORDER")
 	for _, s := range servers {
 		b := s.GetServer()
 		model := strings.Trim(b.GetModel()+" "+b.GetModelVersion(), " ")
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%v\t%s\n", b.GetId(), b.GetDataCentre(),
-			lower(b.GetState().String(), "SERVER_STATE_"), lower(b.GetRole().String(), "ENGINE_ROLE_"),
+			enumText(b.GetState().String(), "SERVER_STATE_"), enumText(b.GetRole().String(), "ENGINE_ROLE_"),
 			model, s.GetLoad().GetRunning(), b.GetDrained(), orderText(s.GetUnresolved()))
 	}
 	return t.Flush()
@@ -59,10 +59,10 @@
 	if o == nil {
 		return "-"
 	}
-	return fmt.Sprintf("%s %s", o.GetId(), lower(o.GetState().String(), "ORDER_STATE_"))
+	return fmt.Sprintf("%s %s", o.GetId(), enumText(o.GetState().String(), "ORDER_STATE_"))
 }
 
-// lower gives an enum value's name without its prefix.
-func lower(name, prefix string) string {
+// enumText returns the name of an enum value in lower case and without its prefix.
+func enumText(name, prefix string) string {
 	return strings.ToLower(strings.TrimPrefix(name, prefix))
 }
--- a/internal/ctl/servers.go
+++ b/internal/ctl/servers.go
@@ -11,19 +11,20 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// addRequestID adds the flag that makes a command safe to run again.
+// addRequestID adds the flag --request-id, with which a command can be run again without making its
+// change twice.
 func addRequestID(cmd *cobra.Command, id *string) {
 	cmd.Flags().StringVar(id, "request-id", "",
-		"give the same id to run a command again after a lost answer (default a new one)")
+		"idempotency key: pass the same id to run a command again after a lost answer (default: a new id)")
 }
 
-func newDrain(o *options, use, short string, drained bool) *cobra.Command {
+func newDrainCommand(o *options, use, short string, drained bool) *cobra.Command {
 	var requestID string
 	cmd := &cobra.Command{Use: use + " SERVER", Short: short, Args: cobra.ExactArgs(1)}
 	addRequestID(cmd, &requestID)
-	cmd.RunE = o.run(func(ctx context.Context, c *Client, out io.Writer, args []string) error {
+	cmd.RunE = o.withClient(func(ctx context.Context, c *Client, out io.Writer, args []string) error {
 		req := &pb.DrainRequest{
-			ClusterId: c.cluster, Server: args[0], Drained: drained, RequestId: orNew(requestID),
+			ClusterId: c.cluster, Server: args[0], Drained: drained, RequestId: requestIDOrNew(requestID),
 		}
 		var resp *pb.DrainResponse
 		err := c.Call(ctx, func(ctx context.Context, op pb.Operator) (err error) {
@@ -33,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		return o.print(out, resp, func(w io.Writer) error {
+		return o.printResult(out, resp, func(w io.Writer) error {
 			_, err := fmt.Fprintf(w, "%s: drained %v\n", resp.GetServer().GetId(), resp.GetServer().GetDrained())
 			return err
 		})
@@ -41,30 +42,30 @@
 	return cmd
 }
 
-func orNew(id string) string {
+func requestIDOrNew(id string) string {
 	if id == "" {
 		return uuid.NewString()
 	}
 	return id
 }
 
-func newRoles(o *options) *cobra.Command {
+func newRolesCommand(o *options) *cobra.Command {
 	var requestID string
 	cmd := &cobra.Command{
 		Use: "roles [SERVER prefill|decode|mixed]", Short: "Show engines' roles, or change one",
 		Args: cobra.MatchAll(cobra.MaximumNArgs(2), func(_ *cobra.Command, args []string) error {
 			if len(args) == 1 {
-				return usage("name the role too: prefill, decode or mixed")
+				return usageError("name the role too: prefill, decode or mixed")
 			}
 			return nil
 		}),
 	}
 	addRequestID(cmd, &requestID)
-	cmd.RunE = o.run(func(ctx context.Context, c *Client, out io.Writer, args []string) error {
+	cmd.RunE = o.withClient(func(ctx context.Context, c *Client, out io.Writer, args []string) error {
 		if len(args) == 0 {
 			return o.showRoles(ctx, c, out)
 		}
-		return o.changeRole(ctx, c, out, args[0], args[1], orNew(requestID))
+		return o.changeRole(ctx, c, out, args[0], args[1], requestIDOrNew(requestID))
 	})
 	return cmd
 }
@@ -80,19 +81,19 @@
 			engines = append(engines, s)
 		}
 	}
-	only := &pb.StatusResponse{Servers: engines, RoleChanges: st.GetRoleChanges()}
-	return o.print(out, only, func(w io.Writer) error { return printServers(w, engines) })
+	shown := &pb.StatusResponse{Servers: engines, RoleChanges: st.GetRoleChanges()}
+	return o.printResult(out, shown, func(w io.Writer) error { return printServers(w, engines) })
 }
 
 func (o *options) changeRole(ctx context.Context, c *Client, out io.Writer, server, role, requestID string) error {
-	want, err := parseRole(role)
+	engineRole, err := parseRole(role)
 	if err != nil {
 		return err
 	}
 	var resp *pb.ChangeRoleResponse
 	err = c.Call(ctx, func(ctx context.Context, op pb.Operator) (err error) {
 		resp, err = op.ChangeRole(ctx, &pb.ChangeRoleRequest{
-			ClusterId: c.cluster, Server: server, Role: want, RequestId: requestID,
+			ClusterId: c.cluster, Server: server, Role: engineRole, RequestId: requestID,
 		})
 		return err
 	})
@@ -103,9 +104,9 @@
 	if order.GetState() == pb.OrderState_ORDER_STATE_REFUSED {
 		return Refused.New("%s", order.GetReason())
 	}
-	return o.print(out, resp, func(w io.Writer) error {
+	return o.printResult(out, resp, func(w io.Writer) error {
 		_, err := fmt.Fprintf(w, "order %s to %s: %s\n", order.GetId(), order.GetServer(),
-			lower(order.GetState().String(), "ORDER_STATE_"))
+			enumText(order.GetState().String(), "ORDER_STATE_"))
 		return err
 	})
 }
@@ -119,5 +120,5 @@
 	case "mixed":
 		return pb.EngineRole_ENGINE_ROLE_MIXED, nil
 	}
-	return 0, usage(fmt.Sprintf("%q is none of prefill, decode, mixed", role))
+	return 0, usageError(fmt.Sprintf("%q is none of prefill, decode, mixed", role))
 }
