--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -246,10 +246,10 @@
 // leave performs the graceful stop up to the point where closing the listeners cuts off no
 // request.
 func (h *Host) leave(cancelRequests func()) {
-	acceptFor := h.Settings.AnswerKeep + AddressPropagation
+	acceptFor := h.Settings.EntryListTTL + AddressPropagation
 	h.Log.Info("entry is leaving", "keep", acceptFor.String(), "requests", h.OpenRequests())
 	h.Post(entry.Stop{
-		AcceptFor: acceptFor, ShortOnlyAfter: h.Settings.AnswerKeep + connectGrace, EndsAfter: acceptFor + h.Settings.StopTimeout,
+		AcceptFor: acceptFor, ShortOnlyAfter: h.Settings.EntryListTTL + connectGrace, EndsAfter: acceptFor + h.Settings.StopTimeout,
 	})
 	time.Sleep(acceptFor)
 	deadline := time.Now().Add(h.Settings.StopTimeout)
--- a/internal/traffic/entries.go
+++ b/internal/traffic/entries.go
@@ -53,7 +53,7 @@
 			Weight: math.Round(e.Weight*1000) / 1000,
 		})
 	}
-	validSeconds := s.host.Settings.AnswerKeep.Seconds() * (1 - validityJitter*rand.Float64())
+	validSeconds := s.host.Settings.EntryListTTL.Seconds() * (1 - validityJitter*rand.Float64())
 	answer.KeepSeconds = math.Round(validSeconds*10) / 10
 	s.setCommonHeaders(c, outcome.Ran)
 	return c.JSON(answer)
