--- a/cmd/goldcrest-load/demo.go
+++ b/cmd/goldcrest-load/demo.go
@@ -83,8 +83,8 @@
 		defer os.RemoveAll(dir)
 	}
 	bed, err := testbed.New(testbed.Options{
-		Bin: o.bin, Dir: dir, Deployment: o.deployment, Deploy: o.deploy, TLS: true,
-		Tune: func(c *server.Config) { c.TimeScale = demoTimeScale },
+		BinDir: o.bin, Dir: dir, Deployment: o.deployment, DeployDir: o.deploy, TLS: true,
+		TuneServer: func(c *server.Config) { c.TimeScale = demoTimeScale },
 	})
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 		fmt.Fprintf(out, "%5.1fs  "+format+"\n", append([]any{time.Since(began).Seconds()}, args...)...)
 	}
 	say("start %s: %d control, %d entries, %d engines, %d plain servers",
-		o.deployment, len(bed.Control), len(bed.Entries), len(bed.Engines), len(bed.Plain))
+		o.deployment, len(bed.Control), len(bed.Entries), len(bed.Engines), len(bed.PlainServers))
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := bed.Start(starting); err != nil {
@@ -107,7 +107,7 @@
 	}
 	arrivals := w.Schedule(runName())
 	say("declaration applied, every entry serves; play %d requests", len(arrivals))
-	done := (&workload.Player{Callers: demoCallers(o, bed, w)}).Play(ctx, arrivals)
+	done := (&workload.Runner{Callers: demoCallers(o, bed, w)}).Run(ctx, arrivals)
 	say("all callers have their answers; compare with the journals")
 	return judge(out, o, bed, w, done)
 }
@@ -118,15 +118,15 @@
 	for i, m := range w.Members {
 		home := bed.Entries[i*len(bed.Entries)/len(w.Members)]
 		callers[m.Name] = caller.New(caller.Config{
-			Seeds: bed.EntryAddresses(), DataCentre: home.DataCentre, Member: m.Name,
-			Token: testbed.Token(o.deployment, m.Name), Patience: w.Patience, Seed: w.Seed + uint64(i),
+			SeedEntries: bed.EntryAddresses(), DataCentre: home.DataCentre, Member: m.Name,
+			Token: testbed.MemberToken(o.deployment, m.Name), RequestTimeout: w.RequestTimeout, Seed: w.Seed + uint64(i),
 		})
 	}
 	return callers
 }
 
-func judge(out io.Writer, o demoOptions, bed *testbed.Bed, w *workload.Workload, done []audit.Done) error {
-	records, err := bed.Journals()
+func judge(out io.Writer, o demoOptions, bed *testbed.Bed, w *workload.Workload, done []audit.FinishedRequest) error {
+	records, err := bed.JournalRecords()
 	if err != nil {
 		return err
 	}
@@ -136,19 +136,19 @@
 	}
 	for _, c := range w.NewReport(counts, done).Classes {
 		fmt.Fprintf(out, "%-18s requests %3d  whole %3d  first token p50 %6.1f ms p95 %6.1f ms  whole answer p95 %7.1f ms\n",
-			c.Class, c.Requests, c.Whole, c.FirstToken.P50, c.FirstToken.P95, c.Took.P95)
+			c.Class, c.Requests, c.Complete, c.TimeToFirstToken.P50, c.TimeToFirstToken.P95, c.Elapsed.P95)
 	}
 	if o.report != "" {
 		if err := writeReport(o.report, w, counts, done); err != nil {
 			return err
 		}
 	}
-	died := bed.Unmeant()
+	died := bed.UnexpectedlyExited()
 	if len(died) > 0 {
 		fmt.Fprintln(out, "finding: processes ended by themselves:", died)
 	}
-	fmt.Fprintln(out, counts.Line())
-	if counts.Bad() || counts.Unknown > 0 || len(died) > 0 {
+	fmt.Fprintln(out, counts.SummaryLine())
+	if counts.HasViolations() || counts.Unknown > 0 || len(died) > 0 {
 		return broken.New("%d findings", len(counts.Findings)+len(died))
 	}
 	return nil
--- a/cmd/goldcrest-load/overhead.go
+++ b/cmd/goldcrest-load/overhead.go
@@ -39,11 +39,11 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&o.Deployment, "deployment", "qalhat", "qalhat or qazaq")
-	f.StringVar(&o.Bin, "bin", "bin", "folder with the programs")
-	f.StringVar(&o.Deploy, "deploy", "deploy", "folder with the deployments")
+	f.StringVar(&o.BinDir, "bin", "bin", "folder with the programs")
+	f.StringVar(&o.DeployDir, "deploy", "deploy", "folder with the deployments")
 	f.IntVar(&o.Pairs, "pairs", 200, "pairs of streams for the latency")
-	f.IntVar(&o.Width, "width", 10, "pairs at once")
+	f.IntVar(&o.Concurrency, "width", 10, "pairs at once")
 	f.IntVar(&o.Streams, "streams", 200, "streams at once for the relay")
-	f.IntSliceVar(&o.Sizes, "sizes", []int{0, 200, 400, 600, 800}, "numbers of open streams for the memory")
+	f.IntSliceVar(&o.StreamCounts, "sizes", []int{0, 200, 400, 600, 800}, "numbers of open streams for the memory")
 	return cmd
 }
--- a/cmd/goldcrest-load/play.go
+++ b/cmd/goldcrest-load/play.go
@@ -71,8 +71,8 @@
 			return cli.WithCode(cli.ExitUsage, errNamespace.NewType("usage").New("--token %q is not MEMBER=TOKEN", pair))
 		}
 		callers[member] = caller.New(caller.Config{
-			Seeds: o.entries, DataCentre: o.dataCentre, Member: member, Token: token,
-			Patience: w.Patience, Seed: w.Seed + uint64(i),
+			SeedEntries: o.entries, DataCentre: o.dataCentre, Member: member, Token: token,
+			RequestTimeout: w.RequestTimeout, Seed: w.Seed + uint64(i),
 		})
 	}
 	for _, m := range w.Members {
@@ -80,14 +80,14 @@
 			return cli.WithCode(cli.ExitUsage, errNamespace.NewType("usage").New("no --token for member %s", m.Name))
 		}
 	}
-	done := (&workload.Player{Callers: callers}).Play(ctx, w.Schedule(runName()))
+	done := (&workload.Runner{Callers: callers}).Run(ctx, w.Schedule(runName()))
 	return report(out, w, done, o.journals)
 }
 
 // runName tells this run's marks from those of other runs.
 func runName() string { return strconv.FormatInt(time.Now().UnixNano(), 36) }
 
-func report(out io.Writer, w *workload.Workload, done []audit.Done, journals string) error {
+func report(out io.Writer, w *workload.Workload, done []audit.FinishedRequest, journals string) error {
 	counts := &audit.Counts{}
 	if journals != "" {
 		records, err := journal.ReadAll(journals)
@@ -101,14 +101,14 @@
 	if err := enc.Encode(w.NewReport(counts, done)); err != nil {
 		return err
 	}
-	if journals != "" && counts.Bad() {
+	if journals != "" && counts.HasViolations() {
 		return broken.New("%s", strings.Join(counts.Findings, "; "))
 	}
 	return nil
 }
 
 // writeReport writes the report to a file.
-func writeReport(path string, w *workload.Workload, counts *audit.Counts, done []audit.Done) error {
+func writeReport(path string, w *workload.Workload, counts *audit.Counts, done []audit.FinishedRequest) error {
 	data, err := json.MarshalIndent(w.NewReport(counts, done), "", "  ")
 	if err != nil {
 		return err
--- a/internal/capacity/processes.go
+++ b/internal/capacity/processes.go
@@ -60,7 +60,7 @@
 	}
 	defer os.RemoveAll(dir)
 	bed, err := testbed.New(testbed.Options{
-		Bin: p.Bin, Dir: dir, Deploy: p.Deploy, Deployment: "qalhat", Entries: entries, Engines: engines,
+		BinDir: p.Bin, Dir: dir, DeployDir: p.Deploy, Deployment: "qalhat", EntriesPerDataCentre: entries, EnginesPerDataCentre: engines,
 	})
 	if err != nil {
 		return idleFleet{}, err
--- a/internal/proof/control/control_test.go
+++ b/internal/proof/control/control_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	bed, err := testbed.New(testbed.Options{
-		Bin: bin, Dir: dir, Deployment: proof.Deployment, Deploy: root + "/deploy", ForwardControl: links,
+		BinDir: bin, Dir: dir, Deployment: proof.Deployment, DeployDir: root + "/deploy", ForwardControl: links,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -195,7 +195,7 @@
 				victim := c.victim(ctx)
 				before := incarnation(t, ctx, bed, victim)
 				if err := c.loseDisk(ctx, victim, n == 0); err != nil {
-					list, _ := bed.Ctl(ctx, "replica", "list")
+					list, _ := bed.RunCtl(ctx, "replica", "list")
 					t.Errorf("%v\n%s", err, list)
 					return
 				}
--- a/internal/proof/control/faults.go
+++ b/internal/proof/control/faults.go
@@ -78,7 +78,7 @@
 }
 
 func (c *chaos) cut(ctx context.Context, victim int) {
-	silent := forwarder.Mode{SilentToServer: true, SilentToClient: true}
+	silent := forwarder.Mode{BlackholeToServer: true, BlackholeToClient: true}
 	c.links(victim, silent, silent)
 	sleep(ctx, faultTime)
 	c.links(victim, forwarder.Mode{}, forwarder.Mode{})
@@ -86,7 +86,7 @@
 
 // cutOneWay lets the victim speak but not hear, or hear but not speak.
 func (c *chaos) cutOneWay(ctx context.Context, victim int) {
-	silent := forwarder.Mode{SilentToServer: true}
+	silent := forwarder.Mode{BlackholeToServer: true}
 	if c.random.IntN(2) == 0 {
 		c.links(victim, silent, forwarder.Mode{})
 	} else {
@@ -101,8 +101,8 @@
 	own := uint64(victim + 1)
 	for id := uint64(1); id <= uint64(len(c.bed.Control)); id++ {
 		if id != own {
-			c.bed.Link(own, id).SilenceOpen()
-			c.bed.Link(id, own).SilenceOpen()
+			c.bed.ControlForwarder(own, id).BlackholeOpenConnections()
+			c.bed.ControlForwarder(id, own).BlackholeOpenConnections()
 		}
 	}
 	sleep(ctx, faultTime)
@@ -113,8 +113,8 @@
 	own := uint64(victim + 1)
 	for id := uint64(1); id <= uint64(len(c.bed.Control)); id++ {
 		if id != own {
-			c.bed.Link(own, id).Set(from)
-			c.bed.Link(id, own).Set(to)
+			c.bed.ControlForwarder(own, id).SetMode(from)
+			c.bed.ControlForwarder(id, own).SetMode(to)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		return err
 	}
 	id := strconv.Itoa(victim + 1)
-	_, err := c.bed.Ctl(ctx, "replica", "replace", id, id, "--address", p.Address, "--data-centre", p.DataCentre)
+	_, err := c.bed.RunCtl(ctx, "replica", "replace", id, id, "--address", p.Address, "--data-centre", p.DataCentre)
 	return err
 }
 
--- a/internal/proof/control/measure_test.go
+++ b/internal/proof/control/measure_test.go
@@ -117,7 +117,7 @@
 		},
 		{
 			"planned stop", func(p *testbed.Process) { p.Signal(syscall.SIGTERM) },
-			func(p *testbed.Process) { <-p.Done(); _ = p.Start() },
+			func(p *testbed.Process) { <-p.Exited(); _ = p.Start() },
 		},
 	} {
 		var took []time.Duration
@@ -151,7 +151,7 @@
 	}
 	defer os.RemoveAll(dir)
 	bed, err := testbed.New(testbed.Options{
-		Bin: bin, Dir: dir, Deployment: proof.Deployment, Deploy: root + "/deploy", Engines: 1,
+		BinDir: bin, Dir: dir, Deployment: proof.Deployment, DeployDir: root + "/deploy", EnginesPerDataCentre: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proof/credentials_test.go
+++ b/internal/proof/credentials_test.go
@@ -32,7 +32,7 @@
 			return err
 		}
 		for _, member := range Members {
-			if bytes.Contains(data, []byte(testbed.Token(Deployment, member))) {
+			if bytes.Contains(data, []byte(testbed.MemberToken(Deployment, member))) {
 				leaks = append(leaks, path)
 			}
 		}
@@ -47,7 +47,7 @@
 // Guards against a check of written credentials that finds none wherever they stand.
 func TestWrittenCredentialIsFound(t *testing.T) {
 	dir := t.TempDir()
-	line := `{"msg":"call","header":"Bearer ` + testbed.Token(Deployment, Members[1]) + `"}`
+	line := `{"msg":"call","header":"Bearer ` + testbed.MemberToken(Deployment, Members[1]) + `"}`
 	if err := os.MkdirAll(filepath.Join(dir, "logs"), 0o700); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proof/faults.go
+++ b/internal/proof/faults.go
@@ -87,7 +87,7 @@
 
 func silenceConnections(_ context.Context, t *Trial) error {
 	for _, f := range t.Bed.Forwarders {
-		f.SilenceOpen()
+		f.BlackholeOpenConnections()
 	}
 	return nil
 }
@@ -122,10 +122,10 @@
 	// Moved streams ran at more than one engine or were resumed by their
 	// callers; MovedStall is the longest silence that each of these callers saw,
 	// Stall that of all streams, in milliseconds.
-	Moved      int               `json:"moved"`
-	MovedStall workload.Quantile `json:"moved_stall_ms"`
-	Stall      workload.Quantile `json:"stall_ms"`
-	Findings   []string          `json:"findings,omitempty"`
+	Moved      int                `json:"moved"`
+	MovedStall workload.Quantiles `json:"moved_stall_ms"`
+	Stall      workload.Quantiles `json:"stall_ms"`
+	Findings   []string           `json:"findings,omitempty"`
 }
 
 // faultSums adds trials up.
@@ -143,13 +143,13 @@
 	r, c := &s.report, out.Counts
 	r.Seeds++
 	r.Accepted += c.Requests - c.RefusedNotRun
-	r.Whole += c.Whole
-	r.Doubled += c.Doubled
+	r.Whole += c.Complete
+	r.Doubled += c.DuplicateRuns
 	r.Resumes += out.Resumes()
 	r.Findings = append(r.Findings, c.Findings...)
 	runs := startsByMark(out.Records)
 	for _, d := range out.Done {
-		if d.Path != "" || !d.Result.Whole {
+		if d.Path != "" || !d.Result.Complete {
 			continue
 		}
 		s.all.Add(longest(d))
@@ -162,19 +162,21 @@
 
 // longest is the longest silence of a stream, the wait for its first token
 // included.
-func longest(d audit.Done) time.Duration { return max(d.Result.FirstToken, d.Result.LongestGap) }
+func longest(d audit.FinishedRequest) time.Duration {
+	return max(d.Result.TimeToFirstToken, d.Result.MaxChunkGap)
+}
 
 func (s *faultSums) sum() FaultReport {
 	r := s.report
 	r.ShareWhole = float64(r.Whole) / float64(max(r.Accepted, 1))
-	r.Stall, r.MovedStall = s.all.Quantile(), s.moved.Quantile()
+	r.Stall, r.MovedStall = s.all.Quantiles(), s.moved.Quantiles()
 	return r
 }
 
 func startsByMark(records []journal.Record) map[string]int {
 	runs := make(map[string]int)
 	for _, r := range records {
-		if r.Event == journal.Started {
+		if r.Event == journal.RequestStarted {
 			runs[r.Mark]++
 		}
 	}
--- a/internal/proof/fixture.go
+++ b/internal/proof/fixture.go
@@ -29,9 +29,9 @@
 // accepts connections and closes them, where without it it refuses them.
 func NewBed(root, bin, dir string, forward bool) (*testbed.Bed, error) {
 	return testbed.New(testbed.Options{
-		Bin: bin, Dir: dir, Deployment: Deployment, Deploy: root + "/deploy",
-		Engines: 2, Entries: 2, Forward: forward,
-		Tune: func(c *server.Config) {
+		BinDir: bin, Dir: dir, Deployment: Deployment, DeployDir: root + "/deploy",
+		EnginesPerDataCentre: 2, EntriesPerDataCentre: 2, ForwardEngines: forward,
+		TuneServer: func(c *server.Config) {
 			c.TimeScale, c.LeaveTime, c.ChangeTime = timeScale, leaveTime, changeTime
 		},
 	})
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
 	for _, f := range bed.Forwarders {
-		f.Set(forwarder.Mode{})
+		f.SetMode(forwarder.Mode{})
 	}
 	for _, p := range bed.Processes() {
 		p.Signal(syscall.SIGCONT)
--- a/internal/proof/fixture_test.go
+++ b/internal/proof/fixture_test.go
@@ -127,14 +127,14 @@
 // run plays the load with the faults and checks what must hold in every trial.
 func run(t *testing.T, ctx context.Context, tr *Trial, l Load, faults func(context.Context)) *Outcome {
 	t.Helper()
-	before := len(tr.Bed.Unmeant())
+	before := len(tr.Bed.UnexpectedlyExited())
 	out, err := tr.Run(ctx, l, faults)
 	if err != nil {
 		t.Fatal(err)
 	}
 	check(t, out)
 	checkNoCredentialWritten(t, tr.Bed)
-	if died := tr.Bed.Unmeant(); len(died) > before {
+	if died := tr.Bed.UnexpectedlyExited(); len(died) > before {
 		t.Errorf("processes ended by themselves: %v", died)
 	}
 	return out
@@ -158,12 +158,12 @@
 	t.Helper()
 	c := out.Counts
 	t.Logf("requests %d, whole %d, refused not run %d, unknown %d, resumes %d, %s",
-		c.Requests, c.Whole, c.RefusedNotRun, c.Unknown, out.Resumes(), out.Stall())
+		c.Requests, c.Complete, c.RefusedNotRun, c.Unknown, out.Resumes(), out.Stall())
 	for _, f := range c.Findings {
 		t.Error(f)
 	}
-	if c.Bad() {
+	if c.HasViolations() {
 		t.Errorf("cut %d, doubled %d, wrong member %d, not run but ran %d, whole %d",
-			c.Cut, c.Doubled, c.WrongMember, c.NotRunRan, c.Whole)
+			c.Failed, c.DuplicateRuns, c.WrongMember, c.FalseNotRun, c.Complete)
 	}
 }
--- a/internal/proof/member_test.go
+++ b/internal/proof/member_test.go
@@ -17,13 +17,13 @@
 )
 
 // question makes a completion with its audit record.
-func question(member, extra string, tokens int, rng *rand.Rand) (caller.Completion, audit.Done) {
+func question(member, extra string, tokens int, rng *rand.Rand) (caller.Completion, audit.FinishedRequest) {
 	mark := RunName()
 	prompt := workload.Prompt(member, "question", mark, 50, 100, rng) + extra
 	req := caller.Completion{
 		ID: uuid.NewString(), Service: ServiceUrgent, Prompt: prompt, MaxTokens: tokens, Seed: rng.Uint64() >> 12,
 	}
-	return req, audit.Done{Class: "question", Member: member, Mark: mark, Prompt: prompt, Seed: req.Seed, Tokens: tokens}
+	return req, audit.FinishedRequest{Class: "question", Member: member, Mark: mark, Prompt: prompt, Seed: req.Seed, Tokens: tokens}
 }
 
 // A rival label learns the id of another's request and asks every entry to
@@ -51,7 +51,7 @@
 		ask()
 		wg.Wait()
 		ask()
-		out, err := tr.Judge([]audit.Done{own, foreign})
+		out, err := tr.Judge([]audit.FinishedRequest{own, foreign})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 		rng := rand.New(rand.NewPCG(seed, 10))
 		poison, bad := question(Members[0], "[poison]", 50, rng)
 		for _, e := range tr.Bed.Engines {
-			e.Expect()
+			e.ExpectExit()
 		}
 		var last *caller.Result
 		out := run(t, ctx, tr, Load{Seed: seed, Duration: 4 * time.Second, Streams: 12}, func(ctx context.Context) {
@@ -86,7 +86,7 @@
 		})
 		deaths := 0
 		for _, r := range out.Records {
-			if r.Event == journal.Poisoned && r.Mark == bad.Mark {
+			if r.Event == journal.CrashTriggered && r.Mark == bad.Mark {
 				deaths++
 			}
 		}
--- a/internal/proof/once.go
+++ b/internal/proof/once.go
@@ -44,7 +44,7 @@
 type OnceHistory struct {
 	mu   sync.Mutex
 	ops  []porcupine.Operation
-	done []audit.Done
+	done []audit.FinishedRequest
 }
 
 // Send sends the call at the entry given ("" for the caller's own choice) and
@@ -52,7 +52,7 @@
 func (h *OnceHistory) Send(ctx context.Context, c *caller.Client, call OnceCall, entry string, client int) *caller.Result {
 	began := time.Now()
 	res := c.Call(ctx, caller.Call{
-		ID: uuid.NewString(), Service: ServicePlain, Method: "GET", Key: call.Key, Entry: entry,
+		ID: uuid.NewString(), Service: ServicePlain, Method: "GET", IdempotencyKey: call.Key, Entry: entry,
 		Path: PathOnce + "?mark=" + call.Mark + "&late=" + call.Late,
 	})
 	ended := time.Now()
@@ -61,14 +61,14 @@
 	h.ops = append(h.ops, porcupine.Operation{
 		ClientId: client, Input: call.Key, Output: outputOf(res), Call: began.UnixNano(), Return: ended.UnixNano(),
 	})
-	h.done = append(h.done, audit.Done{
-		Class: "once", Member: call.Member, Mark: call.Mark, Path: PathOnce, Once: true, Result: res,
+	h.done = append(h.done, audit.FinishedRequest{
+		Class: "once", Member: call.Member, Mark: call.Mark, Path: PathOnce, AtMostOnce: true, Result: res,
 	})
 	return res
 }
 
 func outputOf(res *caller.Result) onceOutput {
-	if !res.Whole {
+	if !res.Complete {
 		return onceOutput{closed: res.Outcome == outcome.Unknown || res.Code == outcome.CodeAlreadyRan}
 	}
 	var got server.PlainAnswer
@@ -77,7 +77,7 @@
 }
 
 // Done gives all sends as the audit takes them.
-func (h *OnceHistory) Done() []audit.Done {
+func (h *OnceHistory) Done() []audit.FinishedRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.done
--- a/internal/proof/once_test.go
+++ b/internal/proof/once_test.go
@@ -87,7 +87,7 @@
 			}
 			leader.Kill()
 			pause(ctx, 600*time.Millisecond)
-			tr.Bed.Plain[0].Kill()
+			tr.Bed.PlainServers[0].Kill()
 		})
 		sendEverywhere(ctx, tr, h, rng)
 		wg.Wait()
--- a/internal/proof/orders.go
+++ b/internal/proof/orders.go
@@ -30,10 +30,10 @@
 			lives[r.Incarnation] = e
 		}
 		switch r.Event {
-		case journal.OrderBegan:
+		case journal.OrderStarted:
 			began++
 			findings = append(findings, e.begin(r)...)
-		case journal.Cancelled:
+		case journal.RequestCancelled:
 			findings = append(findings, r.Server+" cut "+r.RequestID+" for an order")
 		case journal.OrderDone:
 			if e.running == r.Order.ID {
--- a/internal/proof/orders_test.go
+++ b/internal/proof/orders_test.go
@@ -45,7 +45,7 @@
 func waitRole(t *testing.T, ctx context.Context, tr *Trial, engine, role string) {
 	t.Helper()
 	for ctx.Err() == nil {
-		records, err := tr.Bed.Journals()
+		records, err := tr.Bed.JournalRecords()
 		if err != nil {
 			t.Error(err)
 			return
--- a/internal/proof/play_test.go
+++ b/internal/proof/play_test.go
@@ -33,8 +33,8 @@
 		}
 		cmd := exec.CommandContext(ctx, filepath.Join(bin, "goldcrest-load"), "play", "--workload", file,
 			"--entries", strings.Join(tr.Bed.EntryAddresses(), ","), "--journals", filepath.Join(tr.Bed.Dir(), "journals"),
-			"--token", "steppe-records="+testbed.Token(Deployment, "steppe-records"),
-			"--token", "songwriters-union="+testbed.Token(Deployment, "songwriters-union"))
+			"--token", "steppe-records="+testbed.MemberToken(Deployment, "steppe-records"),
+			"--token", "songwriters-union="+testbed.MemberToken(Deployment, "songwriters-union"))
 		out, err := cmd.Output()
 		if err != nil {
 			t.Fatalf("%v: %s", err, out)
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 		c := report.Counts
-		if len(report.Classes) != 2 || c.Requests == 0 || c.Whole != c.Requests {
+		if len(report.Classes) != 2 || c.Requests == 0 || c.Complete != c.Requests {
 			t.Errorf("report: %s", out)
 		}
 	})
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -43,8 +43,8 @@
 			stop(t, tr.Bed.Entries[0])
 		})
 		for _, d := range out.Done {
-			if d.Result.Tries > 1 {
-				t.Errorf("%s %s: %d tries, %v", d.Class, d.Mark, d.Result.Tries, d.Result.Err)
+			if d.Result.Attempts > 1 {
+				t.Errorf("%s %s: %d tries, %v", d.Class, d.Mark, d.Result.Attempts, d.Result.Err)
 			}
 		}
 	})
@@ -85,7 +85,7 @@
 	t.Helper()
 	left := make(map[string]int64)
 	for _, r := range records {
-		if r.Event == journal.Leaving {
+		if r.Event == journal.ServerLeaving {
 			left[r.Incarnation] = r.UnixNS
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	for _, r := range records {
 		at, ok := left[r.Incarnation]
-		if ok && r.Event == journal.Received && r.UnixNS > at+leaveLimit.Nanoseconds() {
+		if ok && r.Event == journal.RequestReceived && r.UnixNS > at+leaveLimit.Nanoseconds() {
 			t.Errorf("%s got %s %v after it began to leave", r.Server, r.RequestID, time.Duration(r.UnixNS-at))
 		}
 	}
--- a/internal/proof/tls_test.go
+++ b/internal/proof/tls_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	b, err := testbed.New(testbed.Options{
-		Bin: bin, Dir: dir, Deployment: Deployment, Deploy: root + "/deploy", Engines: 1, Entries: 1, TLS: true,
+		BinDir: bin, Dir: dir, Deployment: Deployment, DeployDir: root + "/deploy", EnginesPerDataCentre: 1, EntriesPerDataCentre: 1, TLS: true,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proof/trial.go
+++ b/internal/proof/trial.go
@@ -55,7 +55,7 @@
 )
 
 func (l Load) workload() *workload.Workload {
-	w := &workload.Workload{Seed: l.Seed, Duration: l.Duration, MaxRequests: 2000, Patience: patience}
+	w := &workload.Workload{Seed: l.Seed, Duration: l.Duration, MaxRequests: 2000, RequestTimeout: patience}
 	for _, m := range Members {
 		w.Members = append(w.Members, workload.Member{Name: m, Weight: 1})
 	}
@@ -68,7 +68,7 @@
 			Name: "statement", Service: ServiceBulk, Rate: l.Bulk, SharedTokens: 600,
 			PromptTokens: workload.Range{Min: 1000, Max: 4000}, OutputTokens: workload.Range{Min: longTokens, Max: longTokens * 3 / 2},
 		},
-		{Name: "balance", Service: ServicePlain, Rate: l.Once, Method: "GET", Path: PathOnce, Once: true},
+		{Name: "balance", Service: ServicePlain, Rate: l.Once, Method: "GET", Path: PathOnce, AtMostOnce: true},
 		{Name: "payouts", Service: ServicePlain, Rate: l.Lookups, Method: "GET", Path: PathRepeat},
 	} {
 		if c.Rate > 0 {
@@ -92,9 +92,9 @@
 	t := &Trial{Bed: bed, Callers: make(map[string]*caller.Client)}
 	for i, member := range Members {
 		t.Callers[member] = caller.New(caller.Config{
-			Seeds: bed.EntryAddresses(), DataCentre: bed.Entries[i*len(bed.Entries)/len(Members)].DataCentre,
-			Member: member, Token: testbed.Token(Deployment, member), Patience: patience, Seed: seed + uint64(i),
-			Stall: callerStall, RetryFor: retryFor,
+			SeedEntries: bed.EntryAddresses(), DataCentre: bed.Entries[i*len(bed.Entries)/len(Members)].DataCentre,
+			Member: member, Token: testbed.MemberToken(Deployment, member), RequestTimeout: patience, Seed: seed + uint64(i),
+			StallTimeout: callerStall, RetryWindow: retryFor,
 		})
 	}
 	return t
@@ -111,7 +111,7 @@
 // Outcome is what a trial found.
 type Outcome struct {
 	Counts  *audit.Counts
-	Done    []audit.Done
+	Done    []audit.FinishedRequest
 	Records []journal.Record
 }
 
@@ -128,11 +128,11 @@
 func (o *Outcome) Stall() string {
 	h := workload.NewHistogram()
 	for _, d := range o.Done {
-		if d.Result.Whole && d.Result.FirstToken > 0 {
-			h.Add(d.Result.LongestGap)
+		if d.Result.Complete && d.Result.TimeToFirstToken > 0 {
+			h.Add(d.Result.MaxChunkGap)
 		}
 	}
-	q := h.Quantile()
+	q := h.Quantiles()
 	return fmt.Sprintf("longest gap of a stream p50 %.0f ms, p99 %.0f ms, max %.0f ms", q.P50, q.P99, q.Max)
 }
 
@@ -142,14 +142,14 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { faults(ctx) })
 	arrivals := l.workload().Schedule(RunName())
-	done := (&workload.Player{Callers: t.Callers}).Play(ctx, arrivals)
+	done := (&workload.Runner{Callers: t.Callers}).Run(ctx, arrivals)
 	wg.Wait()
 	return t.Judge(done)
 }
 
 // Judge compares results with the journals. Errors: of the journals.
-func (t *Trial) Judge(done []audit.Done) (*Outcome, error) {
-	records, err := t.Bed.Journals()
+func (t *Trial) Judge(done []audit.FinishedRequest) (*Outcome, error) {
+	records, err := t.Bed.JournalRecords()
 	if err != nil {
 		return nil, err
 	}
@@ -159,18 +159,18 @@
 // Busiest gives the process among those given whose stand-in has started the
 // most streams and not finished them, by the journals; the first when none has.
 func (t *Trial) Busiest(among []*testbed.Process) (*testbed.Process, error) {
-	records, err := t.Bed.Journals()
+	records, err := t.Bed.JournalRecords()
 	if err != nil {
 		return nil, err
 	}
 	open := make(map[string]int)
 	for _, r := range records {
 		switch r.Event {
-		case journal.Started:
+		case journal.RequestStarted:
 			open[r.Server]++
-		case journal.Finished, journal.Cancelled:
+		case journal.RequestFinished, journal.RequestCancelled:
 			open[r.Server]--
-		case journal.Began:
+		case journal.ServerStarted:
 			open[r.Server] = 0
 		}
 	}
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -17,17 +17,17 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// MarkEvery is how many tokens apart the member's mark stands in an answer:
+// MarkInterval is how many tokens apart the member's mark stands in an answer:
 // often enough that a leaked chunk of a few tokens shows whose it is.
-const MarkEvery = 8
+const MarkInterval = 8
 
 var marks = regexp.MustCompile(`\[member=([a-z0-9-]+)\]`)
 
 // Mark gives a member's mark as it stands in prompts and answers.
 func Mark(member string) string { return "[member=" + member + "]" }
 
-// Member gives the member whose mark comes first in text, or "".
-func Member(text string) string {
+// MemberOf gives the member whose mark comes first in text, or "".
+func MemberOf(text string) string {
 	found := marks.FindStringSubmatch(text)
 	if found == nil {
 		return ""
@@ -35,8 +35,8 @@
 	return found[1]
 }
 
-// Foreign gives a member, not the one given, whose mark stands in text, or "".
-func Foreign(text, member string) string {
+// ForeignMember gives a member, not the one given, whose mark stands in text, or "".
+func ForeignMember(text, member string) string {
 	for _, found := range marks.FindAllStringSubmatch(text, -1) {
 		if found[1] != member {
 			return found[1]
@@ -56,7 +56,7 @@
 // many tokens that text has.
 func NewGenerator(prompt string, seed uint64, text string, tokens int) *Generator {
 	g := &Generator{digest: xxhash.New(), next: tokens}
-	if member := Member(prompt); member != "" {
+	if member := MemberOf(prompt); member != "" {
 		g.mark = Mark(member)
 	}
 	g.write(prompt)
@@ -68,7 +68,7 @@
 // Next gives the next token's text.
 func (g *Generator) Next() string {
 	token := fmt.Sprintf(" %07x", g.digest.Sum64()>>36)
-	if g.next%MarkEvery == 0 {
+	if g.next%MarkInterval == 0 {
 		token = " " + g.mark + token
 	}
 	g.next++
@@ -78,8 +78,8 @@
 
 func (g *Generator) write(text string) { _, _ = g.digest.WriteString(text) }
 
-// Whole gives the whole answer of that many tokens.
-func Whole(prompt string, seed uint64, tokens int) string {
+// FullText gives the whole answer of that many tokens.
+func FullText(prompt string, seed uint64, tokens int) string {
 	g := NewGenerator(prompt, seed, "", 0)
 	var b strings.Builder
 	for range tokens {
@@ -88,5 +88,5 @@
 	return b.String()
 }
 
-// PromptTokens estimates how many tokens a prompt has.
-func PromptTokens(prompt string) int { return len(prompt)/engineapi.BytesPerToken + 1 }
+// EstimatePromptTokens estimates how many tokens a prompt has.
+func EstimatePromptTokens(prompt string) int { return len(prompt)/engineapi.BytesPerToken + 1 }
--- a/internal/standin/audit/audit.go
+++ b/internal/standin/audit/audit.go
@@ -15,8 +15,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/server"
 )
 
-// Done is one request of one caller with its result.
-type Done struct {
+// FinishedRequest is one request of one caller with its result.
+type FinishedRequest struct {
 	// Class is the workload's name for it.
 	Class  string
 	Member string
@@ -27,49 +27,49 @@
 	Seed   uint64
 	Tokens int
 	Path   string
-	// Once tells that the call may run once at most.
-	Once   bool
-	Result *caller.Result
+	// AtMostOnce tells that the call may run once at most.
+	AtMostOnce bool
+	Result     *caller.Result
 }
 
 // plain tells whether it is a call of a plain service.
-func (d *Done) plain() bool { return d.Path != "" }
+func (d *FinishedRequest) plain() bool { return d.Path != "" }
 
-// Counts is what an audit found. Requests = Whole + RefusedNotRun + Unknown + Cut.
+// Counts is what an audit found. Requests = Complete + RefusedNotRun + Unknown + Failed.
 type Counts struct {
 	Requests int `json:"requests"`
-	// Whole answers are complete and byte for byte right.
-	Whole int `json:"whole"`
+	// Complete answers are complete and byte for byte right.
+	Complete int `json:"whole"`
 	// RefusedNotRun requests ended with a refusal that says "not run".
 	RefusedNotRun int `json:"refused_not_run"`
 	// Unknown once-only calls ended with "unknown" or "already ran".
 	Unknown int `json:"unknown"`
-	// Cut requests got no whole answer and no such refusal.
-	Cut int `json:"cut"`
-	// Doubled counts once-only calls with more than one run.
-	Doubled int `json:"doubled"`
+	// Failed requests got no whole answer and no such refusal.
+	Failed int `json:"cut"`
+	// DuplicateRuns counts once-only calls with more than one run.
+	DuplicateRuns int `json:"doubled"`
 	// WrongMember counts answers with another member's mark and calls that
 	// reached a backend server under another member's name.
 	WrongMember int `json:"wrong_member"`
-	// NotRunRan counts refusals that say "not run" of requests that ran.
-	NotRunRan int `json:"not_run_ran"`
+	// FalseNotRun counts refusals that say "not run" of requests that ran.
+	FalseNotRun int `json:"not_run_ran"`
 	// Findings tells of each broken promise, in words.
 	Findings []string `json:"findings,omitempty"`
 }
 
-// Line is the demo's last line.
-func (c *Counts) Line() string {
+// SummaryLine is the demo's last line.
+func (c *Counts) SummaryLine() string {
 	return fmt.Sprintf("demo: requests=%d whole=%d refused_not_run=%d cut=%d doubled=%d wrong_member=%d",
-		c.Requests, c.Whole, c.RefusedNotRun, c.Cut+c.Unknown, c.Doubled, c.WrongMember)
+		c.Requests, c.Complete, c.RefusedNotRun, c.Failed+c.Unknown, c.DuplicateRuns, c.WrongMember)
 }
 
-// Bad tells whether a promise was broken. Once-only calls may end as unknown
+// HasViolations tells whether a promise was broken. Once-only calls may end as unknown
 // when something fails in between; the demo, where nothing fails, adds them to cut.
-func (c *Counts) Bad() bool {
-	return c.Whole == 0 || c.Cut+c.Doubled+c.WrongMember+c.NotRunRan > 0
+func (c *Counts) HasViolations() bool {
+	return c.Complete == 0 || c.Failed+c.DuplicateRuns+c.WrongMember+c.FalseNotRun > 0
 }
 
-func (c *Counts) find(d *Done, format string, args ...any) {
+func (c *Counts) find(d *FinishedRequest, format string, args ...any) {
 	c.Findings = append(c.Findings, fmt.Sprintf("%s %s of %s: ", d.Class, d.Mark, d.Member)+fmt.Sprintf(format, args...))
 }
 
@@ -80,7 +80,7 @@
 }
 
 // Check compares the requests with the journals.
-func Check(done []Done, records []journal.Record) *Counts {
+func Check(done []FinishedRequest, records []journal.Record) *Counts {
 	c := &Counts{}
 	byMark := collect(records)
 	for i := range done {
@@ -127,7 +127,7 @@
 		if member, _, ok := engineapi.SplitWireID(r.RequestID); ok {
 			seen.members[member] = true
 		}
-		if r.Event == journal.Started {
+		if r.Event == journal.RequestStarted {
 			seen.started++
 		}
 	}
@@ -135,43 +135,43 @@
 }
 
 // answered sorts the request by what its caller got.
-func (c *Counts) answered(d *Done) {
+func (c *Counts) answered(d *FinishedRequest) {
 	res := d.Result
 	switch {
-	case res.Whole && d.right():
-		c.Whole++
-	case res.Whole:
-		c.Cut++
+	case res.Complete && d.right():
+		c.Complete++
+	case res.Complete:
+		c.Failed++
 		c.find(d, "the answer differs from what the backend server gives (%d bytes)", len(res.Text))
 	case res.Outcome == outcome.NotRun && !res.Accepted:
 		c.RefusedNotRun++
-	case d.Once && res.Outcome == outcome.Unknown, d.Once && res.Code == outcome.CodeAlreadyRan:
+	case d.AtMostOnce && res.Outcome == outcome.Unknown, d.AtMostOnce && res.Code == outcome.CodeAlreadyRan:
 		c.Unknown++
 	default:
-		c.Cut++
+		c.Failed++
 		c.find(d, "no whole answer: status %d, code %q, outcome %q, %d bytes, %d tries, %d resumes, %s, last error %v",
-			res.Status, res.Code, res.Outcome, len(res.Text), res.Tries, res.Resumes, res.Message, res.Err)
+			res.Status, res.Code, res.Outcome, len(res.Text), res.Attempts, res.Resumes, res.Message, res.Err)
 	}
-	if foreign := answer.Foreign(res.Text, d.Member); foreign != "" {
+	if foreign := answer.ForeignMember(res.Text, d.Member); foreign != "" {
 		c.WrongMember++
 		c.find(d, "the answer carries the mark of %s", foreign)
 	}
 }
 
 // compare holds the caller's result against the journals.
-func (c *Counts) compare(d *Done, seen *runs) {
-	if d.Once && seen.started > 1 {
-		c.Doubled++
+func (c *Counts) compare(d *FinishedRequest, seen *runs) {
+	if d.AtMostOnce && seen.started > 1 {
+		c.DuplicateRuns++
 		c.find(d, "ran %d times", seen.started)
 	}
 	// A request that got tokens and was refused later is cut, not "not run".
 	if d.Result.Outcome == outcome.NotRun && !d.Result.Accepted && seen.started > 0 {
-		c.NotRunRan++
+		c.FalseNotRun++
 		c.find(d, "refused as not run (%s), but ran %d times", d.Result.Code, seen.started)
 	}
-	if d.Result.Whole && seen.started == 0 {
-		c.Cut++
-		c.Whole--
+	if d.Result.Complete && seen.started == 0 {
+		c.Failed++
+		c.Complete--
 		c.find(d, "answered whole, but no journal holds a run of it")
 	}
 	for member := range seen.members {
@@ -183,9 +183,9 @@
 }
 
 // right tells whether a whole answer is what the backend server gives.
-func (d *Done) right() bool {
+func (d *FinishedRequest) right() bool {
 	if !d.plain() {
-		return d.Result.Text == answer.Whole(d.Prompt, d.Seed, d.Tokens)
+		return d.Result.Text == answer.FullText(d.Prompt, d.Seed, d.Tokens)
 	}
 	var got server.PlainAnswer
 	if d.Result.Status != http.StatusOK || json.Unmarshal([]byte(d.Result.Text), &got) != nil {
--- a/internal/standin/caller/call.go
+++ b/internal/standin/caller/call.go
@@ -16,13 +16,13 @@
 	Method  string
 	// Path is below the service, with its query.
 	Path string
-	// Key is the idempotency key of a once-only call; empty for others.
-	Key string
+	// IdempotencyKey is the idempotency key of a once-only call; empty for others.
+	IdempotencyKey string
 	// Entry is the entry to send the first try to; empty for the caller's own
 	// choice.
 	Entry string
-	// Timeout bounds one try. Default 5s.
-	Timeout time.Duration
+	// AttemptTimeout bounds one try. Default 5s.
+	AttemptTimeout time.Duration
 }
 
 const callTimeout = 5 * time.Second
@@ -31,10 +31,10 @@
 // connection that fails is followed by the same call under the same key at
 // another entry: the system must see to it that it runs once.
 func (c *Client) Call(ctx context.Context, call Call) *Result {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
-	if call.Timeout == 0 {
-		call.Timeout = callTimeout
+	if call.AttemptTimeout == 0 {
+		call.AttemptTimeout = callTimeout
 	}
 	res, began := &Result{}, time.Now()
 	address := call.Entry
@@ -47,12 +47,12 @@
 		}
 		address = ""
 	}
-	res.Took = time.Since(began)
+	res.Elapsed = time.Since(began)
 	return res
 }
 
 func (c *Client) tryCall(ctx context.Context, call Call, address string, began time.Time, res *Result) bool {
-	ctx2, cancel := context.WithTimeout(ctx, call.Timeout)
+	ctx2, cancel := context.WithTimeout(ctx, call.AttemptTimeout)
 	defer cancel()
 	url := "http://" + address + "/svc/" + call.Service + call.Path
 	req, err := http.NewRequestWithContext(ctx2, call.Method, url, nil)
@@ -62,10 +62,10 @@
 	}
 	c.authorize(req)
 	req.Header.Set(outcome.HeaderRequestID, call.ID)
-	if call.Key != "" {
-		req.Header.Set(outcome.HeaderIdempotencyKey, call.Key)
+	if call.IdempotencyKey != "" {
+		req.Header.Set(outcome.HeaderIdempotencyKey, call.IdempotencyKey)
 	}
-	res.Tries++
+	res.Attempts++
 	resp, err := c.http.Do(req)
 	if err == nil {
 		defer resp.Body.Close()
@@ -86,7 +86,7 @@
 			res.Err = err
 			return !pause(ctx, retryPause)
 		}
-		res.Text, res.Whole, res.Outcome, res.Accepted = string(body), true, outcome.Ran, true
+		res.Text, res.Complete, res.Outcome, res.Accepted = string(body), true, outcome.Ran, true
 		return true
 	}
 	ref := readRefusal(resp)
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -25,25 +25,25 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("caller")
 
-// Broken is the type of errors about answers that end early or make no sense.
-var Broken = Namespace.NewType("broken")
+// InvalidResponse is the type of errors about answers that end early or make no sense.
+var InvalidResponse = Namespace.NewType("broken")
 
 // Config says who the caller is.
 type Config struct {
-	// Seeds are entries that it knows before it has asked.
-	Seeds []string
+	// SeedEntries are entries that it knows before it has asked.
+	SeedEntries []string
 	// DataCentre is where it stands; empty if it does not know.
 	DataCentre string
 	Member     string
 	Token      string
-	// Stall is how long a stream may be silent before the caller resumes it
+	// StallTimeout is how long a stream may be silent before the caller resumes it
 	// elsewhere. Default 3s.
-	Stall time.Duration
-	// Patience bounds a request with all its retries. Default 60s.
-	Patience time.Duration
-	// RetryFor is how long after its beginning a request that was refused as
-	// not run is sent again. Default: Patience.
-	RetryFor time.Duration
+	StallTimeout time.Duration
+	// RequestTimeout bounds a request with all its retries. Default 60s.
+	RequestTimeout time.Duration
+	// RetryWindow is how long after its beginning a request that was refused as
+	// not run is sent again. Default: RequestTimeout.
+	RetryWindow time.Duration
 	// Seed seeds the choice among entries.
 	Seed uint64
 }
@@ -84,14 +84,14 @@
 
 // New gives a caller.
 func New(c Config) *Client {
-	if c.Stall == 0 {
-		c.Stall = defaultStall
+	if c.StallTimeout == 0 {
+		c.StallTimeout = defaultStall
 	}
-	if c.Patience == 0 {
-		c.Patience = defaultPatience
+	if c.RequestTimeout == 0 {
+		c.RequestTimeout = defaultPatience
 	}
-	if c.RetryFor == 0 {
-		c.RetryFor = c.Patience
+	if c.RetryWindow == 0 {
+		c.RetryWindow = c.RequestTimeout
 	}
 	return &Client{
 		config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), avoid: make(map[string]time.Time),
@@ -126,7 +126,7 @@
 	if len(c.entries) > 0 {
 		return c.entries[c.rng.IntN(len(c.entries))].Address
 	}
-	return c.config.Seeds[c.rng.IntN(len(c.config.Seeds))]
+	return c.config.SeedEntries[c.rng.IntN(len(c.config.SeedEntries))]
 }
 
 // weighted must be called with mu held.
@@ -161,7 +161,7 @@
 func (c *Client) refresh(ctx context.Context) {
 	c.mu.Lock()
 	fresh := time.Now().Before(c.until)
-	ask := slices.Clone(c.config.Seeds)
+	ask := slices.Clone(c.config.SeedEntries)
 	c.rng.Shuffle(len(ask), func(i, j int) { ask[i], ask[j] = ask[j], ask[i] })
 	c.mu.Unlock()
 	if fresh {
@@ -196,7 +196,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answer, Broken.New("entries: %s", resp.Status)
+		return answer, InvalidResponse.New("entries: %s", resp.Status)
 	}
 	return answer, json.NewDecoder(resp.Body).Decode(&answer)
 }
@@ -233,7 +233,7 @@
 // again waits before another try after a refusal as not run; false when the
 // caller gives up.
 func (c *Client) again(ctx context.Context, began time.Time, wait time.Duration) bool {
-	return time.Since(began)+wait < c.config.RetryFor && pause(ctx, wait)
+	return time.Since(began)+wait < c.config.RetryWindow && pause(ctx, wait)
 }
 
 // pause waits; it gives false when ctx is over before.
--- a/internal/standin/caller/complete.go
+++ b/internal/standin/caller/complete.go
@@ -31,9 +31,9 @@
 
 // Result is what became of a request.
 type Result struct {
-	// Text is the text that came, Whole tells that the end marker came too.
-	Text  string
-	Whole bool
+	// Text is the text that came, Complete tells that the end marker came too.
+	Text     string
+	Complete bool
 	// Status, Code, Outcome and Message are of the last refusal, if any.
 	Status  int
 	Code    outcome.Code
@@ -41,15 +41,15 @@
 	Message string
 	// Accepted tells that an entry began to answer.
 	Accepted bool
-	// Tries counts sends, Resumes those that went on with a broken stream.
-	Tries   int
-	Resumes int
-	// FirstToken is from the first send to the first token; LongestGap is the
-	// longest time between two pieces, Gaps all such times.
-	FirstToken time.Duration
-	LongestGap time.Duration
-	Gaps       []time.Duration
-	Took       time.Duration
+	// Attempts counts sends, Resumes those that went on with a broken stream.
+	Attempts int
+	Resumes  int
+	// TimeToFirstToken is from the first send to the first token; MaxChunkGap is the
+	// longest time between two pieces, ChunkGaps all such times.
+	TimeToFirstToken time.Duration
+	MaxChunkGap      time.Duration
+	ChunkGaps        []time.Duration
+	Elapsed          time.Duration
 	// Entries are the entries that answered, in order.
 	Entries []string
 	// Replayed tells that a plain call's answer was a stored one.
@@ -92,7 +92,7 @@
 // Complete sends the request until it is whole, refused for good or the
 // caller's patience is over.
 func (c *Client) Complete(ctx context.Context, req Completion) *Result {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	r := &run{c: c, req: req, res: &Result{}, began: time.Now(), offset: "0", address: req.Entry}
 	for ctx.Err() == nil {
@@ -104,17 +104,17 @@
 		}
 		r.address = ""
 	}
-	r.res.Text, r.res.Took = r.text.String(), time.Since(r.began)
+	r.res.Text, r.res.Elapsed = r.text.String(), time.Since(r.began)
 	return r.res
 }
 
 // Resume asks one entry, once, to go on with a request from its beginning.
 func (c *Client) Resume(ctx context.Context, id, entry string) *Result {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	r := &run{c: c, req: Completion{ID: id}, res: &Result{}, began: time.Now(), offset: "0", address: entry, sent: true}
 	r.try(ctx)
-	r.res.Text, r.res.Took = r.text.String(), time.Since(r.began)
+	r.res.Text, r.res.Elapsed = r.text.String(), time.Since(r.began)
 	return r.res
 }
 
@@ -127,8 +127,8 @@
 		r.res.Err = err
 		return true
 	}
-	r.res.Tries++
-	stall := time.AfterFunc(r.c.config.Stall, cancel)
+	r.res.Attempts++
+	stall := time.AfterFunc(r.c.config.StallTimeout, cancel)
 	defer stall.Stop()
 	resp, err := r.c.http.Do(httpReq)
 	if err != nil {
@@ -208,10 +208,10 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			r.broke(ctx, Broken.Wrap(err, "stream"))
+			r.broke(ctx, InvalidResponse.Wrap(err, "stream"))
 			return false
 		}
-		stall.Reset(r.c.config.Stall)
+		stall.Reset(r.c.config.StallTimeout)
 		field, value, _ := strings.Cut(strings.TrimRight(line, "\r\n"), ":")
 		value = strings.TrimPrefix(value, " ")
 		switch field {
@@ -233,16 +233,16 @@
 // event takes one event; done tells that the request is over.
 func (r *run) event(id, data string) (done bool, err error) {
 	if data == engineapi.DoneMarker {
-		r.res.Whole, r.res.Outcome = true, outcome.Ran
+		r.res.Complete, r.res.Outcome = true, outcome.Ran
 		return true, nil
 	}
 	var e completionEvent
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		return false, Broken.Wrap(err, "event")
+		return false, InvalidResponse.Wrap(err, "event")
 	}
 	if e.Error != nil {
 		r.res.Code, r.res.Outcome, r.res.Message = e.Error.Code, e.Error.Outcome, e.Error.Message
-		return false, Broken.New("error event: %s", e.Error.Message)
+		return false, InvalidResponse.New("error event: %s", e.Error.Message)
 	}
 	text := ""
 	for _, choice := range e.Choices {
@@ -252,7 +252,7 @@
 		return false, nil
 	}
 	if next, err := strconv.Atoi(id); err != nil || !r.later(next) {
-		return false, Broken.New("event id %q after %s", id, r.offset)
+		return false, InvalidResponse.New("event id %q after %s", id, r.offset)
 	}
 	r.offset = id
 	r.text.WriteString(text)
@@ -269,11 +269,11 @@
 func (r *run) time() {
 	now := time.Now()
 	if r.last.IsZero() {
-		r.res.FirstToken = now.Sub(r.began)
+		r.res.TimeToFirstToken = now.Sub(r.began)
 	} else {
 		gap := now.Sub(r.last)
-		r.res.Gaps = append(r.res.Gaps, gap)
-		r.res.LongestGap = max(r.res.LongestGap, gap)
+		r.res.ChunkGaps = append(r.res.ChunkGaps, gap)
+		r.res.MaxChunkGap = max(r.res.MaxChunkGap, gap)
 	}
 	r.last = now
 }
--- a/internal/standin/forwarder/forwarder.go
+++ b/internal/standin/forwarder/forwarder.go
@@ -19,17 +19,17 @@
 
 // Mode says what becomes of bytes.
 type Mode struct {
-	// SilentToServer and SilentToClient swallow the bytes of that direction;
+	// BlackholeToServer and BlackholeToClient swallow the bytes of that direction;
 	// connections stay open and new ones are accepted.
-	SilentToServer bool
-	SilentToClient bool
+	BlackholeToServer bool
+	BlackholeToClient bool
 	// Refuse closes every connection, new ones at once.
 	Refuse bool
 	// Delay holds each piece of bytes back for so long.
 	Delay time.Duration
 }
 
-func (m Mode) silent() bool { return m.SilentToServer || m.SilentToClient }
+func (m Mode) silent() bool { return m.BlackholeToServer || m.BlackholeToClient }
 
 // bufferBytes is how much is read at once.
 const bufferBytes = 32 << 10
@@ -72,10 +72,10 @@
 // Address is where it listens.
 func (f *Forwarder) Address() string { return f.listener.Addr().String() }
 
-// Set puts the mode in force for open and for new connections. A connection that has
+// SetMode puts the mode in force for open and for new connections. A connection that has
 // lost bytes breaks when it would be heard again: no network delivers a later byte of a
 // connection without the earlier ones, and what reads it can't see the gap.
-func (f *Forwarder) Set(m Mode) {
+func (f *Forwarder) SetMode(m Mode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.mode = m
@@ -87,19 +87,19 @@
 	}
 }
 
-// SilenceOpen makes the connections that are open now silent for good, both
+// BlackholeOpenConnections makes the connections that are open now silent for good, both
 // ways, while new ones work: a device on the path has lost track of them.
-func (f *Forwarder) SilenceOpen() {
+func (f *Forwarder) BlackholeOpenConnections() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for l := range f.links {
-		l.mode = Mode{SilentToServer: true, SilentToClient: true}
+		l.mode = Mode{BlackholeToServer: true, BlackholeToClient: true}
 	}
 }
 
-// Reset breaks the connections that are open now, as a VM without power does once
+// ResetOpenConnections breaks the connections that are open now, as a VM without power does once
 // it is back; new ones work.
-func (f *Forwarder) Reset() {
+func (f *Forwarder) ResetOpenConnections() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for l := range f.links {
@@ -115,7 +115,7 @@
 // Close ends the forwarder and its connections.
 func (f *Forwarder) Close() {
 	_ = f.listener.Close()
-	f.Set(Mode{Refuse: true})
+	f.SetMode(Mode{Refuse: true})
 	f.wg.Wait()
 }
 
@@ -181,7 +181,7 @@
 	for {
 		n, err := from.Read(buf)
 		m := f.modeOf(l)
-		silent := m.SilentToServer && toServer || m.SilentToClient && !toServer
+		silent := m.BlackholeToServer && toServer || m.BlackholeToClient && !toServer
 		if n > 0 && silent {
 			f.loses(l)
 		}
--- a/internal/standin/forwarder/forwarder_test.go
+++ b/internal/standin/forwarder/forwarder_test.go
@@ -65,14 +65,14 @@
 	if !says(t, old, 5*time.Second) {
 		t.Fatal("nothing passes")
 	}
-	f.SilenceOpen()
+	f.BlackholeOpenConnections()
 	if says(t, old, 100*time.Millisecond) {
 		t.Fatal("the open connection still passes")
 	}
 	if !says(t, dial(), 5*time.Second) {
 		t.Fatal("a new connection does not pass")
 	}
-	f.Set(Mode{Refuse: true})
+	f.SetMode(Mode{Refuse: true})
 	if says(t, dial(), 100*time.Millisecond) {
 		t.Fatal("a refusing forwarder passes bytes")
 	}
--- a/internal/standin/journal/journal.go
+++ b/internal/standin/journal/journal.go
@@ -22,37 +22,37 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("journal")
 
-// Broken is the type of errors about journals that can't be written or read.
-var Broken = Namespace.NewType("broken")
+// Failed is the type of errors about journals that can't be written or read.
+var Failed = Namespace.NewType("broken")
 
 // Event says what a record is about.
 type Event string
 
 // Events.
 const (
-	// Began: the process serves.
-	Began Event = "began"
-	// Received: a completion or a call came in; nothing was started yet.
-	Received Event = "received"
-	// Rejected: it was answered with "not started".
-	Rejected Event = "rejected"
-	// Started: work on it began; a once-only call counts as run from here.
-	Started Event = "started"
-	// Finished: its last token was produced or the call's answer is ready.
-	Finished Event = "finished"
-	// Cancelled: it was cancelled before its end.
-	Cancelled Event = "cancelled"
-	// Poisoned: the process is about to die of it.
-	Poisoned Event = "poisoned"
+	// ServerStarted: the process serves.
+	ServerStarted Event = "began"
+	// RequestReceived: a completion or a call came in; nothing was started yet.
+	RequestReceived Event = "received"
+	// RequestRejected: it was answered with "not started".
+	RequestRejected Event = "rejected"
+	// RequestStarted: work on it began; a once-only call counts as run from here.
+	RequestStarted Event = "started"
+	// RequestFinished: its last token was produced or the call's answer is ready.
+	RequestFinished Event = "finished"
+	// RequestCancelled: it was cancelled before its end.
+	RequestCancelled Event = "cancelled"
+	// CrashTriggered: the process is about to die of it.
+	CrashTriggered Event = "poisoned"
 	// OrderReceived, OrderBegan, OrderDone and OrderRejected: of an order.
 	OrderReceived Event = "order_received"
-	OrderBegan    Event = "order_began"
+	OrderStarted  Event = "order_began"
 	OrderDone     Event = "order_done"
 	OrderRejected Event = "order_rejected"
-	// Leaving: from here on the process takes no new work.
-	Leaving Event = "leaving"
-	// Ended: the process stops by itself.
-	Ended Event = "ended"
+	// ServerLeaving: from here on the process takes no new work.
+	ServerLeaving Event = "leaving"
+	// ServerStopped: the process stops by itself.
+	ServerStopped Event = "ended"
 )
 
 // Record is one line. Which fields count depends on Event.
@@ -66,19 +66,19 @@
 	Attempt     uint32 `json:"attempt,omitempty"`
 	Member      string `json:"member,omitempty"`
 	// Mark is what the caller wrote into the prompt or the call to know it by.
-	Mark    string `json:"mark,omitempty"`
-	Service string `json:"service,omitempty"`
-	Method  string `json:"method,omitempty"`
-	Path    string `json:"path,omitempty"`
-	Key     string `json:"key,omitempty"`
+	Mark           string `json:"mark,omitempty"`
+	Service        string `json:"service,omitempty"`
+	Method         string `json:"method,omitempty"`
+	Path           string `json:"path,omitempty"`
+	IdempotencyKey string `json:"key,omitempty"`
 	// Salt is a completion's cache salt.
 	Salt string `json:"salt,omitempty"`
 	// Offset and Tokens are the part of the answer that was produced.
-	Offset int                    `json:"offset,omitempty"`
-	Tokens int                    `json:"tokens,omitempty"`
-	Order  *engineapi.Order       `json:"order,omitempty"`
-	Newest engineapi.FencingToken `json:"newest,omitzero"`
-	Reason string                 `json:"reason,omitempty"`
+	Offset      int                    `json:"offset,omitempty"`
+	Tokens      int                    `json:"tokens,omitempty"`
+	Order       *engineapi.Order       `json:"order,omitempty"`
+	NewestToken engineapi.FencingToken `json:"newest,omitzero"`
+	Reason      string                 `json:"reason,omitempty"`
 }
 
 // Writer appends records to a file. Safe for use by many goroutines.
@@ -98,7 +98,7 @@
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, Broken.Wrap(err, "open")
+		return nil, Failed.Wrap(err, "open")
 	}
 	w.file = file
 	return w, nil
@@ -136,7 +136,7 @@
 func Read(path string) ([]Record, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Broken.Wrap(err, "read")
+		return nil, Failed.Wrap(err, "read")
 	}
 	var records []Record
 	for line := range bytes.Lines(data) {
@@ -145,7 +145,7 @@
 		}
 		var r Record
 		if err := json.Unmarshal(line, &r); err != nil {
-			return nil, Broken.Wrap(err, "%s", path)
+			return nil, Failed.Wrap(err, "%s", path)
 		}
 		records = append(records, r)
 	}
@@ -157,7 +157,7 @@
 func ReadAll(dir string) ([]Record, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.journal"))
 	if err != nil {
-		return nil, Broken.Wrap(err, "list")
+		return nil, Failed.Wrap(err, "list")
 	}
 	var all []Record
 	for _, path := range paths {
--- a/internal/standin/server/cache.go
+++ b/internal/standin/server/cache.go
@@ -77,7 +77,7 @@
 func newKVCopy(req engineapi.CompletionRequest, text string) kvCopy {
 	return kvCopy{
 		Digest: xxhash.Sum64String(req.Prompt + text), Salt: req.CacheSalt,
-		Tokens: answer.PromptTokens(req.Prompt + text),
+		Tokens: answer.EstimatePromptTokens(req.Prompt + text),
 	}
 }
 
--- a/internal/standin/server/completions.go
+++ b/internal/standin/server/completions.go
@@ -29,11 +29,11 @@
 		http.Error(w, "not a completion request", http.StatusBadRequest)
 		return
 	}
-	s.journal.Write(requestRecord(journal.Received, req))
+	s.journal.Write(requestRecord(journal.RequestReceived, req))
 	echo(w, req.RequestID, req.Attempt)
 	st, state := s.start(req)
 	if st == nil {
-		rejected := requestRecord(journal.Rejected, req)
+		rejected := requestRecord(journal.RequestRejected, req)
 		rejected.Reason = string(state)
 		s.journal.Write(rejected)
 		s.notStarted(w, state, "the engine takes no new work")
@@ -59,7 +59,7 @@
 		return nil, s.state()
 	}
 	// Written with the lock held, so that no order begins in between.
-	s.journal.Write(requestRecord(journal.Started, req))
+	s.journal.Write(requestRecord(journal.RequestStarted, req))
 	s.streams[st.key], s.running[st.key.String()] = st, st
 	return st, engineapi.StateServing
 }
@@ -107,7 +107,7 @@
 	for id, st := range s.running {
 		if chosen(st.key) {
 			s.model.Cancel(id)
-			s.endStream(st, "", journal.Cancelled, order)
+			s.endStream(st, "", journal.RequestCancelled, order)
 		}
 	}
 }
--- a/internal/standin/server/config.go
+++ b/internal/standin/server/config.go
@@ -49,8 +49,8 @@
 	// TokenTime is the time between two tokens of a request that runs alone.
 	// Default 20ms.
 	TokenTime time.Duration `yaml:"token_time"`
-	// Slow divides all rates of an engine; 1 is a healthy one. Default 1.
-	Slow float64 `yaml:"slow"`
+	// SlowdownFactor divides all rates of an engine; 1 is a healthy one. Default 1.
+	SlowdownFactor float64 `yaml:"slow"`
 	// ChangeTime is how long an order takes the engine away. Default 5s.
 	ChangeTime time.Duration `yaml:"change_time"`
 	// CallTime is how long a call of a plain service takes. Default 5ms.
@@ -72,7 +72,7 @@
 	return Config{
 		Kind: engineapi.KindModel, Role: string(engineapi.RoleMixed),
 		Fencing: declaration.FencingChecked, Slots: enginemodel.DefaultSlots,
-		PrefillRate: enginemodel.DefaultPrefillRate, TokenTime: enginemodel.DefaultStepBase, Slow: 1,
+		PrefillRate: enginemodel.DefaultPrefillRate, TokenTime: enginemodel.DefaultStepBase, SlowdownFactor: 1,
 		CacheTokens: enginemodel.DefaultCacheTokens, ChangeTime: 5 * time.Second,
 		CallTime: 5 * time.Millisecond, TimeScale: 1, LoadLag: 200 * time.Millisecond,
 		LeaveTime: time.Second,
@@ -132,6 +132,6 @@
 func (c *Config) model() enginemodel.Config {
 	return enginemodel.Config{
 		PrefillRate: c.PrefillRate, StepBase: c.TokenTime, Slots: c.Slots, CacheTokens: c.CacheTokens,
-		ChangeTime: c.ChangeTime, LoadLag: c.virtual(c.LoadLag), Slow: c.Slow, RecordCache: true,
+		ChangeTime: c.ChangeTime, LoadLag: c.virtual(c.LoadLag), Slow: c.SlowdownFactor, RecordCache: true,
 	}
 }
--- a/internal/standin/server/faults.go
+++ b/internal/standin/server/faults.go
@@ -65,7 +65,7 @@
 
 // dieOf kills the process as an engine dies that a request crashes.
 func (s *Server) dieOf(req engineapi.CompletionRequest) {
-	s.journal.Write(requestRecord(journal.Poisoned, req))
+	s.journal.Write(requestRecord(journal.CrashTriggered, req))
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	select {}
 }
@@ -73,7 +73,7 @@
 func requestRecord(event journal.Event, req engineapi.CompletionRequest) journal.Record {
 	return journal.Record{
 		Event: event, RequestID: req.RequestID, Attempt: req.Attempt,
-		Member: answer.Member(req.Prompt), Mark: markOf(req.Prompt), Salt: req.CacheSalt,
+		Member: answer.MemberOf(req.Prompt), Mark: markOf(req.Prompt), Salt: req.CacheSalt,
 		Offset: req.GeneratedTokens, Tokens: req.MaxTokens,
 	}
 }
--- a/internal/standin/server/model.go
+++ b/internal/standin/server/model.go
@@ -17,7 +17,7 @@
 	kv, ok := s.kv[req.KVHandle]
 	return enginemodel.Request{
 		ID: newStreamKey(req).String(), Priority: req.Priority,
-		PromptTokens: answer.PromptTokens(req.Prompt), OutputTokens: req.MaxTokens,
+		PromptTokens: answer.EstimatePromptTokens(req.Prompt), OutputTokens: req.MaxTokens,
 		GeneratedTokens: req.GeneratedTokens, Salt: req.CacheSalt,
 		Prefix:      engineapi.PrefixChain(req.CacheSalt, req.Prompt),
 		PrefillOnly: req.PrefillOnly, KVImported: ok && kv.covers(req),
@@ -71,7 +71,7 @@
 	if st.request.PrefillOnly {
 		finish = finishPrefilled
 	}
-	s.endStream(st, finish, journal.Finished, nil)
+	s.endStream(st, finish, journal.RequestFinished, nil)
 }
 
 // endStream must be called with mu held.
--- a/internal/standin/server/orders.go
+++ b/internal/standin/server/orders.go
@@ -42,13 +42,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := &s.orders
-	s.journal.Write(journal.Record{Event: journal.OrderReceived, Order: &o, Newest: b.newest})
+	s.journal.Write(journal.Record{Event: journal.OrderReceived, Order: &o, NewestToken: b.newest})
 	result, reason := s.judge(o)
 	if result == "" {
 		s.begin(o)
 		result = engineapi.OrderRunning
 	} else if result == engineapi.OrderStale || result == engineapi.OrderRefused {
-		s.journal.Write(journal.Record{Event: journal.OrderRejected, Order: &o, Newest: b.newest, Reason: reason})
+		s.journal.Write(journal.Record{Event: journal.OrderRejected, Order: &o, NewestToken: b.newest, Reason: reason})
 	}
 	return engineapi.OrderAnswer{ID: o.ID, Result: result, Reason: reason, Newest: b.newest}
 }
@@ -85,7 +85,7 @@
 	}
 	b.running = &o
 	b.results[o.ID] = engineapi.OrderRunning
-	s.journal.Write(journal.Record{Event: journal.OrderBegan, Order: &o})
+	s.journal.Write(journal.Record{Event: journal.OrderStarted, Order: &o})
 	if o.Kind != engineapi.OrderLoadAdapter {
 		s.cutStreams(&o, func(streamKey) bool { return true })
 	}
--- a/internal/standin/server/plain.go
+++ b/internal/standin/server/plain.go
@@ -28,7 +28,7 @@
 // query as mark, a delay as late.
 func (s *Server) call(w http.ResponseWriter, r *http.Request) {
 	rec := callRecord(r)
-	s.journal.Write(withEvent(rec, journal.Received))
+	s.journal.Write(withEvent(rec, journal.RequestReceived))
 	s.mu.Lock()
 	state := s.state()
 	if state == engineapi.StateServing {
@@ -36,7 +36,7 @@
 	}
 	s.mu.Unlock()
 	if state != engineapi.StateServing {
-		rejected := withEvent(rec, journal.Rejected)
+		rejected := withEvent(rec, journal.RequestRejected)
 		rejected.Reason = string(state)
 		s.journal.Write(rejected)
 		s.notStarted(w, state, "the server takes no new work")
@@ -47,9 +47,9 @@
 		http.Error(w, "no such path", http.StatusNotFound)
 		return
 	}
-	s.journal.Write(withEvent(rec, journal.Started))
+	s.journal.Write(withEvent(rec, journal.RequestStarted))
 	time.Sleep(s.config.real(s.config.CallTime) + callDelay(r))
-	s.journal.Write(withEvent(rec, journal.Finished))
+	s.journal.Write(withEvent(rec, journal.RequestFinished))
 	writeJSON(w, http.StatusOK, PlainAnswer{
 		Member: rec.Member, Mark: rec.Mark, Path: rec.Path,
 		Run: s.config.ID + "-" + strconv.FormatInt(time.Now().UnixNano(), 36),
@@ -67,7 +67,7 @@
 		RequestID: r.Header.Get(outcome.HeaderRequestID), Attempt: uint32(attempt),
 		Member: r.Header.Get(engineapi.HeaderMember), Mark: r.URL.Query().Get("mark"),
 		Method: r.Method, Path: "/" + strings.Trim(r.URL.Path, "/"),
-		Key: r.Header.Get(outcome.HeaderIdempotencyKey),
+		IdempotencyKey: r.Header.Get(outcome.HeaderIdempotencyKey),
 	}
 }
 
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -89,7 +89,7 @@
 // Run serves until ctx ends, then leaves: it says so, finishes what runs and
 // stops. Errors: Failed.
 func (s *Server) Run(ctx context.Context) error {
-	s.journal.Write(journal.Record{Event: journal.Began})
+	s.journal.Write(journal.Record{Event: journal.ServerStarted})
 	hs := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second}
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -113,7 +113,7 @@
 	if hs.Shutdown(closing) != nil {
 		_ = hs.Close()
 	}
-	s.journal.Write(journal.Record{Event: journal.Ended})
+	s.journal.Write(journal.Record{Event: journal.ServerStopped})
 	return s.journal.Close()
 }
 
@@ -126,7 +126,7 @@
 	if already {
 		return
 	}
-	s.journal.Write(journal.Record{Event: journal.Leaving})
+	s.journal.Write(journal.Record{Event: journal.ServerLeaving})
 	s.announceNow()
 }
 
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -95,13 +95,13 @@
 	}
 	defer resp.Body.Close()
 	rest, _, whole := readText(t, resp.Body, 1000)
-	if !whole || first+rest != answer.Whole(prompt, 7, 60) {
+	if !whole || first+rest != answer.FullText(prompt, 7, 60) {
 		t.Fatalf("whole %v, text %q", whole, first+rest)
 	}
 }
 
 func TestAnotherEngineGoesOnFromThePrefix(t *testing.T) {
-	want := answer.Whole(prompt, 7, 60)
+	want := answer.FullText(prompt, 7, 60)
 	g := answer.NewGenerator(prompt, 7, "", 0)
 	text := ""
 	for range 25 {
@@ -128,7 +128,7 @@
 			break
 		}
 	}
-	if text, _, whole := readText(t, resp.Body, 1000); !whole || text != answer.Whole(prompt, 7, 60) {
+	if text, _, whole := readText(t, resp.Body, 1000); !whole || text != answer.FullText(prompt, 7, 60) {
 		t.Fatalf("whole %v, %q", whole, text)
 	}
 	records, err := journal.Read(path)
--- a/internal/standin/workload/play.go
+++ b/internal/standin/workload/play.go
@@ -12,18 +12,18 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/caller"
 )
 
-// Player plays arrivals with one caller for each member.
-type Player struct {
+// Runner plays arrivals with one caller for each member.
+type Runner struct {
 	// Callers are by member.
 	Callers map[string]*caller.Client
 
 	mu   sync.Mutex
-	done []audit.Done
+	done []audit.FinishedRequest
 }
 
-// Play sends each arrival at its time, whatever became of those before it, and
+// Run sends each arrival at its time, whatever became of those before it, and
 // waits until all have their result or ctx is over.
-func (p *Player) Play(ctx context.Context, arrivals []Arrival) []audit.Done {
+func (p *Runner) Run(ctx context.Context, arrivals []Arrival) []audit.FinishedRequest {
 	var wg conc.WaitGroup
 	began := time.Now()
 	for i := range arrivals {
@@ -39,17 +39,17 @@
 	return p.done
 }
 
-func (p *Player) add(d audit.Done) {
+func (p *Runner) add(d audit.FinishedRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.done = append(p.done, d)
 }
 
 // Send sends one arrival and gives its result.
-func Send(ctx context.Context, c *caller.Client, a *Arrival) audit.Done {
-	d := audit.Done{
+func Send(ctx context.Context, c *caller.Client, a *Arrival) audit.FinishedRequest {
+	d := audit.FinishedRequest{
 		Class: a.Class.Name, Member: a.Member, Mark: a.Mark, Prompt: a.Prompt, Seed: a.Seed, Tokens: a.Tokens,
-		Path: a.Class.Path, Once: a.Class.Once,
+		Path: a.Class.Path, AtMostOnce: a.Class.AtMostOnce,
 	}
 	if a.Class.Path == "" {
 		d.Result = c.Complete(ctx, caller.Completion{
@@ -60,8 +60,8 @@
 	call := caller.Call{
 		ID: uuid.NewString(), Service: a.Class.Service, Method: a.Class.Method, Path: a.Class.Path + "?mark=" + a.Mark,
 	}
-	if a.Class.Once {
-		call.Key = uuid.Must(uuid.NewV7()).String()
+	if a.Class.AtMostOnce {
+		call.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
 	d.Result = c.Call(ctx, call)
 	return d
--- a/internal/standin/workload/report.go
+++ b/internal/standin/workload/report.go
@@ -16,19 +16,19 @@
 
 // ClassReport is what the callers of one class saw. Times are in milliseconds.
 type ClassReport struct {
-	Class      string   `json:"class"`
-	Requests   int      `json:"requests"`
-	Whole      int      `json:"whole"`
-	Retries    int      `json:"retries"`
-	Resumes    int      `json:"resumes"`
-	FirstToken Quantile `json:"first_token_ms"`
-	Gap        Quantile `json:"gap_ms"`
-	LongestGap Quantile `json:"longest_gap_ms"`
-	Took       Quantile `json:"took_ms"`
+	Class            string    `json:"class"`
+	Requests         int       `json:"requests"`
+	Complete         int       `json:"whole"`
+	Retries          int       `json:"retries"`
+	Resumes          int       `json:"resumes"`
+	TimeToFirstToken Quantiles `json:"first_token_ms"`
+	ChunkGap         Quantiles `json:"gap_ms"`
+	MaxChunkGap      Quantiles `json:"longest_gap_ms"`
+	Elapsed          Quantiles `json:"took_ms"`
 }
 
-// Quantile is a histogram in short.
-type Quantile struct {
+// Quantiles is a histogram in short.
+type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
@@ -55,14 +55,14 @@
 	_ = h.h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
 }
 
-// Quantile gives the histogram in short.
-func (h *Histogram) Quantile() Quantile {
+// Quantiles gives the histogram in short.
+func (h *Histogram) Quantiles() Quantiles {
 	at := func(q float64) float64 { return float64(h.h.ValueAtQuantile(q)) / 1000 }
-	return Quantile{P50: at(50), P95: at(95), P99: at(99), Max: float64(h.h.Max()) / 1000}
+	return Quantiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(h.h.Max()) / 1000}
 }
 
 // NewReport sums up by class.
-func (w *Workload) NewReport(counts *audit.Counts, done []audit.Done) *Report {
+func (w *Workload) NewReport(counts *audit.Counts, done []audit.FinishedRequest) *Report {
 	r := &Report{Counts: counts}
 	for _, c := range w.Classes {
 		r.Classes = append(r.Classes, classReport(c.Name, done))
@@ -70,7 +70,7 @@
 	return r
 }
 
-func classReport(class string, done []audit.Done) ClassReport {
+func classReport(class string, done []audit.FinishedRequest) ClassReport {
 	r := ClassReport{Class: class}
 	first, gap, longest, took := NewHistogram(), NewHistogram(), NewHistogram(), NewHistogram()
 	for _, d := range done {
@@ -79,21 +79,21 @@
 		}
 		res := d.Result
 		r.Requests++
-		r.Retries += max(res.Tries-1-res.Resumes, 0)
+		r.Retries += max(res.Attempts-1-res.Resumes, 0)
 		r.Resumes += res.Resumes
-		if !res.Whole {
+		if !res.Complete {
 			continue
 		}
-		r.Whole++
-		took.Add(res.Took)
-		if res.FirstToken > 0 {
-			first.Add(res.FirstToken)
-			longest.Add(res.LongestGap)
+		r.Complete++
+		took.Add(res.Elapsed)
+		if res.TimeToFirstToken > 0 {
+			first.Add(res.TimeToFirstToken)
+			longest.Add(res.MaxChunkGap)
 		}
-		for _, g := range res.Gaps {
+		for _, g := range res.ChunkGaps {
 			gap.Add(g)
 		}
 	}
-	r.FirstToken, r.Gap, r.LongestGap, r.Took = first.Quantile(), gap.Quantile(), longest.Quantile(), took.Quantile()
+	r.TimeToFirstToken, r.ChunkGap, r.MaxChunkGap, r.Elapsed = first.Quantiles(), gap.Quantiles(), longest.Quantiles(), took.Quantiles()
 	return r
 }
--- a/internal/standin/workload/workload.go
+++ b/internal/standin/workload/workload.go
@@ -17,12 +17,12 @@
 	// Duration is how long requests arrive; MaxRequests bounds their number.
 	Duration    time.Duration `yaml:"duration"`
 	MaxRequests int           `yaml:"max_requests"`
-	// Patience bounds one request with its retries. Default 60s.
-	Patience time.Duration `yaml:"patience"`
-	Classes  []Class       `yaml:"classes"`
-	Bursts   []Burst       `yaml:"bursts"`
-	Shifts   []Shift       `yaml:"shifts"`
-	Members  []Member      `yaml:"members"`
+	// RequestTimeout bounds one request with its retries. Default 60s.
+	RequestTimeout time.Duration `yaml:"patience"`
+	Classes        []Class       `yaml:"classes"`
+	Bursts         []Burst       `yaml:"bursts"`
+	Shifts         []MixShift    `yaml:"shifts"`
+	Members        []Member      `yaml:"members"`
 }
 
 // Class is one kind of request.
@@ -31,10 +31,10 @@
 	Service string `yaml:"service"`
 	// Rate is arrivals a second, exponentially apart.
 	Rate float64 `yaml:"rate"`
-	// Method and Path make it a call of a plain service; Once gives it a key.
-	Method string `yaml:"method"`
-	Path   string `yaml:"path"`
-	Once   bool   `yaml:"once"`
+	// Method and Path make it a call of a plain service; AtMostOnce gives it a key.
+	Method     string `yaml:"method"`
+	Path       string `yaml:"path"`
+	AtMostOnce bool   `yaml:"once"`
 	// PromptTokens and OutputTokens are ranges, both ends included.
 	PromptTokens Range `yaml:"prompt_tokens"`
 	OutputTokens Range `yaml:"output_tokens"`
@@ -57,8 +57,8 @@
 	Factor float64       `yaml:"factor"`
 }
 
-// Shift changes the ratio of prompt to output tokens from a time on.
-type Shift struct {
+// MixShift changes the ratio of prompt to output tokens from a time on.
+type MixShift struct {
 	At           time.Duration `yaml:"at"`
 	PromptFactor float64       `yaml:"prompt_factor"`
 	OutputFactor float64       `yaml:"output_factor"`
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, finding.List{{File: path, Problem: err.Error()}}
 	}
-	w := &Workload{Patience: defaultPatience}
+	w := &Workload{RequestTimeout: defaultPatience}
 	file := yamlfile.Decode(path, data, w)
 	w.check(file)
 	return w, file.Findings()
--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -22,10 +22,10 @@
 
 // Bed is one deployment in real processes.
 type Bed struct {
-	Control []*Process
-	Entries []*Process
-	Engines []*Process
-	Plain   []*Process
+	Control      []*Process
+	Entries      []*Process
+	Engines      []*Process
+	PlainServers []*Process
 	// Forwarders stand before the engines with those ids and, with
 	// Options.ForwardControl, between the control replicas.
 	Forwarders map[string]*forwarder.Forwarder
@@ -66,13 +66,13 @@
 
 // DeclarationFile is the file that Start applies.
 func (b *Bed) DeclarationFile() string {
-	return filepath.Join(b.options.Deploy, b.options.Deployment, "declaration.yaml")
+	return filepath.Join(b.options.DeployDir, b.options.Deployment, "declaration.yaml")
 }
 
 // Processes lists all of them.
 func (b *Bed) Processes() []*Process {
 	var all []*Process
-	for _, list := range [][]*Process{b.Control, b.Entries, b.Engines, b.Plain} {
+	for _, list := range [][]*Process{b.Control, b.Entries, b.Engines, b.PlainServers} {
 		all = append(all, list...)
 	}
 	return all
@@ -88,9 +88,11 @@
 	return nil
 }
 
-// Link gives the forwarder on the way from one control replica to another, by
+// ControlForwarder gives the forwarder on the way from one control replica to another, by
 // their ids, or nil.
-func (b *Bed) Link(from, to uint64) *forwarder.Forwarder { return b.Forwarders[linkName(from, to)] }
+func (b *Bed) ControlForwarder(from, to uint64) *forwarder.Forwarder {
+	return b.Forwarders[linkName(from, to)]
+}
 
 // Auth is how the bed's own processes know each other.
 func (b *Bed) Auth() settings.Auth { return b.auth }
@@ -139,7 +141,7 @@
 
 func (b *Bed) applyFirst(ctx context.Context) error {
 	for {
-		out, err := b.Ctl(ctx, "apply", b.DeclarationFile(), "--wait")
+		out, err := b.RunCtl(ctx, "apply", b.DeclarationFile(), "--wait")
 		if err == nil {
 			return nil
 		}
@@ -151,15 +153,15 @@
 	}
 }
 
-// Ctl runs goldcrestctl against the bed's control replicas and gives what it
+// RunCtl runs goldcrestctl against the bed's control replicas and gives what it
 // printed. Errors: Failed.
-func (b *Bed) Ctl(ctx context.Context, args ...string) (string, error) {
+func (b *Bed) RunCtl(ctx context.Context, args ...string) (string, error) {
 	args = append(args, "--control", strings.Join(b.controlAddresses, ","),
 		"--cluster", b.options.Deployment, "--shared-key-file", b.auth.SharedKeyFile)
 	if b.auth.TLS() {
 		args = append(args, "--cert-file", b.auth.CertFile, "--key-file", b.auth.KeyFile, "--ca-file", b.auth.CAFile)
 	}
-	cmd := exec.CommandContext(ctx, filepath.Join(b.options.Bin, binCtl), args...)
+	cmd := exec.CommandContext(ctx, filepath.Join(b.options.BinDir, binCtl), args...)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		return string(out), Failed.Wrap(err, "goldcrestctl %s: %s", args[0], out)
@@ -201,14 +203,14 @@
 	}
 }
 
-// Journals gives all that the stand-ins have written down.
-func (b *Bed) Journals() ([]journal.Record, error) { return journal.ReadAll(b.path(journalDir)) }
+// JournalRecords gives all that the stand-ins have written down.
+func (b *Bed) JournalRecords() ([]journal.Record, error) { return journal.ReadAll(b.path(journalDir)) }
 
-// Unmeant lists processes that ended without the bed's doing.
-func (b *Bed) Unmeant() []string {
+// UnexpectedlyExited lists processes that ended without the bed's doing.
+func (b *Bed) UnexpectedlyExited() []string {
 	var names []string
 	for _, p := range b.Processes() {
-		if p.Unmeant() > 0 {
+		if p.UnexpectedExits() > 0 {
 			names = append(names, p.Name)
 		}
 	}
--- a/internal/testbed/measure/latency.go
+++ b/internal/testbed/measure/latency.go
@@ -24,12 +24,12 @@
 // Latency compares streams through the entry with streams at the engine, both
 // at the same time. Times are in milliseconds.
 type Latency struct {
-	Pairs            int               `json:"pairs"`
-	Failed           int               `json:"failed"`
-	FirstTokenDirect workload.Quantile `json:"first_token_direct_ms"`
-	FirstTokenEntry  workload.Quantile `json:"first_token_entry_ms"`
-	GapDirect        workload.Quantile `json:"gap_direct_ms"`
-	GapEntry         workload.Quantile `json:"gap_entry_ms"`
+	Pairs                  int                `json:"pairs"`
+	Failed                 int                `json:"failed"`
+	TimeToFirstTokenDirect workload.Quantiles `json:"first_token_direct_ms"`
+	TimeToFirstTokenEntry  workload.Quantiles `json:"first_token_entry_ms"`
+	ChunkGapDirect         workload.Quantiles `json:"gap_direct_ms"`
+	ChunkGapEntry          workload.Quantiles `json:"gap_entry_ms"`
 }
 
 // Sizes of the requests that are compared.
@@ -52,7 +52,7 @@
 	return &target{
 		bed: bed, deployment: deployment, service: service, member: member,
 		caller: caller.New(caller.Config{
-			Seeds: bed.EntryAddresses(), Member: member, Token: testbed.Token(deployment, member), Seed: 1,
+			SeedEntries: bed.EntryAddresses(), Member: member, Token: testbed.MemberToken(deployment, member), Seed: 1,
 		}),
 	}
 }
@@ -72,8 +72,8 @@
 	}
 	wg.Wait()
 	l.Failed = direct.failed + entry.failed
-	l.FirstTokenDirect, l.GapDirect = direct.first.Quantile(), direct.gap.Quantile()
-	l.FirstTokenEntry, l.GapEntry = entry.first.Quantile(), entry.gap.Quantile()
+	l.TimeToFirstTokenDirect, l.ChunkGapDirect = direct.first.Quantiles(), direct.gap.Quantiles()
+	l.TimeToFirstTokenEntry, l.ChunkGapEntry = entry.first.Quantiles(), entry.gap.Quantiles()
 	return l
 }
 
@@ -126,14 +126,14 @@
 			continue
 		}
 		if data == engineapi.DoneMarker {
-			res.Whole = true
+			res.Complete = true
 			return
 		}
 		now := time.Now()
 		if last.IsZero() {
-			res.FirstToken = now.Sub(began)
+			res.TimeToFirstToken = now.Sub(began)
 		} else {
-			res.Gaps = append(res.Gaps, now.Sub(last))
+			res.ChunkGaps = append(res.ChunkGaps, now.Sub(last))
 		}
 		last = now
 	}
--- a/internal/testbed/measure/measure.go
+++ b/internal/testbed/measure/measure.go
@@ -12,18 +12,18 @@
 
 // Report holds all measurements of one run.
 type Report struct {
-	Latency *Latency `json:"latency"`
-	Relay   *Relay   `json:"relay"`
-	Memory  *Memory  `json:"memory"`
+	Latency *Latency    `json:"latency"`
+	Relay   *RelayCost  `json:"relay"`
+	Memory  *MemoryCost `json:"memory"`
 }
 
 // Options says where the programs are and how much to measure.
 type Options struct {
-	Bin, Deploy, Deployment, Dir string
+	BinDir, DeployDir, Deployment, Dir string
 	// Pairs and Width are for the latency, Streams for the relay.
-	Pairs, Width, Streams int
-	// Sizes are numbers of open streams.
-	Sizes []int
+	Pairs, Concurrency, Streams int
+	// StreamCounts are numbers of open streams.
+	StreamCounts []int
 }
 
 const (
@@ -39,8 +39,8 @@
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r := &Report{}
 	err := onBed(ctx, o, "real", func(c *server.Config) { c.Slots = openSlots }, func(t *target) (err error) {
-		r.Latency = t.latency(ctx, o.Pairs, o.Width)
-		r.Memory, err = t.memory(ctx, o.Sizes)
+		r.Latency = t.latency(ctx, o.Pairs, o.Concurrency)
+		r.Memory, err = t.memory(ctx, o.StreamCounts)
 		return err
 	})
 	if err != nil {
@@ -55,7 +55,7 @@
 
 func onBed(ctx context.Context, o Options, name string, tune func(*server.Config), measure func(*target) error) error {
 	bed, err := testbed.New(testbed.Options{
-		Bin: o.Bin, Dir: filepath.Join(o.Dir, name), Deployment: o.Deployment, Deploy: o.Deploy, Tune: tune,
+		BinDir: o.BinDir, Dir: filepath.Join(o.Dir, name), Deployment: o.Deployment, DeployDir: o.DeployDir, TuneServer: tune,
 	})
 	if err != nil {
 		return err
--- a/internal/testbed/measure/streams.go
+++ b/internal/testbed/measure/streams.go
@@ -16,17 +16,17 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// Relay is what one entry spends on relaying tokens.
-type Relay struct {
-	Streams       int     `json:"streams"`
-	Tokens        int     `json:"tokens"`
-	CPUSeconds    float64 `json:"cpu_seconds"`
-	TokensPerCore float64 `json:"tokens_per_core_second"`
-	Failed        int     `json:"failed"`
+// RelayCost is what one entry spends on relaying tokens.
+type RelayCost struct {
+	Streams             int     `json:"streams"`
+	Tokens              int     `json:"tokens"`
+	CPUSeconds          float64 `json:"cpu_seconds"`
+	TokensPerCoreSecond float64 `json:"tokens_per_core_second"`
+	Failed              int     `json:"failed"`
 }
 
-// Memory is what an open stream takes at its entry, fitted over sizes.
-type Memory struct {
+// MemoryCost is what an open stream takes at its entry, fitted over sizes.
+type MemoryCost struct {
 	Streams    []float64 `json:"streams"`
 	ResidentKB []float64 `json:"resident_kb"`
 	// KBPerStream and BaseKB are the line's slope and its value at no stream.
@@ -53,8 +53,8 @@
 
 // relay sends streams through one entry and reads its processor time.
 // Errors: Failed.
-func (t *target) relay(ctx context.Context, streams int) (*Relay, error) {
-	r := &Relay{Streams: streams}
+func (t *target) relay(ctx context.Context, streams int) (*RelayCost, error) {
+	r := &RelayCost{Streams: streams}
 	pid := t.bed.Entries[0].PID()
 	before, err := testbed.CPUTime(pid)
 	if err != nil {
@@ -65,7 +65,7 @@
 	for n := range streams {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(n), 6))
-			if t.caller.Complete(ctx, t.completion(rng, n, openPrompt, relayTokens)).Whole {
+			if t.caller.Complete(ctx, t.completion(rng, n, openPrompt, relayTokens)).Complete {
 				whole.Add(1)
 			}
 		})
@@ -77,14 +77,14 @@
 	}
 	r.Tokens, r.Failed = int(whole.Load())*relayTokens, streams-int(whole.Load())
 	r.CPUSeconds = (after - before).Seconds()
-	r.TokensPerCore = float64(r.Tokens) / r.CPUSeconds
+	r.TokensPerCoreSecond = float64(r.Tokens) / r.CPUSeconds
 	return r, nil
 }
 
 // memory opens more and more streams at one entry and reads its memory.
 // Errors: Failed.
-func (t *target) memory(ctx context.Context, sizes []int) (*Memory, error) {
-	m := &Memory{}
+func (t *target) memory(ctx context.Context, sizes []int) (*MemoryCost, error) {
+	m := &MemoryCost{}
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
--- a/internal/testbed/measure/times.go
+++ b/internal/testbed/measure/times.go
@@ -22,12 +22,12 @@
 func (t *times) add(res *caller.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !res.Whole {
+	if !res.Complete {
 		t.failed++
 		return
 	}
-	t.first.Add(res.FirstToken)
-	for _, g := range res.Gaps {
+	t.first.Add(res.TimeToFirstToken)
+	for _, g := range res.ChunkGaps {
 		t.gap.Add(g)
 	}
 }
--- a/internal/testbed/options.go
+++ b/internal/testbed/options.go
@@ -23,31 +23,31 @@
 
 // Options says which deployment to start and how.
 type Options struct {
-	// Bin is the folder with the programs.
-	Bin string
+	// BinDir is the folder with the programs.
+	BinDir string
 	// Dir is where settings, data, logs and journals go; it must be empty.
 	Dir string
 	// Deployment is a folder under Deploy: qalhat or qazaq.
 	Deployment string
-	// Deploy is the folder with the deployments' declarations.
-	Deploy string
-	// Engines and Entries are per data centre. Default 3.
-	Engines int
-	Entries int
-	// Tune changes a backend server's configuration before it is written.
-	Tune func(*server.Config)
-	// Forward puts a forwarder before every model engine.
-	Forward bool
+	// DeployDir is the folder with the deployments' declarations.
+	DeployDir string
+	// EnginesPerDataCentre and EntriesPerDataCentre are counts. Default 3.
+	EnginesPerDataCentre int
+	EntriesPerDataCentre int
+	// TuneServer changes a backend server's configuration before it is written.
+	TuneServer func(*server.Config)
+	// ForwardEngines puts a forwarder before every model engine.
+	ForwardEngines bool
 	// ForwardControl puts a forwarder on the way from each control replica to
-	// each other one; Bed.Link finds them.
+	// each other one; Bed.ControlForwarder finds them.
 	ForwardControl bool
 	// TLS protects the system's own processes with throw-away certificates,
 	// beside the shared key.
 	TLS bool
-	// AnswerKeep is how long callers keep entry lists. Default 1s, to be quick.
-	AnswerKeep time.Duration
-	// OrderPause is the longest pause stated for control. Default 2s.
-	OrderPause time.Duration
+	// EntryListTTL is how long callers keep entry lists. Default 1s, to be quick.
+	EntryListTTL time.Duration
+	// MaxOrderPause is the longest pause stated for control. Default 2s.
+	MaxOrderPause time.Duration
 	// LogLevel of entries and control. Default info.
 	LogLevel string
 }
@@ -59,17 +59,17 @@
 )
 
 func (o *Options) setDefaults() {
-	if o.Engines == 0 {
-		o.Engines = perDataCentre
+	if o.EnginesPerDataCentre == 0 {
+		o.EnginesPerDataCentre = perDataCentre
 	}
-	if o.Entries == 0 {
-		o.Entries = perDataCentre
+	if o.EntriesPerDataCentre == 0 {
+		o.EntriesPerDataCentre = perDataCentre
 	}
-	if o.AnswerKeep == 0 {
-		o.AnswerKeep = time.Second
+	if o.EntryListTTL == 0 {
+		o.EntryListTTL = time.Second
 	}
-	if o.OrderPause == 0 {
-		o.OrderPause = 2 * time.Second
+	if o.MaxOrderPause == 0 {
+		o.MaxOrderPause = 2 * time.Second
 	}
 	if o.LogLevel == "" {
 		o.LogLevel = "info"
@@ -96,8 +96,8 @@
 	return kind + "-" + string(rune('a'+dc)) + strconv.Itoa(n+1)
 }
 
-// Token is the bearer token of a member of the deployments under deploy/.
-func Token(deployment, member string) string { return deployment + "-" + member + "-token" }
+// MemberToken is the bearer token of a member of the deployments under deploy/.
+func MemberToken(deployment, member string) string { return deployment + "-" + member + "-token" }
 
 // plainServices lists the names of the declaration's plain services.
 func plainServices(d *declaration.Declaration) []string {
--- a/internal/testbed/probe.go
+++ b/internal/testbed/probe.go
@@ -18,7 +18,7 @@
 		return err.Error()
 	}
 	member := b.Declaration.Members[0].Name
-	req.Header.Set("Authorization", "Bearer "+Token(b.options.Deployment, member))
+	req.Header.Set("Authorization", "Bearer "+MemberToken(b.options.Deployment, member))
 	resp, err := client.Do(req)
 	if err != nil {
 		return err.Error()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -94,7 +94,7 @@
 // Kill ends the process with SIGKILL and waits until it is gone.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.Done()
+	<-p.Exited()
 }
 
 // Stop asks for a planned stop and waits for it. It gives false, and kills the
@@ -102,7 +102,7 @@
 func (p *Process) Stop(timeout time.Duration) bool {
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.Done():
+	case <-p.Exited():
 		return true
 	case <-time.After(timeout):
 		p.Kill()
@@ -110,15 +110,15 @@
 	}
 }
 
-// Expect says that the process's end is part of the test.
-func (p *Process) Expect() {
+// ExpectExit says that the process's end is part of the test.
+func (p *Process) ExpectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.meant = true
 }
 
-// Done is closed when the current life is over.
-func (p *Process) Done() <-chan struct{} {
+// Exited is closed when the current life is over.
+func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.done == nil {
@@ -132,7 +132,7 @@
 // Running tells whether the process lives.
 func (p *Process) Running() bool {
 	select {
-	case <-p.Done():
+	case <-p.Exited():
 		return false
 	default:
 		return true
@@ -146,8 +146,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Unmeant gives how many lives ended without the bed's doing.
-func (p *Process) Unmeant() int {
+// UnexpectedExits gives how many lives ended without the bed's doing.
+func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unmeant
--- a/internal/testbed/status.go
+++ b/internal/testbed/status.go
@@ -24,7 +24,7 @@
 }
 
 func (b *Bed) status(ctx context.Context) (*status, error) {
-	out, err := b.Ctl(ctx, "status", "--output", "json")
+	out, err := b.RunCtl(ctx, "status", "--output", "json")
 	if err != nil {
 		return nil, err
 	}
@@ -38,6 +38,6 @@
 // ChangeRole asks control for an engine's role, as an operator does.
 // Errors: Failed.
 func (b *Bed) ChangeRole(ctx context.Context, engine, role string) error {
-	_, err := b.Ctl(ctx, "roles", engine, role)
+	_, err := b.RunCtl(ctx, "roles", engine, role)
 	return err
 }
--- a/internal/testbed/write.go
+++ b/internal/testbed/write.go
@@ -43,7 +43,7 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		return nil, Failed.Wrap(err, "settings of %s", name)
 	}
-	p := NewProcess(name, filepath.Join(b.options.Bin, binary), []string{"run", "--settings", file}, b.path(name+".log"), &b.wg)
+	p := NewProcess(name, filepath.Join(b.options.BinDir, binary), []string{"run", "--settings", file}, b.path(name+".log"), &b.wg)
 	p.Address, p.DataCentre = address, dc
 	return p, nil
 }
@@ -78,7 +78,7 @@
 		p, err := b.newProcess(binControl, name, r.DataCentre, r.Address, settings.Control{
 			Common: b.common(name, r.DataCentre), ReplicaID: r.ID, Address: r.Address, DataDir: dir,
 			Bootstrap: seen, ElectionTimeout: settings.DefaultElectionTimeout,
-			SnapshotEntries: settings.DefaultSnapshotEntries, OrderPause: b.options.OrderPause,
+			SnapshotEntries: settings.DefaultSnapshotEntries, OrderPause: b.options.MaxOrderPause,
 		})
 		if err != nil {
 			return err
@@ -113,13 +113,13 @@
 
 func (b *Bed) planEntries() error {
 	for dc := range dataCentres {
-		for n := range b.options.Entries {
+		for n := range b.options.EntriesPerDataCentre {
 			name, address, peer := nodeName("entry", dc, n), b.ports.address(), b.ports.address()
 			where := b.options.dataCentre(dc)
 			p, err := b.newProcess(binEntry, name, where, address, settings.Entry{
 				Common: b.common(name, where), CallerAddress: address, PeerAddress: peer,
 				MaxBodyBytes: settings.DefaultMaxBodyBytes, MaxStreams: settings.DefaultMaxStreams,
-				AnswerKeep: b.options.AnswerKeep, StopTimeout: stopTimeout,
+				AnswerKeep: b.options.EntryListTTL, StopTimeout: stopTimeout,
 			})
 			if err != nil {
 				return err
@@ -133,7 +133,7 @@
 
 func (b *Bed) planServers(d *declaration.Declaration) error {
 	for dc := range dataCentres {
-		for n := range b.options.Engines {
+		for n := range b.options.EnginesPerDataCentre {
 			c := b.serverConfig(nodeName("engine", dc, n), dc)
 			c.Kind, c.Model, c.Version = engineapi.KindModel, d.Models[0].Name, d.Models[0].Version
 			c.Fencing = declaration.FencingIgnored
@@ -152,7 +152,7 @@
 		if err != nil {
 			return err
 		}
-		b.Plain = append(b.Plain, p)
+		b.PlainServers = append(b.PlainServers, p)
 	}
 	return nil
 }
@@ -163,16 +163,16 @@
 	c.Address, c.Journal = b.ports.address(), b.path(journalDir, id+".journal")
 	// Own data centre first, then one entry of each other.
 	for i := range dataCentres {
-		c.Entries = append(c.Entries, b.Entries[(dc+i)%dataCentres*b.options.Entries].Address)
+		c.Entries = append(c.Entries, b.Entries[(dc+i)%dataCentres*b.options.EntriesPerDataCentre].Address)
 	}
 	return c
 }
 
 func (b *Bed) planServer(c server.Config) (*Process, error) {
-	if b.options.Tune != nil {
-		b.options.Tune(&c)
+	if b.options.TuneServer != nil {
+		b.options.TuneServer(&c)
 	}
-	if b.options.Forward && c.Kind == engineapi.KindModel {
+	if b.options.ForwardEngines && c.Kind == engineapi.KindModel {
 		f, err := forwarder.Listen("127.0.0.1:0", c.Address)
 		if err != nil {
 			return nil, err
