--- a/internal/standin/server/announce.go
+++ b/internal/standin/server/announce.go
@@ -14,40 +14,42 @@
 )
 
 const (
-	// announceTo is how many entries hear of it: two may be cut off.
-	announceTo = 3
-	// announceInterval holds until an entry names another one.
-	announceInterval = time.Second
-	announceTimeout  = 500 * time.Millisecond
+	// announceTargets is how many entries each announcement goes to. Three
+	// tolerate two unreachable entries.
+	announceTargets = 3
+	// defaultAnnounceInterval applies until an entry's answer sets another one.
+	defaultAnnounceInterval = time.Second
+	announceTimeout         = 500 * time.Millisecond
 )
 
-// announcer says to entries what the server is.
+// announcer sends the server's announcements to the entries.
 type announcer struct {
 	client   *http.Client
 	interval time.Duration
-	// failed lists entries that gave no answer last time.
+	// failed holds the entries whose latest announcement was not answered.
 	failed map[string]bool
 }
 
-func (s *Server) announceNow() {
+func (s *Server) triggerAnnounce() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.announceTrigger <- struct{}{}:
 	default:
 	}
 }
 
 func (s *Server) announceLoop(ctx context.Context) {
 	a := &announcer{
-		// A connection that has gone silent must not eat announcements.
+		// Without keep-alive, a connection that the network has blackholed
+		// can't swallow further announcements.
 		client:   &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: announceTimeout},
-		interval: announceInterval, failed: make(map[string]bool),
+		interval: defaultAnnounceInterval, failed: make(map[string]bool),
 	}
 	for {
 		s.announceRound(ctx, a)
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.announceTrigger:
 		case <-time.After(a.interval):
 		}
 	}
@@ -56,7 +58,7 @@
 func (s *Server) announceRound(ctx context.Context, a *announcer) {
 	s.mu.Lock()
 	body := s.announcement()
-	targets := a.choose(s.entries)
+	targets := a.chooseTargets(s.entries)
 	s.mu.Unlock()
 	results := pool.NewWithResults[announceResult]()
 	for _, entry := range targets {
@@ -65,43 +67,45 @@
 	for _, r := range results.Wait() {
 		a.failed[r.entry] = !r.ok
 		if r.ok {
-			s.follow(a, r.answer)
+			s.applyAnnounceAnswer(a, r.answer)
 		}
 	}
 }
 
-// choose gives the best entries, those that failed last. Once all have failed
-// they are all tried again.
-func (a *announcer) choose(entries []string) []string {
-	order := slices.Clone(entries)
-	slices.SortStableFunc(order, func(x, y string) int { return rank(a.failed[x]) - rank(a.failed[y]) })
-	for _, e := range order[:min(announceTo, len(order))] {
+// chooseTargets returns up to announceTargets entries in the preferred order,
+// entries that failed after the others. If all of them have failed, it clears
+// the failures and returns every entry.
+func (a *announcer) chooseTargets(entries []string) []string {
+	ordered := slices.Clone(entries)
+	slices.SortStableFunc(ordered, func(x, y string) int { return failureRank(a.failed[x]) - failureRank(a.failed[y]) })
+	for _, e := range ordered[:min(announceTargets, len(ordered))] {
 		if !a.failed[e] {
-			return order[:min(announceTo, len(order))]
+			return ordered[:min(announceTargets, len(ordered))]
 		}
 	}
 	clear(a.failed)
-	return order
+	return ordered
 }
 
-func rank(failed bool) int {
+func failureRank(failed bool) int {
 	if failed {
 		return 1
 	}
 	return 0
 }
 
-// announcement must be called with mu held.
+// announcement builds the announcement of the current state. The caller must
+// hold mu.
 func (s *Server) announcement() engineapi.Announcement {
 	c, o := &s.config, &s.orders
 	a := engineapi.Announcement{
-		Cluster: c.Cluster, ID: c.ID, Incarnation: s.incarnation, Address: c.announced(),
+		Cluster: c.Cluster, ID: c.ID, Incarnation: s.incarnation, Address: c.advertisedAddress(),
 		Region: c.Region, DataCentre: c.DataCentre, Kind: c.Kind, Services: c.Services,
 		State: s.state(), Slots: uint32(c.Slots), Load: s.load(),
 	}
 	if c.Kind == engineapi.KindModel {
 		a.Model, a.Version, a.Adapters, a.Role = o.model, o.version, slices.Clone(o.adapters), o.role
-		a.LastOrder, a.LastToken = o.last.ID, o.last.Token
+		a.LastOrder, a.LastToken = o.lastDone.ID, o.lastDone.Token
 		if o.running != nil {
 			a.RunningOrder = o.running.ID
 		}
@@ -135,9 +139,10 @@
 	return result
 }
 
-// follow takes an entry's answer to heart. The entries of the configuration
-// stay in the list, so that a wrong answer can't cut the server off.
-func (s *Server) follow(a *announcer, answer engineapi.AnnounceAnswer) {
+// applyAnnounceAnswer applies an entry's answer: the interval, the list of
+// entries and a request to leave. The configured entries stay in the list, so
+// that a wrong answer can't leave the server without working entries.
+func (s *Server) applyAnnounceAnswer(a *announcer, answer engineapi.AnnounceAnswer) {
 	if answer.IntervalMS > 0 {
 		a.interval = time.Duration(answer.IntervalMS) * time.Millisecond
 	}
@@ -153,6 +158,6 @@
 		s.mu.Unlock()
 	}
 	if answer.Leave {
-		s.leave()
+		s.startLeaving()
 	}
 }
--- a/internal/standin/server/cache.go
+++ b/internal/standin/server/cache.go
@@ -14,111 +14,117 @@
 )
 
 const (
-	// eventLag is how late cache events are published, in real time.
-	eventLag = 300 * time.Millisecond
-	// eventGap: each event whose number divides by it is lost.
-	eventGap = 7
-	// eventMarks bounds the eventLog.
-	eventMarks = 16
+	// cacheEventLag delays the publication of cache events, in real time.
+	cacheEventLag = 300 * time.Millisecond
+	// lostEventPeriod: events whose sequence number is a multiple of it are
+	// omitted, as if lost.
+	lostEventPeriod = 7
+	// maxEventSamples bounds the number of samples in an eventTimeline.
+	maxEventSamples = 16
 )
 
-// eventLog remembers which cache event came next at which time.
-type eventLog struct{ marks []eventMark }
+// eventTimeline records the sequence number of the next cache event at several
+// points in time.
+type eventTimeline struct{ samples []eventSample }
 
-type eventMark struct {
+type eventSample struct {
 	at   time.Time
 	next uint64
 }
 
-// due tells whether it is time for a note: several times per lag.
-func (l *eventLog) due(now time.Time) bool {
-	n := len(l.marks)
-	return n == 0 || now.Sub(l.marks[n-1].at) >= eventLag/(eventMarks/2)
+// sampleDue reports whether a new sample is due. Samples are taken several times
+// per cacheEventLag.
+func (t *eventTimeline) sampleDue(now time.Time) bool {
+	n := len(t.samples)
+	return n == 0 || now.Sub(t.samples[n-1].at) >= cacheEventLag/(maxEventSamples/2)
 }
 
-// note takes down the next event's number.
-func (l *eventLog) note(now time.Time, next uint64) {
-	l.marks = append(l.marks, eventMark{at: now, next: next})
-	l.marks = l.marks[max(0, len(l.marks)-eventMarks):]
+// addSample records the sequence number of the next event and drops samples
+// beyond maxEventSamples.
+func (t *eventTimeline) addSample(now time.Time, next uint64) {
+	t.samples = append(t.samples, eventSample{at: now, next: next})
+	t.samples = t.samples[max(0, len(t.samples)-maxEventSamples):]
 }
 
-// published is the number before which events are told by now.
-func (l *eventLog) published(now time.Time) uint64 {
+// publishedBefore returns the sequence number below which events are published.
+func (t *eventTimeline) publishedBefore(now time.Time) uint64 {
 	next := uint64(0)
-	for _, m := range l.marks {
-		if now.Sub(m.at) >= eventLag {
-			next = m.next
+	for _, sample := range t.samples {
+		if now.Sub(sample.at) >= cacheEventLag {
+			next = sample.next
 		}
 	}
 	return next
 }
 
-func (s *Server) cacheEvents(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	s.mu.Lock()
-	all, until := s.model.CacheEvents(after), s.events.published(time.Now())
+	all, publishedBefore := s.model.CacheEvents(after), s.eventTimeline.publishedBefore(time.Now())
 	s.mu.Unlock()
-	told := engineapi.CacheEvents{Next: max(after+1, until)}
+	response := engineapi.CacheEvents{Next: max(after+1, publishedBefore)}
 	for _, e := range all.Events {
-		if e.Seq < until && e.Seq%eventGap != 0 {
-			told.Events = append(told.Events, e)
+		if e.Seq < publishedBefore && e.Seq%lostEventPeriod != 0 {
+			response.Events = append(response.Events, e)
 		}
 	}
-	writeJSON(w, http.StatusOK, told)
+	writeJSON(w, http.StatusOK, response)
 }
 
-// kvCopy is KV cache as it is exported and imported: what text it stands for.
-type kvCopy struct {
+// exportedKV is the form in which KV cache is exported and imported: it
+// identifies the text that the cache covers instead of holding tensors.
+type exportedKV struct {
 	Digest uint64 `json:"digest"`
 	Salt   string `json:"salt"`
 	Tokens int    `json:"tokens"`
 }
 
-func newKVCopy(req engineapi.CompletionRequest, text string) kvCopy {
-	return kvCopy{
+func newExportedKV(req engineapi.CompletionRequest, text string) exportedKV {
+	return exportedKV{
 		Digest: xxhash.Sum64String(req.Prompt + text), Salt: req.CacheSalt,
 		Tokens: answer.EstimatePromptTokens(req.Prompt + text),
 	}
 }
 
-// covers tells whether the copy is of this request's member and text.
-func (k kvCopy) covers(req engineapi.CompletionRequest) bool {
-	return k == newKVCopy(req, req.GeneratedText)
+// matches reports whether the KV cache covers exactly the request's text under
+// the request's cache salt, and so belongs to the same member.
+func (k exportedKV) matches(req engineapi.CompletionRequest) bool {
+	return k == newExportedKV(req, req.GeneratedText)
 }
 
-func (s *Server) exportKV(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleExportKV(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.newestStream(r.PathValue("id"))
+	st := s.latestStream(r.PathValue("id"))
 	if st == nil {
 		http.Error(w, "no such request", http.StatusNotFound)
 		return
 	}
-	text := st.request.GeneratedText + strings.Join(st.from(0).tokens, "")
-	writeJSON(w, http.StatusOK, newKVCopy(st.request, text))
+	text := st.request.GeneratedText + strings.Join(st.partFrom(0).tokens, "")
+	writeJSON(w, http.StatusOK, newExportedKV(st.request, text))
 }
 
-// newestStream gives the last attempt of a request, or nil. It must be called
-// with mu held.
-func (s *Server) newestStream(requestID string) *stream {
-	var newest *stream
+// newestStream returns the stream of the request's latest attempt, or nil. The
+// caller must hold mu.
+func (s *Server) latestStream(requestID string) *stream {
+	var latest *stream
 	for key, st := range s.streams {
-		if key.requestID == requestID && (newest == nil || key.attempt > newest.key.attempt) {
-			newest = st
+		if key.requestID == requestID && (latest == nil || key.attempt > latest.key.attempt) {
+			latest = st
 		}
 	}
-	return newest
+	return latest
 }
 
-func (s *Server) importKV(w http.ResponseWriter, r *http.Request) {
-	var copied kvCopy
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&copied); err != nil {
+func (s *Server) handleImportKV(w http.ResponseWriter, r *http.Request) {
+	var imported exportedKV
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&imported); err != nil {
 		http.Error(w, "not KV cache", http.StatusBadRequest)
 		return
 	}
-	handle := "kv-" + strconv.FormatUint(copied.Digest, 16)
+	handle := "kv-" + strconv.FormatUint(imported.Digest, 16)
 	s.mu.Lock()
-	s.kv[handle] = copied
+	s.importedKV[handle] = imported
 	s.mu.Unlock()
-	writeJSON(w, http.StatusOK, engineapi.KVImported{Handle: handle, Tokens: copied.Tokens})
+	writeJSON(w, http.StatusOK, engineapi.KVImported{Handle: handle, Tokens: imported.Tokens})
 }
--- a/internal/standin/server/completions.go
+++ b/internal/standin/server/completions.go
@@ -13,7 +13,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// maxBody bounds a completion request's body.
+// maxBody bounds a request body in bytes.
 const maxBody = 8 << 20
 
 // Finish reasons.
@@ -22,7 +22,7 @@
 	finishPrefilled = "prefilled"
 )
 
-func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.CompletionRequest
 	body := http.MaxBytesReader(w, r.Body, maxBody)
 	if err := json.NewDecoder(body).Decode(&req); err != nil || req.RequestID == "" || req.MaxTokens <= req.GeneratedTokens {
@@ -30,26 +30,27 @@
 		return
 	}
 	s.journal.Write(requestRecord(journal.RequestReceived, req))
-	echo(w, req.RequestID, req.Attempt)
-	st, state := s.start(req)
+	setRequestHeaders(w, req.RequestID, req.Attempt)
+	st, state := s.startStream(req)
 	if st == nil {
 		rejected := requestRecord(journal.RequestRejected, req)
 		rejected.Reason = string(state)
 		s.journal.Write(rejected)
-		s.notStarted(w, state, "the engine takes no new work")
+		s.writeNotStarted(w, state, "the engine takes no new work")
 		return
 	}
-	s.relay(r.Context(), w, st, req.GeneratedTokens)
+	s.writeStream(r.Context(), w, st, req.GeneratedTokens)
 }
 
-// start puts the request into the batch; the same attempt again joins the
-// stream that it has. It gives nil and the state when no new work is taken.
-func (s *Server) start(req engineapi.CompletionRequest) (*stream, engineapi.State) {
+// startStream submits the request to the engine model. A repeated attempt gets
+// the stream that exists for it. It returns nil and the state if the server
+// accepts no new work.
+func (s *Server) startStream(req engineapi.CompletionRequest) (*stream, engineapi.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := newStream(req)
-	if old, ok := s.streams[st.key]; ok {
-		return old, s.state()
+	if existing, ok := s.streams[st.key]; ok {
+		return existing, s.state()
 	}
 	if state := s.state(); state != engineapi.StateServing {
 		return nil, state
@@ -58,17 +59,18 @@
 	if err := s.model.Submit(now, s.modelRequest(req)); err != nil {
 		return nil, s.state()
 	}
-	// Written with the lock held, so that no order begins in between.
+	// Written with the lock held, so that no order starts before the record is
+	// in the journal.
 	s.journal.Write(requestRecord(journal.RequestStarted, req))
-	s.streams[st.key], s.running[st.key.String()] = st, st
+	s.streams[st.key], s.runningStreams[st.key.String()] = st, st
 	return st, engineapi.StateServing
 }
 
-// resume goes on with a stream from an offset.
-func (s *Server) resume(w http.ResponseWriter, r *http.Request) {
+// handleResume continues a stream from an offset.
+func (s *Server) handleResume(w http.ResponseWriter, r *http.Request) {
 	attempt, err := strconv.ParseUint(r.URL.Query().Get("attempt"), 10, 32)
-	from, err2 := strconv.Atoi(r.URL.Query().Get("from"))
-	if err != nil || err2 != nil || from < 0 {
+	from, fromErr := strconv.Atoi(r.URL.Query().Get("from"))
+	if err != nil || fromErr != nil || from < 0 {
 		http.Error(w, "attempt and from must be numbers", http.StatusBadRequest)
 		return
 	}
@@ -80,12 +82,12 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	echo(w, key.requestID, key.attempt)
-	s.relay(r.Context(), w, st, from)
+	setRequestHeaders(w, key.requestID, key.attempt)
+	s.writeStream(r.Context(), w, st, from)
 }
 
-// cancel stops the attempts up to the one named.
-func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
+// handleCancel cancels the named attempt of a request and all earlier ones.
+func (s *Server) handleCancel(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.CancelRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req); err != nil {
 		http.Error(w, "not a cancel request", http.StatusBadRequest)
@@ -93,44 +95,45 @@
 	}
 	s.mu.Lock()
 	s.advance()
-	s.cutStreams(nil, func(k streamKey) bool {
+	s.abortStreams(nil, func(k streamKey) bool {
 		return k.requestID == req.RequestID && k.attempt <= req.Attempt
 	})
 	s.mu.Unlock()
-	echo(w, req.RequestID, req.Attempt)
+	setRequestHeaders(w, req.RequestID, req.Attempt)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// cutStreams ends the streams chosen without an end marker. It must be called
-// with mu held. order is what cuts them, nil for a cancel.
-func (s *Server) cutStreams(order *engineapi.Order, chosen func(streamKey) bool) {
-	for id, st := range s.running {
-		if chosen(st.key) {
+// abortStreams ends the selected streams without an end marker. order is the
+// order that interrupts them, or nil for a cancel request. The caller must hold mu.
+func (s *Server) abortStreams(order *engineapi.Order, selected func(streamKey) bool) {
+	for id, st := range s.runningStreams {
+		if selected(st.key) {
 			s.model.Cancel(id)
 			s.endStream(st, "", journal.RequestCancelled, order)
 		}
 	}
 }
 
-// relay sends the stream from the offset on until it ends or the reader is gone.
-func (s *Server) relay(ctx context.Context, w http.ResponseWriter, st *stream, from int) {
+// writeStream sends the stream from the given offset until it ends or the client
+// disconnects.
+func (s *Server) writeStream(ctx context.Context, w http.ResponseWriter, st *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	out := &eventWriter{w: w, flush: http.NewResponseController(w), key: st.key, offset: from}
-	// The head goes out at once, as engines send it when a request is accepted.
+	// Real engines send the response headers as soon as they accept a request.
 	if out.flush.Flush() != nil {
 		return
 	}
-	time.Sleep(late(st.request.Prompt))
-	heartbeat := time.NewTicker(heartbeatEvery)
+	time.Sleep(responseDelay(st.request.Prompt))
+	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		p := st.from(out.offset)
-		if out.send(p) != nil {
+		p := st.partFrom(out.offset)
+		if out.writePart(p) != nil {
 			return
 		}
 		if p.ended {
-			out.close(p.finish)
+			out.close(p.finishReason)
 			return
 		}
 		select {
@@ -148,7 +151,7 @@
 	}
 }
 
-// eventWriter writes chunks as server-sent events.
+// eventWriter writes a stream as server-sent events.
 type eventWriter struct {
 	w      http.ResponseWriter
 	flush  *http.ResponseController
@@ -156,10 +159,10 @@
 	offset int
 }
 
-func (e *eventWriter) send(p part) error {
+func (e *eventWriter) writePart(p streamPart) error {
 	finish := ""
 	if p.ended {
-		finish = p.finish
+		finish = p.finishReason
 	}
 	if len(p.tokens) == 0 && finish == "" {
 		return nil
@@ -187,8 +190,9 @@
 	return e.flush.Flush()
 }
 
-// close sends the end marker of a whole stream; a stream that was cut or
-// cancelled ends without one, as when the engine lost it.
+// close sends the end marker of a complete stream. An aborted stream has no
+// finish reason; its connection is aborted without an end marker, as if the
+// engine had lost the request.
 func (e *eventWriter) close(finish string) {
 	if finish == "" {
 		panic(http.ErrAbortHandler)
--- a/internal/standin/server/config.go
+++ b/internal/standin/server/config.go
@@ -1,9 +1,9 @@
-// Package server is the stand-in backend server: a model engine or a plain
-// service that speaks package engineapi, keeps a journal and has scripted
-// faults. It runs on test machines only.
+// Package server implements a stand-in backend server: a simulated model engine
+// or plain service that speaks the protocol of package engineapi, writes a
+// journal and injects scripted faults. It is for test machines only.
 //
-// It serves with net/http and not with the HTTP library of the entry, so that
-// both ends of a connection don't share a library's mistake.
+// It uses net/http rather than the HTTP library of the entry, so that a library
+// bug can't affect both ends of a connection alike and go unnoticed.
 package server
 
 import (
@@ -17,57 +17,62 @@
 	"goldcrestseam.dev/goldcrestseam/internal/yamlfile"
 )
 
-// Config is what one stand-in is.
+// Config configures one stand-in server.
 type Config struct {
-	// Cluster, ID, Region and DataCentre are announced.
+	// Cluster, ID, Region and DataCentre are announced to the entries.
 	Cluster    string `yaml:"cluster"`
 	ID         string `yaml:"id"`
 	Region     string `yaml:"region"`
 	DataCentre string `yaml:"data_centre"`
-	// Address is where it serves, host:port. AnnouncedAddress is what it tells
-	// the entries, for a forwarder in between. Default: Address.
+	// Address is the listen address, host:port. AnnouncedAddress is the address
+	// announced to the entries, for example that of a forwarder in front of the
+	// server. Default: Address.
 	Address          string `yaml:"address"`
 	AnnouncedAddress string `yaml:"announced_address"`
-	// Kind is model or plain.
+	// Kind is "model" or "plain".
 	Kind string `yaml:"kind"`
-	// Services are the plain services that it runs.
+	// Services are the names of the plain services that the server runs.
 	Services []string `yaml:"services"`
-	// Model, Version and Role are an engine's at its start.
+	// Model, Version and Role are the engine's initial model, model version and role.
 	Model   string `yaml:"model"`
 	Version string `yaml:"version"`
 	Role    string `yaml:"role"`
-	// Entries are the entries that it announces itself to at first.
+	// Entries are the addresses of the entries to announce to. Answers of
+	// entries may add others.
 	Entries []string `yaml:"entries"`
-	// Fencing is checked or ignored.
+	// Fencing says whether fencing tokens of orders are "checked" or "ignored".
 	Fencing string `yaml:"fencing"`
-	// Journal is the journal file; empty for none.
+	// Journal is the path of the journal file; empty for no journal.
 	Journal string `yaml:"journal"`
-	// Slots is how many requests run at once. Default 32.
+	// Slots is the maximum number of requests in the batch. Default 32.
 	Slots int `yaml:"slots"`
-	// PrefillRate is prompt tokens a second of prefill alone. Default 10000.
+	// PrefillRate is the prefill throughput without concurrent decoding, in
+	// prompt tokens per second. Default 10000.
 	PrefillRate float64 `yaml:"prefill_rate"`
-	// TokenTime is the time between two tokens of a request that runs alone.
+	// TokenTime is the inter-token latency of a request that runs alone.
 	// Default 20ms.
 	TokenTime time.Duration `yaml:"token_time"`
-	// SlowdownFactor divides all rates of an engine; 1 is a healthy one. Default 1.
+	// SlowdownFactor divides all rates of the engine; 1 is a healthy engine.
+	// Default 1.
 	SlowdownFactor float64 `yaml:"slow"`
-	// ChangeTime is how long an order takes the engine away. Default 5s.
+	// ChangeTime is the time that an engine needs to carry out an order. Default 5s.
 	ChangeTime time.Duration `yaml:"change_time"`
-	// CallTime is how long a call of a plain service takes. Default 5ms.
+	// CallTime is the service time of a plain call. Default 5ms.
 	CallTime time.Duration `yaml:"call_time"`
-	// TimeScale is how many times faster than these times all goes. Default 1.
+	// TimeScale is the speed-up of the simulation over the configured times.
+	// Default 1.
 	TimeScale float64 `yaml:"time_scale"`
-	// LoadLag is how old the load figures are that it reports, in real time.
+	// LoadLag is the age of the reported load figures, in real time.
 	// Default 200ms.
 	LoadLag time.Duration `yaml:"load_lag"`
-	// CacheTokens bounds the prefix cache. Default 200000.
+	// CacheTokens is the capacity of the prefix cache in tokens. Default 200000.
 	CacheTokens int `yaml:"cache_tokens"`
-	// LeaveTime is how long it still answers, with refusals, after it said
-	// that it leaves and nothing runs any more, in real time. Default 1s.
+	// LeaveTime is how long a leaving server stays up after its last request
+	// has finished, to refuse further requests, in real time. Default 1s.
 	LeaveTime time.Duration `yaml:"leave_time"`
 }
 
-// Default gives a configuration with every default set.
+// Default returns a configuration with every default set.
 func Default() Config {
 	return Config{
 		Kind: engineapi.KindModel, Role: string(engineapi.RoleMixed),
@@ -79,7 +84,7 @@
 	}
 }
 
-// Load reads and checks a configuration file.
+// Load reads and validates a configuration file.
 func Load(path string) (*Config, finding.List) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -110,28 +115,28 @@
 	}
 }
 
-// announced is the address that entries are told.
-func (c *Config) announced() string {
+// advertisedAddress returns the address that the server announces.
+func (c *Config) advertisedAddress() string {
 	if c.AnnouncedAddress != "" {
 		return c.AnnouncedAddress
 	}
 	return c.Address
 }
 
-// real gives the real time of a time of the configuration.
-func (c *Config) real(d time.Duration) time.Duration {
+// realDuration converts a configured duration to real time.
+func (c *Config) realDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / c.TimeScale)
 }
 
-// virtual gives the engine model's time of a real time.
-func (c *Config) virtual(d time.Duration) time.Duration {
+// virtualDuration converts a real duration to the engine model's virtual time.
+func (c *Config) virtualDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * c.TimeScale)
 }
 
-// model gives the engine model's configuration.
-func (c *Config) model() enginemodel.Config {
+// modelConfig returns the engine model's configuration.
+func (c *Config) modelConfig() enginemodel.Config {
 	return enginemodel.Config{
 		PrefillRate: c.PrefillRate, StepBase: c.TokenTime, Slots: c.Slots, CacheTokens: c.CacheTokens,
-		ChangeTime: c.ChangeTime, LoadLag: c.virtual(c.LoadLag), Slow: c.SlowdownFactor, RecordCache: true,
+		ChangeTime: c.ChangeTime, LoadLag: c.virtualDuration(c.LoadLag), Slow: c.SlowdownFactor, RecordCache: true,
 	}
 }
--- a/internal/standin/server/faults.go
+++ b/internal/standin/server/faults.go
@@ -12,59 +12,61 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// Faults that a caller's text can script. They stand in the prompt of a
-// completion or in the query of a plain call.
+// Markers in the prompt of a completion that inject a fault.
 const (
-	// faultPoison kills the process at the request's first token.
+	// faultPoison makes the request kill the server process at its first token.
 	faultPoison = "[poison]"
-	// faultHang makes no tokens and no heartbeats.
+	// faultHang makes the stream send neither tokens nor heartbeats.
 	faultHang = "[hang]"
 )
 
 var (
-	lateMark    = regexp.MustCompile(`\[late=([0-9a-z.]+)\]`)
-	requestMark = regexp.MustCompile(`\[request=([A-Za-z0-9-]+)\]`)
+	delayPattern = regexp.MustCompile(`\[late=([0-9a-z.]+)\]`)
+	markPattern  = regexp.MustCompile(`\[request=([A-Za-z0-9-]+)\]`)
 )
 
 func hasFault(text, fault string) bool {
-	return strings.Contains(edges(text), fault)
+	return strings.Contains(textEdges(text), fault)
 }
 
-// faultWindow is how far from either end of a text faults and marks are looked
-// for, so that long prompts cost little.
-const faultWindow = 256
+// edgeBytes is how many bytes at either end of a text are searched for faults
+// and marks. It keeps the search cheap for long prompts.
+const edgeBytes = 256
 
-func edges(text string) string {
-	if len(text) <= 2*faultWindow {
+func textEdges(text string) string {
+	if len(text) <= 2*edgeBytes {
 		return text
 	}
-	return text[:faultWindow] + text[len(text)-faultWindow:]
+	return text[:edgeBytes] + text[len(text)-edgeBytes:]
 }
 
-// late gives how long a text asks its answer to be held back.
-func late(text string) time.Duration {
-	found := lateMark.FindStringSubmatch(edges(text))
-	if found == nil {
+// responseDelay returns the delay that a [late=DURATION] marker in the text asks
+// for, or 0.
+func responseDelay(text string) time.Duration {
+	match := delayPattern.FindStringSubmatch(textEdges(text))
+	if match == nil {
 		return 0
 	}
-	d, err := time.ParseDuration(found[1])
+	d, err := time.ParseDuration(match[1])
 	if err != nil {
 		return 0
 	}
 	return d
 }
 
-// markOf gives the mark by which the caller knows the request.
-func markOf(text string) string {
-	found := requestMark.FindStringSubmatch(edges(text))
-	if found == nil {
+// extractMark returns the mark in the text by which a test identifies the
+// request, or "".
+func extractMark(text string) string {
+	match := markPattern.FindStringSubmatch(textEdges(text))
+	if match == nil {
 		return ""
 	}
-	return found[1]
+	return match[1]
 }
 
-// dieOf kills the process as an engine dies that a request crashes.
-func (s *Server) dieOf(req engineapi.CompletionRequest) {
+// crash records the request and kills the process with SIGKILL, as when a request
+// crashes an engine.
+func (s *Server) crash(req engineapi.CompletionRequest) {
 	s.journal.Write(requestRecord(journal.CrashTriggered, req))
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	select {}
@@ -73,7 +75,7 @@
 func requestRecord(event journal.Event, req engineapi.CompletionRequest) journal.Record {
 	return journal.Record{
 		Event: event, RequestID: req.RequestID, Attempt: req.Attempt,
-		Member: answer.MemberOf(req.Prompt), Mark: markOf(req.Prompt), Salt: req.CacheSalt,
+		Member: answer.MemberOf(req.Prompt), Mark: extractMark(req.Prompt), Salt: req.CacheSalt,
 		Offset: req.GeneratedTokens, Tokens: req.MaxTokens,
 	}
 }
--- a/internal/standin/server/model.go
+++ b/internal/standin/server/model.go
@@ -10,23 +10,23 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// now is the engine model's time.
-func (s *Server) now() time.Duration { return s.config.virtual(time.Since(s.began)) }
+// modelTime returns the current virtual time of the engine model.
+func (s *Server) modelTime() time.Duration { return s.config.virtualDuration(time.Since(s.startedAt)) }
 
 func (s *Server) modelRequest(req engineapi.CompletionRequest) enginemodel.Request {
-	kv, ok := s.kv[req.KVHandle]
+	kv, ok := s.importedKV[req.KVHandle]
 	return enginemodel.Request{
 		ID: newStreamKey(req).String(), Priority: req.Priority,
 		PromptTokens: answer.EstimatePromptTokens(req.Prompt), OutputTokens: req.MaxTokens,
 		GeneratedTokens: req.GeneratedTokens, Salt: req.CacheSalt,
 		Prefix:      engineapi.PrefixChain(req.CacheSalt, req.Prompt),
-		PrefillOnly: req.PrefillOnly, KVImported: ok && kv.covers(req),
+		PrefillOnly: req.PrefillOnly, KVImported: ok && kv.matches(req),
 	}
 }
 
-// runModel moves the engine's model on with real time.
+// runModel advances the engine model with real time until ctx ends.
 func (s *Server) runModel(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(modelTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,30 +35,32 @@
 		case now := <-ticker.C:
 			s.mu.Lock()
 			s.advance()
-			if s.events.due(now) {
-				s.events.note(now, s.model.CacheEvents(0).Next)
+			if s.eventTimeline.sampleDue(now) {
+				s.eventTimeline.addSample(now, s.model.CacheEvents(0).Next)
 			}
-			s.forget(now)
+			s.dropExpiredStreams(now)
 			s.mu.Unlock()
 		}
 	}
 }
 
-// advance must be called with mu held; it gives the model's time.
+// advance moves the engine model to the current time, applies its progress to the
+// streams and returns the virtual time. The caller must hold mu.
 func (s *Server) advance() time.Duration {
-	now := s.now()
+	now := s.modelTime()
 	for _, p := range s.model.Advance(now) {
-		if st := s.running[p.ID]; st != nil {
-			s.emit(st, p)
+		if st := s.runningStreams[p.ID]; st != nil {
+			s.applyProgress(st, p)
 		}
 	}
 	return now
 }
 
-// emit must be called with mu held.
-func (s *Server) emit(st *stream, p enginemodel.Progress) {
+// applyProgress adds the tokens that the engine model produced to the stream and
+// ends a finished stream. The caller must hold mu.
+func (s *Server) applyProgress(st *stream, p enginemodel.Progress) {
 	if st.poison {
-		s.dieOf(st.request)
+		s.crash(st.request)
 	}
 	if st.hangs {
 		return
@@ -74,35 +76,38 @@
 	s.endStream(st, finish, journal.RequestFinished, nil)
 }
 
-// endStream must be called with mu held.
+// endStream ends the stream and writes the event to the journal; it records a
+// stream's end only once. The caller must hold mu.
 func (s *Server) endStream(st *stream, finish string, event journal.Event, order *engineapi.Order) {
-	delete(s.running, st.key.String())
+	delete(s.runningStreams, st.key.String())
 	if !st.end(finish) {
 		return
 	}
-	s.ended[st.key] = time.Now()
+	s.endedAt[st.key] = time.Now()
 	rec := requestRecord(event, st.request)
 	rec.Offset, rec.Tokens = st.produced()
 	rec.Order = order
 	s.journal.Write(rec)
 }
 
-// forget drops streams that ended long ago. It must be called with mu held.
-func (s *Server) forget(now time.Time) {
-	for key, at := range s.ended {
-		if now.Sub(at) > streamKeep {
+// dropExpiredStreams drops streams that ended more than streamRetention ago. The
+// caller must hold mu.
+func (s *Server) dropExpiredStreams(now time.Time) {
+	for key, at := range s.endedAt {
+		if now.Sub(at) > streamRetention {
 			delete(s.streams, key)
-			delete(s.ended, key)
+			delete(s.endedAt, key)
 		}
 	}
 }
 
-// load must be called with mu held. Rates and ages are of real time.
+// load returns the load report, with rates and age converted to real time. The
+// caller must hold mu.
 func (s *Server) load() engineapi.Load {
 	if s.config.Kind == engineapi.KindPlain {
-		return engineapi.Load{Running: uint32(s.calls.Load())}
+		return engineapi.Load{Running: uint32(s.activeCalls.Load())}
 	}
-	l := s.model.Load(s.now())
+	l := s.model.Load(s.modelTime())
 	l.PrefillRate *= s.config.TimeScale
 	l.DecodeRate *= s.config.TimeScale
 	l.AgeMS = uint32(float64(l.AgeMS) / s.config.TimeScale)
--- a/internal/standin/server/orders.go
+++ b/internal/standin/server/orders.go
@@ -12,50 +12,52 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// orderBook is what an engine knows of its orders, and what they made of it.
-type orderBook struct {
-	role     engineapi.Role
-	model    string
-	version  string
-	adapters []string
-	newest   engineapi.FencingToken
-	running  *engineapi.Order
-	last     engineapi.Order
-	results  map[string]string
+// orderState holds the engine's role, model and adapters, and the orders that it
+// has received.
+type orderState struct {
+	role        engineapi.Role
+	model       string
+	version     string
+	adapters    []string
+	newestToken engineapi.FencingToken
+	running     *engineapi.Order
+	lastDone    engineapi.Order
+	results     map[string]string
 }
 
-func newOrderBook(role engineapi.Role, model, version string) orderBook {
-	return orderBook{role: role, model: model, version: version, results: make(map[string]string)}
+func newOrderState(role engineapi.Role, model, version string) orderState {
+	return orderState{role: role, model: model, version: version, results: make(map[string]string)}
 }
 
-func (s *Server) order(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o engineapi.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil || o.ID == "" {
 		http.Error(w, "not an order", http.StatusBadRequest)
 		return
 	}
-	writeJSON(w, http.StatusOK, s.takeOrder(o))
-	s.announceNow()
+	writeJSON(w, http.StatusOK, s.acceptOrder(o))
+	s.triggerAnnounce()
 }
 
-func (s *Server) takeOrder(o engineapi.Order) engineapi.OrderAnswer {
+func (s *Server) acceptOrder(o engineapi.Order) engineapi.OrderAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := &s.orders
-	s.journal.Write(journal.Record{Event: journal.OrderReceived, Order: &o, NewestToken: b.newest})
-	result, reason := s.judge(o)
+	s.journal.Write(journal.Record{Event: journal.OrderReceived, Order: &o, NewestToken: b.newestToken})
+	result, reason := s.decideOrder(o)
 	if result == "" {
-		s.begin(o)
+		s.beginOrder(o)
 		result = engineapi.OrderRunning
 	} else if result == engineapi.OrderStale || result == engineapi.OrderRefused {
-		s.journal.Write(journal.Record{Event: journal.OrderRejected, Order: &o, NewestToken: b.newest, Reason: reason})
+		s.journal.Write(journal.Record{Event: journal.OrderRejected, Order: &o, NewestToken: b.newestToken, Reason: reason})
 	}
-	return engineapi.OrderAnswer{ID: o.ID, Result: result, Reason: reason, Newest: b.newest}
+	return engineapi.OrderAnswer{ID: o.ID, Result: result, Reason: reason, Newest: b.newestToken}
 }
 
-// judge gives the result of an order that is not to be begun, else "". An
-// engine that ignores fencing tokens begins whatever is new to it.
-func (s *Server) judge(o engineapi.Order) (result, reason string) {
+// decideOrder returns the result of an order that must not be started, or "" if
+// it must. An engine that ignores fencing tokens starts every order whose ID it
+// has not seen, if it is for this incarnation. The caller must hold mu.
+func (s *Server) decideOrder(o engineapi.Order) (result, reason string) {
 	b := &s.orders
 	if known, ok := b.results[o.ID]; ok {
 		return known, ""
@@ -66,30 +68,30 @@
 	if s.config.Fencing == declaration.FencingIgnored {
 		return "", ""
 	}
-	if !b.newest.Less(o.Token) {
+	if !b.newestToken.Less(o.Token) {
 		return engineapi.OrderStale, "this token or a newer one has been seen"
 	}
-	b.newest = o.Token
+	b.newestToken = o.Token
 	if b.running != nil {
 		return engineapi.OrderRefused, "another order is being carried out"
 	}
 	return "", ""
 }
 
-// begin must be called with mu held. A change of role or model takes the
-// engine away: what still runs on it is cut.
-func (s *Server) begin(o engineapi.Order) {
+// beginOrder starts an order. A change of role or model makes the engine
+// unavailable and aborts its running streams. The caller must hold mu.
+func (s *Server) beginOrder(o engineapi.Order) {
 	b := &s.orders
-	if b.newest.Less(o.Token) {
-		b.newest = o.Token
+	if b.newestToken.Less(o.Token) {
+		b.newestToken = o.Token
 	}
 	b.running = &o
 	b.results[o.ID] = engineapi.OrderRunning
 	s.journal.Write(journal.Record{Event: journal.OrderStarted, Order: &o})
 	if o.Kind != engineapi.OrderLoadAdapter {
-		s.cutStreams(&o, func(streamKey) bool { return true })
+		s.abortStreams(&o, func(streamKey) bool { return true })
 	}
-	time.AfterFunc(s.config.real(s.config.ChangeTime), func() { s.finishOrder(o) })
+	time.AfterFunc(s.config.realDuration(s.config.ChangeTime), func() { s.finishOrder(o) })
 }
 
 func (s *Server) finishOrder(o engineapi.Order) {
@@ -106,14 +108,14 @@
 		}
 	}
 	b.results[o.ID] = engineapi.OrderDone
-	b.last = o
+	b.lastDone = o
 	if o.Kind != engineapi.OrderLoadAdapter {
-		s.model = enginemodel.New(s.now(), s.config.model(), b.role)
+		s.model = enginemodel.New(s.modelTime(), s.config.modelConfig(), b.role)
 	}
 	if b.running != nil && b.running.ID == o.ID {
 		b.running = nil
 	}
 	s.journal.Write(journal.Record{Event: journal.OrderDone, Order: &o})
 	s.mu.Unlock()
-	s.announceNow()
+	s.triggerAnnounce()
 }
--- a/internal/standin/server/plain.go
+++ b/internal/standin/server/plain.go
@@ -12,11 +12,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// PlainPaths are what a plain service serves.
+// PlainPaths are the paths that a plain service serves.
 var PlainPaths = []string{"/status", "/receipts", "/filings", "/balances", "/payouts"}
 
-// PlainAnswer is a plain service's answer. Run is drawn for each run, so that a
-// held answer can be told from a second run.
+// PlainAnswer is the response body of a plain service. Run differs for each
+// execution, which distinguishes a replayed stored answer from a second execution.
 type PlainAnswer struct {
 	Member string `json:"member"`
 	Mark   string `json:"mark"`
@@ -24,39 +24,39 @@
 	Run    string `json:"run"`
 }
 
-// call serves one call of a plain service. The caller's mark stands in the
-// query as mark, a delay as late.
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
+// handleCall serves one call of a plain service. Query parameter "mark" holds the
+// request's mark and "late" an extra delay.
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
 	rec := callRecord(r)
-	s.journal.Write(withEvent(rec, journal.RequestReceived))
+	s.journal.Write(recordWithEvent(rec, journal.RequestReceived))
 	s.mu.Lock()
 	state := s.state()
 	if state == engineapi.StateServing {
-		s.calls.Add(1)
+		s.activeCalls.Add(1)
 	}
 	s.mu.Unlock()
 	if state != engineapi.StateServing {
-		rejected := withEvent(rec, journal.RequestRejected)
+		rejected := recordWithEvent(rec, journal.RequestRejected)
 		rejected.Reason = string(state)
 		s.journal.Write(rejected)
-		s.notStarted(w, state, "the server takes no new work")
+		s.writeNotStarted(w, state, "the server takes no new work")
 		return
 	}
-	defer s.calls.Add(-1)
+	defer s.activeCalls.Add(-1)
 	if !slices.Contains(PlainPaths, rec.Path) {
 		http.Error(w, "no such path", http.StatusNotFound)
 		return
 	}
-	s.journal.Write(withEvent(rec, journal.RequestStarted))
-	time.Sleep(s.config.real(s.config.CallTime) + callDelay(r))
-	s.journal.Write(withEvent(rec, journal.RequestFinished))
+	s.journal.Write(recordWithEvent(rec, journal.RequestStarted))
+	time.Sleep(s.config.realDuration(s.config.CallTime) + queryDelay(r))
+	s.journal.Write(recordWithEvent(rec, journal.RequestFinished))
 	writeJSON(w, http.StatusOK, PlainAnswer{
 		Member: rec.Member, Mark: rec.Mark, Path: rec.Path,
 		Run: s.config.ID + "-" + strconv.FormatInt(time.Now().UnixNano(), 36),
 	})
 }
 
-func withEvent(r journal.Record, event journal.Event) journal.Record {
+func recordWithEvent(r journal.Record, event journal.Event) journal.Record {
 	r.Event = event
 	return r
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-func callDelay(r *http.Request) time.Duration {
+func queryDelay(r *http.Request) time.Duration {
 	d, err := time.ParseDuration(r.URL.Query().Get("late"))
 	if err != nil {
 		return 0
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -23,43 +23,44 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("standin")
 
-// Failed is the type of errors of a stand-in that can't start or go on.
+// Failed is the type of errors of a stand-in that can't start or keep running.
 var Failed = Namespace.NewType("failed")
 
 const (
-	// tick is how often the engine's model is moved on.
-	tick = 2 * time.Millisecond
-	// streamKeep is how long a stream that ended can still be read.
-	streamKeep = 30 * time.Second
-	// heartbeatEvery is how often a waiting stream says that it is alive.
-	heartbeatEvery = 250 * time.Millisecond
+	// modelTickInterval is how often the engine model is advanced.
+	modelTickInterval = 2 * time.Millisecond
+	// streamRetention is how long an ended stream can still be resumed.
+	streamRetention = 30 * time.Second
+	// heartbeatInterval is the time between heartbeats on an open stream.
+	heartbeatInterval = 250 * time.Millisecond
 )
 
-// Server is one life of one stand-in.
+// Server is one incarnation of a stand-in server.
 type Server struct {
-	config      Config
-	incarnation string
-	journal     *journal.Writer
-	listener    net.Listener
-	wake        chan struct{}
-	// calls counts plain calls that run.
-	calls atomic.Int64
+	config          Config
+	incarnation     string
+	journal         *journal.Writer
+	listener        net.Listener
+	announceTrigger chan struct{}
+	// activeCalls counts the plain calls in progress.
+	activeCalls atomic.Int64
 
 	mu      sync.Mutex
 	leaving bool
-	// model is the engine in virtual time; began is its time 0.
-	model   *enginemodel.Engine
-	began   time.Time
-	running map[string]*stream
-	streams map[streamKey]*stream
-	ended   map[streamKey]time.Time
-	events  eventLog
-	kv      map[string]kvCopy
-	orders  orderBook
-	entries []string
+	// model simulates the engine in virtual time; startedAt is the real time of
+	// its time 0.
+	model          *enginemodel.Engine
+	startedAt      time.Time
+	runningStreams map[string]*stream
+	streams        map[streamKey]*stream
+	endedAt        map[streamKey]time.Time
+	eventTimeline  eventTimeline
+	importedKV     map[string]exportedKV
+	orders         orderState
+	entries        []string
 }
 
-// New listens and opens the journal. Errors: Failed.
+// New opens the journal and the listener. Errors: Failed.
 func New(c Config) (*Server, error) {
 	incarnation := uuid.NewString()
 	w, err := journal.Open(c.Journal, c.ID, incarnation)
@@ -73,78 +74,78 @@
 	c.Address = ln.Addr().String()
 	return &Server{
 		config: c, incarnation: incarnation, journal: w, listener: ln,
-		wake:    make(chan struct{}, 1),
-		model:   enginemodel.New(0, c.model(), engineapi.Role(c.Role)),
-		began:   time.Now(),
-		running: make(map[string]*stream), streams: make(map[streamKey]*stream),
-		ended: make(map[streamKey]time.Time), kv: make(map[string]kvCopy),
-		orders:  newOrderBook(engineapi.Role(c.Role), c.Model, c.Version),
+		announceTrigger: make(chan struct{}, 1),
+		model:           enginemodel.New(0, c.modelConfig(), engineapi.Role(c.Role)),
+		startedAt:       time.Now(),
+		runningStreams:  make(map[string]*stream), streams: make(map[streamKey]*stream),
+		endedAt: make(map[streamKey]time.Time), importedKV: make(map[string]exportedKV),
+		orders:  newOrderState(engineapi.Role(c.Role), c.Model, c.Version),
 		entries: c.Entries,
 	}, nil
 }
 
-// Address is where it serves.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends, then leaves: it says so, finishes what runs and
-// stops. Errors: Failed.
+// Run serves until ctx ends. Then it announces that it leaves, drains the
+// running requests and stops. Errors: Failed.
 func (s *Server) Run(ctx context.Context) error {
 	s.journal.Write(journal.Record{Event: journal.ServerStarted})
-	hs := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: 10 * time.Second}
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWork()
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	served := make(chan error, 1)
-	wg.Go(func() { served <- hs.Serve(s.listener) })
-	wg.Go(func() { s.runModel(work) })
-	wg.Go(func() { s.announceLoop(work) })
+	serveErr := make(chan error, 1)
+	wg.Go(func() { serveErr <- httpServer.Serve(s.listener) })
+	wg.Go(func() { s.runModel(workCtx) })
+	wg.Go(func() { s.announceLoop(workCtx) })
 	select {
 	case <-ctx.Done():
-		s.leave()
+		s.startLeaving()
 		s.drain()
-	case err := <-served:
-		stop()
+	case err := <-serveErr:
+		stopWork()
 		return Failed.Wrap(err, "serve")
 	}
-	stop()
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+	stopWork()
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	if hs.Shutdown(closing) != nil {
-		_ = hs.Close()
+	if httpServer.Shutdown(shutdownCtx) != nil {
+		_ = httpServer.Close()
 	}
 	s.journal.Write(journal.Record{Event: journal.ServerStopped})
 	return s.journal.Close()
 }
 
-// leave makes the server take no new work and say so at once.
-func (s *Server) leave() {
+// startLeaving makes the server refuse new work and announce that at once.
+func (s *Server) startLeaving() {
 	s.mu.Lock()
-	already := s.leaving
+	alreadyLeaving := s.leaving
 	s.leaving = true
 	s.mu.Unlock()
-	if already {
+	if alreadyLeaving {
 		return
 	}
 	s.journal.Write(journal.Record{Event: journal.ServerLeaving})
-	s.announceNow()
+	s.triggerAnnounce()
 }
 
-// drain waits until nothing has run for LeaveTime.
+// drain waits until the server has been idle for LeaveTime.
 func (s *Server) drain() {
 	idleSince := time.Now()
 	for time.Since(idleSince) < s.config.LeaveTime {
-		time.Sleep(tick)
+		time.Sleep(modelTickInterval)
 		s.mu.Lock()
 		busy := s.model.Len() > 0
 		s.mu.Unlock()
-		if busy || s.calls.Load() > 0 {
+		if busy || s.activeCalls.Load() > 0 {
 			idleSince = time.Now()
 		}
 	}
 }
 
-// state must be called with mu held.
+// state returns the state to announce. The caller must hold mu.
 func (s *Server) state() engineapi.State {
 	switch {
 	case s.leaving:
@@ -158,24 +159,24 @@
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+engineapi.PathHealth, s.health)
+	mux.HandleFunc("GET "+engineapi.PathHealth, s.handleHealth)
 	if s.config.Kind == engineapi.KindPlain {
-		mux.HandleFunc("/", s.call)
-		return s.withHeaders(mux)
+		mux.HandleFunc("/", s.handleCall)
+		return s.withServerHeaders(mux)
 	}
-	mux.HandleFunc("POST "+engineapi.PathCompletions, s.complete)
-	mux.HandleFunc("GET "+engineapi.PathStreams+"{id...}", s.resume)
-	mux.HandleFunc("POST "+engineapi.PathCancel, s.cancel)
-	mux.HandleFunc("POST "+engineapi.PathOrders, s.order)
-	mux.HandleFunc("GET "+engineapi.PathKV+"{id...}", s.exportKV)
-	mux.HandleFunc("POST "+engineapi.PathKV+"{id...}", s.importKV)
-	mux.HandleFunc("GET "+engineapi.PathCacheEvents, s.cacheEvents)
-	return s.withHeaders(mux)
+	mux.HandleFunc("POST "+engineapi.PathCompletions, s.handleCompletion)
+	mux.HandleFunc("GET "+engineapi.PathStreams+"{id...}", s.handleResume)
+	mux.HandleFunc("POST "+engineapi.PathCancel, s.handleCancel)
+	mux.HandleFunc("POST "+engineapi.PathOrders, s.handleOrder)
+	mux.HandleFunc("GET "+engineapi.PathKV+"{id...}", s.handleExportKV)
+	mux.HandleFunc("POST "+engineapi.PathKV+"{id...}", s.handleImportKV)
+	mux.HandleFunc("GET "+engineapi.PathCacheEvents, s.handleCacheEvents)
+	return s.withServerHeaders(mux)
 }
 
-// withHeaders puts what the server says of itself on every answer, and the echo
-// of the request's id and attempt.
-func (s *Server) withHeaders(next http.Handler) http.Handler {
+// withServerHeaders sets the server's state, incarnation and load on every
+// response, and echoes the request's ID and attempt.
+func (s *Server) withServerHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		state, load := s.state(), s.load()
@@ -195,7 +196,7 @@
 	})
 }
 
-func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	h := engineapi.Health{
 		ID: s.config.ID, Incarnation: s.incarnation, State: s.state(),
@@ -205,8 +206,8 @@
 	writeJSON(w, http.StatusOK, h)
 }
 
-// notStarted answers that nothing was begun.
-func (s *Server) notStarted(w http.ResponseWriter, state engineapi.State, reason string) {
+// writeNotStarted responds that no work on the request was started.
+func (s *Server) writeNotStarted(w http.ResponseWriter, state engineapi.State, reason string) {
 	w.Header().Set(engineapi.HeaderNotStarted, "true")
 	w.Header().Set(engineapi.HeaderState, string(state))
 	writeJSON(w, http.StatusConflict, engineapi.Refused{Reason: reason, State: state})
@@ -218,7 +219,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func echo(w http.ResponseWriter, requestID string, attempt uint32) {
+func setRequestHeaders(w http.ResponseWriter, requestID string, attempt uint32) {
 	w.Header().Set(outcome.HeaderRequestID, requestID)
 	w.Header().Set(outcome.HeaderAttempt, strconv.FormatUint(uint64(attempt), 10))
 }
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -21,15 +21,15 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// start runs a stand-in and gives a stop function that asks it to leave.
-func start(t *testing.T, tune func(*Config)) (s *Server, path string, leave func()) {
+// startServer runs a stand-in server. Calling leave makes it drain and stop.
+func startServer(t *testing.T, configure func(*Config)) (s *Server, path string, leave func()) {
 	t.Helper()
 	c := Default()
 	c.Cluster, c.ID, c.Address = "test", "engine-a1", "127.0.0.1:0"
 	c.TimeScale, c.LeaveTime = 20, 50*time.Millisecond
 	c.Journal = filepath.Join(t.TempDir(), "engine.journal")
-	if tune != nil {
-		tune(&c)
+	if configure != nil {
+		configure(&c)
 	}
 	s, err := New(c)
 	if err != nil {
@@ -57,8 +57,9 @@
 	return resp
 }
 
-// readText gives the text up to the end marker or up to limit tokens.
-func readText(t *testing.T, body io.Reader, limit int) (text string, tokens int, whole bool) {
+// readText reads the stream up to the end marker or up to limit tokens. complete
+// reports whether the end marker arrived.
+func readText(t *testing.T, body io.Reader, limit int) (text string, tokens int, complete bool) {
 	t.Helper()
 	lines := bufio.NewScanner(body)
 	for lines.Scan() && tokens < limit {
@@ -86,7 +87,7 @@
 }
 
 func TestStreamResumesAtAnOffset(t *testing.T) {
-	s, _, _ := start(t, nil)
+	s, _, _ := startServer(t, nil)
 	first, tokens, _ := readText(t, post(t, s, engineapi.PathCompletions, completion(1)).Body, 10)
 	url := fmt.Sprintf("http://%s%shotels~r1?attempt=1&from=%d", s.Address(), engineapi.PathStreams, tokens)
 	resp, err := http.Get(url)
@@ -94,30 +95,30 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	rest, _, whole := readText(t, resp.Body, 1000)
-	if !whole || first+rest != answer.FullText(prompt, 7, 60) {
-		t.Fatalf("whole %v, text %q", whole, first+rest)
+	rest, _, complete := readText(t, resp.Body, 1000)
+	if !complete || first+rest != answer.FullText(prompt, 7, 60) {
+		t.Fatalf("complete %v, text %q", complete, first+rest)
 	}
 }
 
-func TestAnotherEngineGoesOnFromThePrefix(t *testing.T) {
+func TestAnotherEngineContinuesFromPrefix(t *testing.T) {
 	want := answer.FullText(prompt, 7, 60)
 	g := answer.NewGenerator(prompt, 7, "", 0)
 	text := ""
 	for range 25 {
 		text += g.Next()
 	}
-	s, _, _ := start(t, nil)
+	s, _, _ := startServer(t, nil)
 	req := completion(2)
 	req.GeneratedText, req.GeneratedTokens = text, 25
-	rest, tokens, whole := readText(t, post(t, s, engineapi.PathCompletions, req).Body, 1000)
-	if !whole || tokens != 35 || text+rest != want {
-		t.Fatalf("whole %v, %d tokens, %q", whole, tokens, rest)
+	rest, tokens, complete := readText(t, post(t, s, engineapi.PathCompletions, req).Body, 1000)
+	if !complete || tokens != 35 || text+rest != want {
+		t.Fatalf("complete %v, %d tokens, %q", complete, tokens, rest)
 	}
 }
 
-func TestLeavingFinishesWhatRunsAndTakesNothingNew(t *testing.T) {
-	s, path, leave := start(t, func(c *Config) { c.TimeScale = 4 })
+func TestLeavingServerFinishesRunningStreamsAndRejectsNew(t *testing.T) {
+	s, path, leave := startServer(t, func(c *Config) { c.TimeScale = 4 })
 	resp := post(t, s, engineapi.PathCompletions, completion(1))
 	leave()
 	for {
@@ -128,8 +129,8 @@
 			break
 		}
 	}
-	if text, _, whole := readText(t, resp.Body, 1000); !whole || text != answer.FullText(prompt, 7, 60) {
-		t.Fatalf("whole %v, %q", whole, text)
+	if text, _, complete := readText(t, resp.Body, 1000); !complete || text != answer.FullText(prompt, 7, 60) {
+		t.Fatalf("complete %v, %q", complete, text)
 	}
 	records, err := journal.Read(path)
 	if err != nil || len(records) == 0 {
@@ -139,7 +140,7 @@
 
 func TestFencingTokens(t *testing.T) {
 	for _, mode := range []string{declaration.FencingChecked, declaration.FencingIgnored} {
-		s, _, _ := start(t, func(c *Config) { c.Fencing = mode; c.ChangeTime = time.Millisecond })
+		s, _, _ := startServer(t, func(c *Config) { c.Fencing = mode; c.ChangeTime = time.Millisecond })
 		send := func(id string, term uint64) string {
 			o := engineapi.Order{
 				ID: id, Incarnation: s.incarnation, Token: engineapi.FencingToken{Term: term},
