--- a/internal/standin/caller/call.go
+++ b/internal/standin/caller/call.go
@@ -9,53 +9,54 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// Call is one call of a plain service.
+// Call describes one call of a plain service.
 type Call struct {
 	ID      string
 	Service string
 	Method  string
-	// Path is below the service, with its query.
+	// Path is the path below the service, with the query.
 	Path string
-	// IdempotencyKey is the idempotency key of a once-only call; empty for others.
+	// IdempotencyKey is set for calls that must run at most once; empty for
+	// others.
 	IdempotencyKey string
-	// Entry is the entry to send the first try to; empty for the caller's own
-	// choice.
+	// Entry is the address of the entry for the first attempt; empty to let the
+	// client choose.
 	Entry string
-	// AttemptTimeout bounds one try. Default 5s.
+	// AttemptTimeout bounds one attempt. Default 5s.
 	AttemptTimeout time.Duration
 }
 
 const callTimeout = 5 * time.Second
 
-// Call sends the call until it is answered or the caller's patience is over. A
-// connection that fails is followed by the same call under the same key at
-// another entry: the system must see to it that it runs once.
+// Call sends the call until it has a final answer or RequestTimeout expires. After
+// a failed connection it sends the same call with the same idempotency key to
+// another entry; the system must ensure that the call runs only once.
 func (c *Client) Call(ctx context.Context, call Call) *Result {
 	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	if call.AttemptTimeout == 0 {
 		call.AttemptTimeout = callTimeout
 	}
-	res, began := &Result{}, time.Now()
+	res, startedAt := &Result{}, time.Now()
 	address := call.Entry
 	for ctx.Err() == nil {
 		if address == "" {
-			address = c.pick(ctx)
+			address = c.pickEntry(ctx)
 		}
-		if c.tryCall(ctx, call, address, began, res) {
+		if c.attemptCall(ctx, call, address, startedAt, res) {
 			break
 		}
 		address = ""
 	}
-	res.Elapsed = time.Since(began)
+	res.Elapsed = time.Since(startedAt)
 	return res
 }
 
-func (c *Client) tryCall(ctx context.Context, call Call, address string, began time.Time, res *Result) bool {
-	ctx2, cancel := context.WithTimeout(ctx, call.AttemptTimeout)
+func (c *Client) attemptCall(ctx context.Context, call Call, address string, startedAt time.Time, res *Result) bool {
+	attemptCtx, cancel := context.WithTimeout(ctx, call.AttemptTimeout)
 	defer cancel()
 	url := "http://" + address + "/svc/" + call.Service + call.Path
-	req, err := http.NewRequestWithContext(ctx2, call.Method, url, nil)
+	req, err := http.NewRequestWithContext(attemptCtx, call.Method, url, nil)
 	if err != nil {
 		res.Err = err
 		return true
@@ -69,14 +70,14 @@
 	resp, err := c.http.Do(req)
 	if err == nil {
 		defer resp.Body.Close()
-		return c.callAnswered(ctx, resp, address, began, res)
+		return c.handleCallResponse(ctx, resp, address, startedAt, res)
 	}
 	res.Err = err
-	c.failed(address)
-	return !pause(ctx, retryPause)
+	c.markFailed(address)
+	return !sleep(ctx, retryDelay)
 }
 
-func (c *Client) callAnswered(ctx context.Context, resp *http.Response, address string, began time.Time, res *Result) bool {
+func (c *Client) handleCallResponse(ctx context.Context, resp *http.Response, address string, startedAt time.Time, res *Result) bool {
 	res.Entries = append(res.Entries, address)
 	res.Status = resp.StatusCode
 	res.Replayed = resp.Header.Get(outcome.HeaderReplayed) == "true"
@@ -84,16 +85,16 @@
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			res.Err = err
-			return !pause(ctx, retryPause)
+			return !sleep(ctx, retryDelay)
 		}
 		res.Text, res.Complete, res.Outcome, res.Accepted = string(body), true, outcome.Ran, true
 		return true
 	}
 	ref := readRefusal(resp)
 	res.Code, res.Outcome, res.Message = ref.code, ref.outcome, ref.message
-	again := ref.outcome == outcome.NotRun || ref.code == outcome.CodeAlreadyRunning
-	if !again || ref.retryAfter == 0 {
+	retryable := ref.outcome == outcome.NotRun || ref.code == outcome.CodeAlreadyRunning
+	if !retryable || ref.retryAfter == 0 {
 		return true
 	}
-	return !c.again(ctx, began, ref.retryAfter)
+	return !c.waitBeforeRetry(ctx, startedAt, ref.retryAfter)
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,10 +1,10 @@
-// Package caller is a good client of the system: it asks for the entries and
-// keeps the answer for as long as it is told, comes back after refusals that
-// say "not run", resumes broken streams at another entry, and sends a once-only
-// call again only under its first key.
+// Package caller implements a well-behaved client of the system: it fetches the
+// list of entries and caches it for the stated time, retries after refusals with
+// outcome "not run", resumes broken streams at another entry, and retries an
+// at-most-once call only with its original idempotency key.
 //
-// It uses net/http and not the HTTP library of the entry, so that both ends of
-// a connection don't share a library's mistake.
+// It uses net/http rather than the HTTP library of the entry, so that a library
+// bug can't affect both ends of a connection alike and go unnoticed.
 package caller
 
 import (
@@ -25,26 +25,28 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("caller")
 
-// InvalidResponse is the type of errors about answers that end early or make no sense.
+// InvalidResponse is the type of errors about truncated, malformed or unexpected
+// responses.
 var InvalidResponse = Namespace.NewType("broken")
 
-// Config says who the caller is.
+// Config configures a Client.
 type Config struct {
-	// SeedEntries are entries that it knows before it has asked.
+	// SeedEntries are the addresses of entries to fetch the list of entries
+	// from, and to use while no list is known.
 	SeedEntries []string
-	// DataCentre is where it stands; empty if it does not know.
+	// DataCentre is the client's data centre; empty if unknown.
 	DataCentre string
 	Member     string
 	Token      string
-	// StallTimeout is how long a stream may be silent before the caller resumes it
-	// elsewhere. Default 3s.
+	// StallTimeout is how long a stream may deliver no data before the client
+	// resumes it at another entry. Default 3s.
 	StallTimeout time.Duration
-	// RequestTimeout bounds a request with all its retries. Default 60s.
+	// RequestTimeout bounds a request including its retries. Default 60s.
 	RequestTimeout time.Duration
-	// RetryWindow is how long after its beginning a request that was refused as
-	// not run is sent again. Default: RequestTimeout.
+	// RetryWindow is the time after the first attempt in which a request that is
+	// refused as not run is retried. Default: RequestTimeout.
 	RetryWindow time.Duration
-	// Seed seeds the choice among entries.
+	// Seed seeds the random choice among entries.
 	Seed uint64
 }
 
@@ -53,22 +55,22 @@
 	defaultPatience = time.Minute
 	dialTimeout     = time.Second
 	entriesTimeout  = time.Second
-	// retryPause is the wait after a connection that failed.
-	retryPause = 50 * time.Millisecond
-	// avoidTime is how long an entry that failed is chosen last.
-	avoidTime = 2 * time.Second
+	// retryDelay is the wait after a failed connection.
+	retryDelay = 50 * time.Millisecond
+	// avoidDuration is how long a failed entry is only used as a last resort.
+	avoidDuration = 2 * time.Second
 )
 
-// Client is one caller. Safe for use by many goroutines.
+// Client is a client of the system. It is safe for concurrent use.
 type Client struct {
 	config Config
 	http   *http.Client
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	entries []entry
-	until   time.Time
-	avoid   map[string]time.Time
+	mu              sync.Mutex
+	rng             *rand.Rand
+	entries         []entry
+	entriesExpireAt time.Time
+	avoidUntil      map[string]time.Time
 }
 
 type entry struct {
@@ -77,12 +79,12 @@
 	Weight     float64 `json:"weight"`
 }
 
-type entriesAnswer struct {
+type entriesResponse struct {
 	Entries     []entry `json:"entries"`
 	KeepSeconds float64 `json:"keep_seconds"`
 }
 
-// New gives a caller.
+// New returns a Client with the defaults of Config filled in.
 func New(c Config) *Client {
 	if c.StallTimeout == 0 {
 		c.StallTimeout = defaultStall
@@ -94,32 +96,33 @@
 		c.RetryWindow = c.RequestTimeout
 	}
 	return &Client{
-		config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), avoid: make(map[string]time.Time),
+		config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), avoidUntil: make(map[string]time.Time),
 		http: &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			// No idle connections: the transport would send a keyed call again
-			// by itself on a connection that broke, unseen by this package.
+			// With keep-alive, the transport itself would resend a call that has
+			// an idempotency key after a reused connection broke, and this
+			// package would not see that attempt.
 			DisableKeepAlives: true,
 		}},
 	}
 }
 
-// CloseIdle closes connections that are not in use.
+// CloseIdle closes idle connections.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
-// pick chooses an entry: from the list that it was told, the own data centre
-// first, by weight, not one that has just failed.
-func (c *Client) pick(ctx context.Context) string {
-	c.refresh(ctx)
+// pickEntry picks an entry at random by weight, from the client's data centre if
+// possible. It avoids recently failed entries unless no others are known.
+func (c *Client) pickEntry(ctx context.Context) string {
+	c.refreshEntries(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	usable := func(e entry) bool { return now.After(c.avoid[e.Address]) }
+	usable := func(e entry) bool { return now.After(c.avoidUntil[e.Address]) }
 	for _, ok := range []func(entry) bool{
 		func(e entry) bool { return usable(e) && e.DataCentre == c.config.DataCentre },
 		usable,
 	} {
-		if e, found := c.weighted(ok); found {
+		if e, found := c.pickWeighted(ok); found {
 			return e
 		}
 	}
@@ -129,8 +132,9 @@
 	return c.config.SeedEntries[c.rng.IntN(len(c.config.SeedEntries))]
 }
 
-// weighted must be called with mu held.
-func (c *Client) weighted(ok func(entry) bool) (string, bool) {
+// pickWeighted picks one of the entries for which ok is true at random by weight.
+// The caller must hold mu.
+func (c *Client) pickWeighted(ok func(entry) bool) (string, bool) {
 	total := 0.0
 	for _, e := range c.entries {
 		if ok(e) {
@@ -149,63 +153,63 @@
 	return "", false
 }
 
-// failed keeps away from an entry for a while.
-func (c *Client) failed(address string) {
+// markFailed makes the client avoid an entry for avoidDuration.
+func (c *Client) markFailed(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoid[address] = time.Now().Add(avoidTime)
+	c.avoidUntil[address] = time.Now().Add(avoidDuration)
 }
 
-// refresh asks an entry for the list once the kept one is too old. An old list
-// is better than none.
-func (c *Client) refresh(ctx context.Context) {
+// refreshEntries fetches the list of entries if the cached one has expired. If no
+// seed entry answers, the expired list stays in use.
+func (c *Client) refreshEntries(ctx context.Context) {
 	c.mu.Lock()
-	fresh := time.Now().Before(c.until)
-	ask := slices.Clone(c.config.SeedEntries)
-	c.rng.Shuffle(len(ask), func(i, j int) { ask[i], ask[j] = ask[j], ask[i] })
+	fresh := time.Now().Before(c.entriesExpireAt)
+	seeds := slices.Clone(c.config.SeedEntries)
+	c.rng.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	c.mu.Unlock()
 	if fresh {
 		return
 	}
-	for _, address := range ask {
-		answer, err := c.ask(ctx, address)
-		if err != nil || len(answer.Entries) == 0 {
+	for _, address := range seeds {
+		response, err := c.fetchEntries(ctx, address)
+		if err != nil || len(response.Entries) == 0 {
 			continue
 		}
 		c.mu.Lock()
-		c.entries = answer.Entries
-		c.until = time.Now().Add(time.Duration(answer.KeepSeconds * float64(time.Second)))
+		c.entries = response.Entries
+		c.entriesExpireAt = time.Now().Add(time.Duration(response.KeepSeconds * float64(time.Second)))
 		c.mu.Unlock()
 		return
 	}
 }
 
-func (c *Client) ask(ctx context.Context, address string) (entriesAnswer, error) {
+func (c *Client) fetchEntries(ctx context.Context, address string) (entriesResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
-	var answer entriesAnswer
+	var response entriesResponse
 	url := "http://" + address + "/v1/entries?data_centre=" + c.config.DataCentre
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	c.authorize(req)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answer, InvalidResponse.New("entries: %s", resp.Status)
+		return response, InvalidResponse.New("entries: %s", resp.Status)
 	}
-	return answer, json.NewDecoder(resp.Body).Decode(&answer)
+	return response, json.NewDecoder(resp.Body).Decode(&response)
 }
 
 func (c *Client) authorize(req *http.Request) {
 	req.Header.Set("Authorization", "Bearer "+c.config.Token)
 }
 
-// refusal is an answer that is not the result.
+// refusal is a response with an error status.
 type refusal struct {
 	status     int
 	code       outcome.Code
@@ -214,7 +218,7 @@
 	message    string
 }
 
-// readRefusal reads the error body and headers.
+// readRefusal reads the error body and headers. Headers take precedence.
 func readRefusal(resp *http.Response) refusal {
 	var body outcome.Body
 	_ = json.NewDecoder(resp.Body).Decode(&body)
@@ -230,14 +234,14 @@
 	return r
 }
 
-// again waits before another try after a refusal as not run; false when the
-// caller gives up.
-func (c *Client) again(ctx context.Context, began time.Time, wait time.Duration) bool {
-	return time.Since(began)+wait < c.config.RetryWindow && pause(ctx, wait)
+// waitBeforeRetry waits before the retry of a request that was refused as not run.
+// It returns false if the retry would fall outside RetryWindow or ctx ended.
+func (c *Client) waitBeforeRetry(ctx context.Context, startedAt time.Time, wait time.Duration) bool {
+	return time.Since(startedAt)+wait < c.config.RetryWindow && sleep(ctx, wait)
 }
 
-// pause waits; it gives false when ctx is over before.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx ends before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/standin/caller/complete.go
+++ b/internal/standin/caller/complete.go
@@ -16,49 +16,54 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// Completion is one request to a model service.
+// Completion describes one completion request to a model service.
 type Completion struct {
-	// ID is the request id; it stays the same over all tries.
+	// ID is the request ID; it is the same for all attempts.
 	ID        string
 	Service   string
 	Prompt    string
 	MaxTokens int
 	Seed      uint64
-	// Entry is the entry to send the first try to; empty for the caller's own
-	// choice.
+	// Entry is the address of the entry for the first attempt; empty to let the
+	// client choose.
 	Entry string
 }
 
-// Result is what became of a request.
+// Result is the outcome of a request as its caller saw it.
 type Result struct {
-	// Text is the text that came, Complete tells that the end marker came too.
+	// Text is the received text. Complete reports whether the answer arrived up
+	// to its end.
 	Text     string
 	Complete bool
-	// Status, Code, Outcome and Message are of the last refusal, if any.
+	// Status is the last HTTP status of a call, or of a completion's refusal.
+	// Code, Outcome and Message are those of the last refusal, if any; Outcome is
+	// outcome.Ran after a complete answer.
 	Status  int
 	Code    outcome.Code
 	Outcome outcome.Outcome
 	Message string
-	// Accepted tells that an entry began to answer.
+	// Accepted reports whether an entry responded with status 200.
 	Accepted bool
-	// Attempts counts sends, Resumes those that went on with a broken stream.
+	// Attempts counts the HTTP requests sent, Resumes those among them that
+	// resumed a broken stream.
 	Attempts int
 	Resumes  int
-	// TimeToFirstToken is from the first send to the first token; MaxChunkGap is the
-	// longest time between two pieces, ChunkGaps all such times.
+	// TimeToFirstToken is the time from the first attempt to the first chunk of
+	// text. ChunkGaps are the times between consecutive chunks, and MaxChunkGap
+	// is the longest of them.
 	TimeToFirstToken time.Duration
 	MaxChunkGap      time.Duration
 	ChunkGaps        []time.Duration
 	Elapsed          time.Duration
-	// Entries are the entries that answered, in order.
+	// Entries are the addresses of the entries that responded, in order.
 	Entries []string
-	// Replayed tells that a plain call's answer was a stored one.
+	// Replayed reports whether the answer to a plain call was a stored one.
 	Replayed bool
-	// Err is the last thing that went wrong on a connection.
+	// Err is the last connection error or malformed response.
 	Err error
 }
 
-// completionBody is an OpenAI-style request body.
+// completionBody is the body of an OpenAI-style completion request.
 type completionBody struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -67,7 +72,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// completionEvent is what is read of an OpenAI-style stream event.
+// completionEvent holds the fields that are read from an OpenAI-style stream event.
 type completionEvent struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -75,54 +80,55 @@
 	Error *outcome.BodyError `json:"error"`
 }
 
-// run is one request under way.
-type run struct {
-	c       *Client
-	req     Completion
-	res     *Result
-	began   time.Time
-	last    time.Time
-	text    strings.Builder
-	offset  string
-	address string
-	// sent tells that an entry may know the request.
-	sent bool
+// completionRun is the state of one completion request in progress.
+type completionRun struct {
+	c           *Client
+	req         Completion
+	res         *Result
+	startedAt   time.Time
+	lastChunkAt time.Time
+	text        strings.Builder
+	offset      string
+	address     string
+	// mayBeKnown is true once an entry may know the request; further attempts
+	// then resume it.
+	mayBeKnown bool
 }
 
-// Complete sends the request until it is whole, refused for good or the
-// caller's patience is over.
+// Complete sends the request until the answer is complete, the refusal is final or
+// RequestTimeout expires.
 func (c *Client) Complete(ctx context.Context, req Completion) *Result {
 	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
-	r := &run{c: c, req: req, res: &Result{}, began: time.Now(), offset: "0", address: req.Entry}
+	r := &completionRun{c: c, req: req, res: &Result{}, startedAt: time.Now(), offset: "0", address: req.Entry}
 	for ctx.Err() == nil {
 		if r.address == "" {
-			r.address = c.pick(ctx)
+			r.address = c.pickEntry(ctx)
 		}
-		if r.try(ctx) {
+		if r.attempt(ctx) {
 			break
 		}
 		r.address = ""
 	}
-	r.res.Text, r.res.Elapsed = r.text.String(), time.Since(r.began)
+	r.res.Text, r.res.Elapsed = r.text.String(), time.Since(r.startedAt)
 	return r.res
 }
 
-// Resume asks one entry, once, to go on with a request from its beginning.
+// Resume makes one attempt to resume a request from offset 0 at the given entry.
 func (c *Client) Resume(ctx context.Context, id, entry string) *Result {
 	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
-	r := &run{c: c, req: Completion{ID: id}, res: &Result{}, began: time.Now(), offset: "0", address: entry, sent: true}
-	r.try(ctx)
-	r.res.Text, r.res.Elapsed = r.text.String(), time.Since(r.began)
+	r := &completionRun{c: c, req: Completion{ID: id}, res: &Result{}, startedAt: time.Now(), offset: "0", address: entry, mayBeKnown: true}
+	r.attempt(ctx)
+	r.res.Text, r.res.Elapsed = r.text.String(), time.Since(r.startedAt)
 	return r.res
 }
 
-// try makes one try and tells whether the result is final.
-func (r *run) try(ctx context.Context) bool {
+// attempt makes one attempt and reports whether the result is final.
+func (r *completionRun) attempt(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	httpReq, err := r.request(ctx)
+	httpReq, err := r.newRequest(ctx)
 	if err != nil {
 		r.res.Err = err
 		return true
@@ -132,23 +138,24 @@
 	defer stall.Stop()
 	resp, err := r.c.http.Do(httpReq)
 	if err != nil {
-		r.sent = true
-		r.broke(ctx, err)
+		r.mayBeKnown = true
+		r.connectionFailed(ctx, err)
 		return false
 	}
 	defer resp.Body.Close()
 	r.res.Entries = append(r.res.Entries, r.address)
 	if resp.StatusCode == http.StatusOK {
-		r.sent, r.res.Accepted = true, true
-		return r.read(ctx, resp.Body, stall)
+		r.mayBeKnown, r.res.Accepted = true, true
+		return r.readStream(ctx, resp.Body, stall)
 	}
-	return r.refused(ctx, readRefusal(resp))
+	return r.handleRefusal(ctx, readRefusal(resp))
 }
 
-// request is the first send, or a resume once an entry may know the request.
-func (r *run) request(ctx context.Context) (*http.Request, error) {
+// newRequest builds the HTTP request of an attempt: a resume if an entry may know
+// the request, else the completion request itself.
+func (r *completionRun) newRequest(ctx context.Context) (*http.Request, error) {
 	path, body := "/v1/completions", []byte(nil)
-	resume := r.sent
+	resume := r.mayBeKnown
 	if resume {
 		r.res.Resumes++
 		path = "/v1/requests/" + url.PathEscape(r.req.ID) + "/resume"
@@ -174,41 +181,42 @@
 	return req, nil
 }
 
-// broke notes a connection that failed and waits a little.
-func (r *run) broke(ctx context.Context, err error) {
+// connectionFailed records the error, avoids the entry and waits for retryDelay.
+func (r *completionRun) connectionFailed(ctx context.Context, err error) {
 	r.res.Err = err
-	r.c.failed(r.address)
-	pause(ctx, retryPause)
+	r.c.markFailed(r.address)
+	sleep(ctx, retryDelay)
 }
 
-// refused decides about a refusal: wait and come back, start anew, or give up.
-func (r *run) refused(ctx context.Context, ref refusal) bool {
+// handleRefusal decides whether to retry, resume or give up after a refusal. It
+// waits before a further attempt and reports whether the result is final.
+func (r *completionRun) handleRefusal(ctx context.Context, ref refusal) bool {
 	r.res.Status, r.res.Code, r.res.Outcome, r.res.Message = ref.status, ref.code, ref.outcome, ref.message
-	if ref.status == http.StatusNotFound && ref.code == outcome.CodeNotFound && r.sent && r.text.Len() == 0 {
-		// No entry knows it: nothing of it was answered, so it is sent again
-		// under the same id.
-		r.sent = false
-		return !pause(ctx, retryPause)
+	if ref.status == http.StatusNotFound && ref.code == outcome.CodeNotFound && r.mayBeKnown && r.text.Len() == 0 {
+		// No entry knows the request and no text has arrived, so that it is safe
+		// to send it again with the same ID.
+		r.mayBeKnown = false
+		return !sleep(ctx, retryDelay)
 	}
 	if ref.retryAfter == 0 {
 		return true
 	}
 	if ref.outcome == outcome.NotRun && !r.res.Accepted {
-		return !r.c.again(ctx, r.began, ref.retryAfter)
+		return !r.c.waitBeforeRetry(ctx, r.startedAt, ref.retryAfter)
 	}
-	// A model request that may run is not sent anew but resumed under its id.
-	r.sent = r.sent || ref.outcome == outcome.Unknown
-	return !pause(ctx, ref.retryAfter)
+	// A model request that may be running is resumed by its ID, not sent again.
+	r.mayBeKnown = r.mayBeKnown || ref.outcome == outcome.Unknown
+	return !sleep(ctx, ref.retryAfter)
 }
 
-// read takes the stream's events; it gives true at the end marker.
-func (r *run) read(ctx context.Context, body io.Reader, stall *time.Timer) bool {
+// readStream reads the events of a stream. It returns true at the end marker.
+func (r *completionRun) readStream(ctx context.Context, body io.Reader, stall *time.Timer) bool {
 	lines := bufio.NewReader(body)
 	id := ""
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			r.broke(ctx, InvalidResponse.Wrap(err, "stream"))
+			r.connectionFailed(ctx, InvalidResponse.Wrap(err, "stream"))
 			return false
 		}
 		stall.Reset(r.c.config.StallTimeout)
@@ -218,9 +226,9 @@
 		case "id":
 			id = value
 		case "data":
-			done, err := r.event(id, value)
+			done, err := r.handleEvent(id, value)
 			if err != nil {
-				r.broke(ctx, err)
+				r.connectionFailed(ctx, err)
 				return false
 			}
 			if done {
@@ -230,8 +238,8 @@
 	}
 }
 
-// event takes one event; done tells that the request is over.
-func (r *run) event(id, data string) (done bool, err error) {
+// handleEvent processes one event. done reports whether it is the end marker.
+func (r *completionRun) handleEvent(id, data string) (done bool, err error) {
 	if data == engineapi.DoneMarker {
 		r.res.Complete, r.res.Outcome = true, outcome.Ran
 		return true, nil
@@ -251,29 +259,30 @@
 	if text == "" {
 		return false, nil
 	}
-	if next, err := strconv.Atoi(id); err != nil || !r.later(next) {
+	if next, err := strconv.Atoi(id); err != nil || !r.isAfterOffset(next) {
 		return false, InvalidResponse.New("event id %q after %s", id, r.offset)
 	}
 	r.offset = id
 	r.text.WriteString(text)
-	r.time()
+	r.recordChunkTime()
 	return false, nil
 }
 
-// later tells whether an event's offset is after what the caller has.
-func (r *run) later(next int) bool {
+// isAfterOffset reports whether an event's offset is beyond the text received so
+// far.
+func (r *completionRun) isAfterOffset(next int) bool {
 	have, _ := strconv.Atoi(r.offset)
 	return next > have
 }
 
-func (r *run) time() {
+func (r *completionRun) recordChunkTime() {
 	now := time.Now()
-	if r.last.IsZero() {
-		r.res.TimeToFirstToken = now.Sub(r.began)
+	if r.lastChunkAt.IsZero() {
+		r.res.TimeToFirstToken = now.Sub(r.startedAt)
 	} else {
-		gap := now.Sub(r.last)
+		gap := now.Sub(r.lastChunkAt)
 		r.res.ChunkGaps = append(r.res.ChunkGaps, gap)
 		r.res.MaxChunkGap = max(r.res.MaxChunkGap, gap)
 	}
-	r.last = now
+	r.lastChunkAt = now
 }
