--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,9 +1,9 @@
-// Package answer makes the stand-ins' text, so that whoever knows the prompt
-// and the seed can check a whole answer byte for byte.
+// Package answer generates the text of stand-in engines deterministically, so that
+// a test that knows the prompt and the seed can check an answer byte for byte.
 //
-// Each token depends on the prompt, the seed and all text before it. An entry
-// that hands a wrong prefix to the next engine, drops a token, doubles one or
-// mixes two requests up therefore changes every byte that follows.
+// Each token depends on the prompt, the seed and all preceding text. If an entry
+// passes a wrong prefix to the next engine, drops or duplicates a token, or mixes
+// up two requests, all of the following text changes.
 package answer
 
 import (
@@ -17,43 +17,44 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// MarkInterval is how many tokens apart the member's mark stands in an answer:
-// often enough that a leaked chunk of a few tokens shows whose it is.
+// MarkInterval is the number of tokens between two member marks in an answer. It
+// is small, so that a leaked chunk of a few tokens shows whose it is.
 const MarkInterval = 8
 
-var marks = regexp.MustCompile(`\[member=([a-z0-9-]+)\]`)
+var memberMarks = regexp.MustCompile(`\[member=([a-z0-9-]+)\]`)
 
-// Mark gives a member's mark as it stands in prompts and answers.
+// Mark returns the mark that identifies a member in prompts and answers.
 func Mark(member string) string { return "[member=" + member + "]" }
 
-// MemberOf gives the member whose mark comes first in text, or "".
+// MemberOf returns the member of the first mark in text, or "".
 func MemberOf(text string) string {
-	found := marks.FindStringSubmatch(text)
-	if found == nil {
+	match := memberMarks.FindStringSubmatch(text)
+	if match == nil {
 		return ""
 	}
-	return found[1]
+	return match[1]
 }
 
-// ForeignMember gives a member, not the one given, whose mark stands in text, or "".
+// ForeignMember returns the first member other than the given one whose mark is in
+// text, or "".
 func ForeignMember(text, member string) string {
-	for _, found := range marks.FindAllStringSubmatch(text, -1) {
-		if found[1] != member {
-			return found[1]
+	for _, match := range memberMarks.FindAllStringSubmatch(text, -1) {
+		if match[1] != member {
+			return match[1]
 		}
 	}
 	return ""
 }
 
-// Generator gives the tokens of one answer in order.
+// Generator generates the tokens of one answer in order.
 type Generator struct {
 	digest *xxhash.Digest
 	mark   string
 	next   int
 }
 
-// NewGenerator starts after the text that earlier attempts gave; tokens is how
-// many tokens that text has.
+// NewGenerator returns a generator that continues after text, the output of earlier
+// attempts. tokens is the number of tokens in text.
 func NewGenerator(prompt string, seed uint64, text string, tokens int) *Generator {
 	g := &Generator{digest: xxhash.New(), next: tokens}
 	if member := MemberOf(prompt); member != "" {
@@ -65,7 +66,7 @@
 	return g
 }
 
-// Next gives the next token's text.
+// Next returns the text of the next token.
 func (g *Generator) Next() string {
 	token := fmt.Sprintf(" %07x", g.digest.Sum64()>>36)
 	if g.next%MarkInterval == 0 {
@@ -78,7 +79,7 @@
 
 func (g *Generator) write(text string) { _, _ = g.digest.WriteString(text) }
 
-// FullText gives the whole answer of that many tokens.
+// FullText returns the complete answer with the given number of tokens.
 func FullText(prompt string, seed uint64, tokens int) string {
 	g := NewGenerator(prompt, seed, "", 0)
 	var b strings.Builder
@@ -88,5 +89,5 @@
 	return b.String()
 }
 
-// EstimatePromptTokens estimates how many tokens a prompt has.
+// EstimatePromptTokens estimates the number of tokens in a prompt from its length.
 func EstimatePromptTokens(prompt string) int { return len(prompt)/engineapi.BytesPerToken + 1 }
