--- a/internal/standin/audit/audit.go
+++ b/internal/standin/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit compares what callers got with what the stand-in backend
-// servers wrote down, and counts the promises that were kept and broken.
+// Package audit compares the results that callers got with the journals of the
+// stand-in backend servers, and counts violations of the system's guarantees.
 package audit
 
 import (
@@ -15,181 +15,189 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/server"
 )
 
-// FinishedRequest is one request of one caller with its result.
+// FinishedRequest is a request with the result that its caller got.
 type FinishedRequest struct {
-	// Class is the workload's name for it.
+	// Class is the name of the request's workload class.
 	Class  string
 	Member string
-	// Mark is the request's own mark, which the journals hold too.
+	// Mark identifies the request; the journals record it too.
 	Mark string
-	// Prompt, Seed and Tokens are a completion's; Path is a plain call's.
+	// Prompt, Seed and Tokens are set for completions, Path for plain calls.
 	Prompt string
 	Seed   uint64
 	Tokens int
 	Path   string
-	// AtMostOnce tells that the call may run once at most.
+	// AtMostOnce marks a call that must not run more than once.
 	AtMostOnce bool
 	Result     *caller.Result
 }
 
-// plain tells whether it is a call of a plain service.
-func (d *FinishedRequest) plain() bool { return d.Path != "" }
+// isPlainCall reports whether the request is a call of a plain service.
+func (req *FinishedRequest) isPlainCall() bool { return req.Path != "" }
 
-// Counts is what an audit found. Requests = Complete + RefusedNotRun + Unknown + Failed.
+// Counts is the result of an audit. Requests = Complete + RefusedNotRun + Unknown +
+// Failed.
 type Counts struct {
 	Requests int `json:"requests"`
-	// Complete answers are complete and byte for byte right.
+	// Complete counts answers that are complete and correct byte for byte.
 	Complete int `json:"whole"`
-	// RefusedNotRun requests ended with a refusal that says "not run".
+	// RefusedNotRun counts requests that were refused with outcome "not run"
+	// before any answer began.
 	RefusedNotRun int `json:"refused_not_run"`
-	// Unknown once-only calls ended with "unknown" or "already ran".
+	// Unknown counts at-most-once calls that ended with outcome "unknown" or
+	// code "already ran".
 	Unknown int `json:"unknown"`
-	// Failed requests got no whole answer and no such refusal.
+	// Failed counts all other requests: those without a complete and correct
+	// answer.
 	Failed int `json:"cut"`
-	// DuplicateRuns counts once-only calls with more than one run.
+	// DuplicateRuns counts at-most-once calls that ran more than once.
 	DuplicateRuns int `json:"doubled"`
-	// WrongMember counts answers with another member's mark and calls that
-	// reached a backend server under another member's name.
+	// WrongMember counts answers with another member's mark, requests that
+	// reached a backend server under another member's name, and cache salts
+	// that two members share.
 	WrongMember int `json:"wrong_member"`
-	// FalseNotRun counts refusals that say "not run" of requests that ran.
+	// FalseNotRun counts requests that ran but were refused as "not run".
 	FalseNotRun int `json:"not_run_ran"`
-	// Findings tells of each broken promise, in words.
+	// Findings describes each violation.
 	Findings []string `json:"findings,omitempty"`
 }
 
-// SummaryLine is the demo's last line.
+// SummaryLine returns the last line of the demo's output.
 func (c *Counts) SummaryLine() string {
 	return fmt.Sprintf("demo: requests=%d whole=%d refused_not_run=%d cut=%d doubled=%d wrong_member=%d",
 		c.Requests, c.Complete, c.RefusedNotRun, c.Failed+c.Unknown, c.DuplicateRuns, c.WrongMember)
 }
 
-// HasViolations tells whether a promise was broken. Once-only calls may end as unknown
-// when something fails in between; the demo, where nothing fails, adds them to cut.
+// HasViolations reports whether a guarantee was violated or no request got a
+// complete answer. At-most-once calls may end as unknown when a component fails;
+// the summary line of the demo, where nothing fails, adds them to cut.
 func (c *Counts) HasViolations() bool {
 	return c.Complete == 0 || c.Failed+c.DuplicateRuns+c.WrongMember+c.FalseNotRun > 0
 }
 
-func (c *Counts) find(d *FinishedRequest, format string, args ...any) {
-	c.Findings = append(c.Findings, fmt.Sprintf("%s %s of %s: ", d.Class, d.Mark, d.Member)+fmt.Sprintf(format, args...))
+func (c *Counts) addFinding(req *FinishedRequest, format string, args ...any) {
+	c.Findings = append(c.Findings, fmt.Sprintf("%s %s of %s: ", req.Class, req.Mark, req.Member)+fmt.Sprintf(format, args...))
 }
 
-// runs is what the journals hold of one mark.
-type runs struct {
+// journaledRuns is what the journals record about the requests with one mark.
+type journaledRuns struct {
 	started int
 	members map[string]bool
 }
 
-// Check compares the requests with the journals.
-func Check(done []FinishedRequest, records []journal.Record) *Counts {
+// Check compares the requests with the journal records and counts violations.
+func Check(requests []FinishedRequest, records []journal.Record) *Counts {
 	c := &Counts{}
-	byMark := collect(records)
-	for i := range done {
-		d := &done[i]
+	byMark := collectRuns(records)
+	for i := range requests {
+		req := &requests[i]
 		c.Requests++
-		c.answered(d)
-		seen := byMark[d.Mark]
-		if seen == nil {
-			seen = &runs{}
+		c.countResult(req)
+		journaled := byMark[req.Mark]
+		if journaled == nil {
+			journaled = &journaledRuns{}
 		}
-		c.compare(d, seen)
+		c.compareWithJournal(req, journaled)
 	}
-	c.compareSalts(records)
+	c.countSharedSalts(records)
 	return c
 }
 
-// compareSalts counts cache salts that two members shared.
-func (c *Counts) compareSalts(records []journal.Record) {
-	owner := make(map[string]string)
+// countSharedSalts counts cache salts that two members share.
+func (c *Counts) countSharedSalts(records []journal.Record) {
+	memberBySalt := make(map[string]string)
 	for _, r := range records {
 		if r.Salt == "" || r.Member == "" {
 			continue
 		}
-		if first, ok := owner[r.Salt]; ok && first != r.Member {
+		if first, ok := memberBySalt[r.Salt]; ok && first != r.Member {
 			c.WrongMember++
 			c.Findings = append(c.Findings, "members "+first+" and "+r.Member+" share a cache salt")
 		}
-		owner[r.Salt] = r.Member
+		memberBySalt[r.Salt] = r.Member
 	}
 }
 
-func collect(records []journal.Record) map[string]*runs {
-	byMark := make(map[string]*runs)
+func collectRuns(records []journal.Record) map[string]*journaledRuns {
+	byMark := make(map[string]*journaledRuns)
 	for _, r := range records {
 		if r.Mark == "" {
 			continue
 		}
-		seen := byMark[r.Mark]
-		if seen == nil {
-			seen = &runs{members: make(map[string]bool)}
-			byMark[r.Mark] = seen
+		journaled := byMark[r.Mark]
+		if journaled == nil {
+			journaled = &journaledRuns{members: make(map[string]bool)}
+			byMark[r.Mark] = journaled
 		}
-		seen.members[r.Member] = true
+		journaled.members[r.Member] = true
 		if member, _, ok := engineapi.SplitWireID(r.RequestID); ok {
-			seen.members[member] = true
+			journaled.members[member] = true
 		}
 		if r.Event == journal.RequestStarted {
-			seen.started++
+			journaled.started++
 		}
 	}
 	return byMark
 }
 
-// answered sorts the request by what its caller got.
-func (c *Counts) answered(d *FinishedRequest) {
-	res := d.Result
+// countResult counts the request by the result that its caller got.
+func (c *Counts) countResult(req *FinishedRequest) {
+	res := req.Result
 	switch {
-	case res.Complete && d.right():
+	case res.Complete && req.isCorrect():
 		c.Complete++
 	case res.Complete:
 		c.Failed++
-		c.find(d, "the answer differs from what the backend server gives (%d bytes)", len(res.Text))
+		c.addFinding(req, "the answer differs from the one that the backend server generates (%d bytes)", len(res.Text))
 	case res.Outcome == outcome.NotRun && !res.Accepted:
 		c.RefusedNotRun++
-	case d.AtMostOnce && res.Outcome == outcome.Unknown, d.AtMostOnce && res.Code == outcome.CodeAlreadyRan:
+	case req.AtMostOnce && res.Outcome == outcome.Unknown, req.AtMostOnce && res.Code == outcome.CodeAlreadyRan:
 		c.Unknown++
 	default:
 		c.Failed++
-		c.find(d, "no whole answer: status %d, code %q, outcome %q, %d bytes, %d tries, %d resumes, %s, last error %v",
+		c.addFinding(req, "no complete answer: status %d, code %q, outcome %q, %d bytes, %d attempts, %d resumes, %s, last error %v",
 			res.Status, res.Code, res.Outcome, len(res.Text), res.Attempts, res.Resumes, res.Message, res.Err)
 	}
-	if foreign := answer.ForeignMember(res.Text, d.Member); foreign != "" {
+	if foreign := answer.ForeignMember(res.Text, req.Member); foreign != "" {
 		c.WrongMember++
-		c.find(d, "the answer carries the mark of %s", foreign)
+		c.addFinding(req, "the answer contains the mark of %s", foreign)
 	}
 }
 
-// compare holds the caller's result against the journals.
-func (c *Counts) compare(d *FinishedRequest, seen *runs) {
-	if d.AtMostOnce && seen.started > 1 {
+// compareWithJournal checks the caller's result against the journals.
+func (c *Counts) compareWithJournal(req *FinishedRequest, journaled *journaledRuns) {
+	if req.AtMostOnce && journaled.started > 1 {
 		c.DuplicateRuns++
-		c.find(d, "ran %d times", seen.started)
+		c.addFinding(req, "ran %d times", journaled.started)
 	}
-	// A request that got tokens and was refused later is cut, not "not run".
-	if d.Result.Outcome == outcome.NotRun && !d.Result.Accepted && seen.started > 0 {
+	// A request that was refused after its answer began counts as failed, not
+	// as "not run".
+	if req.Result.Outcome == outcome.NotRun && !req.Result.Accepted && journaled.started > 0 {
 		c.FalseNotRun++
-		c.find(d, "refused as not run (%s), but ran %d times", d.Result.Code, seen.started)
+		c.addFinding(req, "refused as not run (%s), but ran %d times", req.Result.Code, journaled.started)
 	}
-	if d.Result.Complete && seen.started == 0 {
+	if req.Result.Complete && journaled.started == 0 {
 		c.Failed++
 		c.Complete--
-		c.find(d, "answered whole, but no journal holds a run of it")
+		c.addFinding(req, "complete answer, but no journal records a run")
 	}
-	for member := range seen.members {
-		if member != d.Member {
+	for member := range journaled.members {
+		if member != req.Member {
 			c.WrongMember++
-			c.find(d, "reached a backend server under %q", member)
+			c.addFinding(req, "reached a backend server under the name of member %q", member)
 		}
 	}
 }
 
-// right tells whether a whole answer is what the backend server gives.
-func (d *FinishedRequest) right() bool {
-	if !d.plain() {
-		return d.Result.Text == answer.FullText(d.Prompt, d.Seed, d.Tokens)
+// isCorrect reports whether a complete answer is the one that the backend server
+// generates for the request.
+func (req *FinishedRequest) isCorrect() bool {
+	if !req.isPlainCall() {
+		return req.Result.Text == answer.FullText(req.Prompt, req.Seed, req.Tokens)
 	}
 	var got server.PlainAnswer
-	if d.Result.Status != http.StatusOK || json.Unmarshal([]byte(d.Result.Text), &got) != nil {
+	if req.Result.Status != http.StatusOK || json.Unmarshal([]byte(req.Result.Text), &got) != nil {
 		return false
 	}
-	return got.Member == d.Member && got.Mark == d.Mark && got.Path == d.Path
+	return got.Member == req.Member && got.Mark == req.Mark && got.Path == req.Path
 }
