--- a/internal/standin/forwarder/forwarder.go
+++ b/internal/standin/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarder stands between two processes of a test bed and passes TCP
-// bytes on, until it is told to cut, to go silent or to delay.
+// Package forwarder implements a TCP proxy between two processes of a test bed that
+// can refuse connections, discard bytes or delay them to simulate network faults.
 package forwarder
 
 import (
@@ -17,102 +17,106 @@
 // Failed is the type of errors of a forwarder that can't listen.
 var Failed = Namespace.NewType("failed")
 
-// Mode says what becomes of bytes.
+// Mode selects the simulated network fault. The zero value forwards all bytes.
 type Mode struct {
-	// BlackholeToServer and BlackholeToClient swallow the bytes of that direction;
+	// BlackholeToServer and BlackholeToClient discard the bytes of one direction;
 	// connections stay open and new ones are accepted.
 	BlackholeToServer bool
 	BlackholeToClient bool
-	// Refuse closes every connection, new ones at once.
+	// Refuse closes all open connections, and new ones as soon as they are
+	// accepted.
 	Refuse bool
-	// Delay holds each piece of bytes back for so long.
+	// Delay is the wait before each chunk of bytes is forwarded.
 	Delay time.Duration
 }
 
-func (m Mode) silent() bool { return m.BlackholeToServer || m.BlackholeToClient }
+func (m Mode) blackholes() bool { return m.BlackholeToServer || m.BlackholeToClient }
 
-// bufferBytes is how much is read at once.
+// bufferBytes is the size of a read buffer.
 const bufferBytes = 32 << 10
 
-// dialTimeout bounds the connection to the target.
+// dialTimeout bounds the dial to the target.
 const dialTimeout = time.Second
 
-// link is one connection with its two ends and its own mode.
-type link struct {
+// connPair is a forwarded connection: the client's and the target's side, and the
+// mode that applies to it.
+type connPair struct {
 	client net.Conn
 	server net.Conn
 	mode   Mode
-	// lossy is set once bytes were swallowed.
-	lossy bool
+	// lostBytes is true once bytes have been discarded.
+	lostBytes bool
 }
 
-// Forwarder passes connections on to one target.
+// Forwarder forwards TCP connections to one target.
 type Forwarder struct {
 	target   string
 	listener net.Listener
 	wg       conc.WaitGroup
 
-	mu    sync.Mutex
-	mode  Mode
-	links map[*link]bool
+	mu        sync.Mutex
+	mode      Mode
+	connPairs map[*connPair]bool
 }
 
-// Listen starts a forwarder at address (host:port, port 0 for any).
+// Listen starts a forwarder at address (host:port, port 0 for any free port).
 // Errors: Failed.
 func Listen(address, target string) (*Forwarder, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, Failed.Wrap(err, "listen")
 	}
-	f := &Forwarder{target: target, listener: ln, links: make(map[*link]bool)}
+	f := &Forwarder{target: target, listener: ln, connPairs: make(map[*connPair]bool)}
 	f.wg.Go(f.accept)
 	return f, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the forwarder listens on.
 func (f *Forwarder) Address() string { return f.listener.Addr().String() }
 
-// SetMode puts the mode in force for open and for new connections. A connection that has
-// lost bytes breaks when it would be heard again: no network delivers a later byte of a
-// connection without the earlier ones, and what reads it can't see the gap.
+// SetMode sets the mode of open and of new connections. A connection that has lost
+// bytes is closed when the new mode would forward again: TCP never delivers later
+// bytes of a connection without the earlier ones, and the reader could not detect
+// the gap.
 func (f *Forwarder) SetMode(m Mode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.mode = m
-	for l := range f.links {
-		l.mode = m
-		if m.Refuse || l.lossy && !m.silent() {
-			l.close()
+	for pair := range f.connPairs {
+		pair.mode = m
+		if m.Refuse || pair.lostBytes && !m.blackholes() {
+			pair.close()
 		}
 	}
 }
 
-// BlackholeOpenConnections makes the connections that are open now silent for good, both
-// ways, while new ones work: a device on the path has lost track of them.
+// BlackholeOpenConnections discards all further bytes of the open connections in
+// both directions, while new connections work. It simulates a stateful device on
+// the path that has lost its connection table.
 func (f *Forwarder) BlackholeOpenConnections() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for l := range f.links {
-		l.mode = Mode{BlackholeToServer: true, BlackholeToClient: true}
+	for pair := range f.connPairs {
+		pair.mode = Mode{BlackholeToServer: true, BlackholeToClient: true}
 	}
 }
 
-// ResetOpenConnections breaks the connections that are open now, as a VM without power does once
-// it is back; new ones work.
+// ResetOpenConnections resets the open connections, as a VM does when it is back
+// after a power loss. New connections work.
 func (f *Forwarder) ResetOpenConnections() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for l := range f.links {
-		for _, c := range []net.Conn{l.client, l.server} {
+	for pair := range f.connPairs {
+		for _, c := range []net.Conn{pair.client, pair.server} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
 			}
 		}
-		l.close()
+		pair.close()
 	}
 }
 
-// Close ends the forwarder and its connections.
+// Close stops the forwarder and closes its connections.
 func (f *Forwarder) Close() {
 	_ = f.listener.Close()
 	f.SetMode(Mode{Refuse: true})
@@ -130,7 +134,7 @@
 }
 
 func (f *Forwarder) serve(client net.Conn) {
-	if f.modeOf(nil).Refuse {
+	if f.modeFor(nil).Refuse {
 		_ = client.Close()
 		return
 	}
@@ -139,85 +143,86 @@
 		_ = client.Close()
 		return
 	}
-	l := &link{client: client, server: server}
-	if !f.add(l) {
-		l.close()
+	pair := &connPair{client: client, server: server}
+	if !f.add(pair) {
+		pair.close()
 		return
 	}
-	defer f.remove(l)
+	defer f.remove(pair)
 	var wg conc.WaitGroup
-	wg.Go(func() { f.pass(l, client, server, true) })
-	wg.Go(func() { f.pass(l, server, client, false) })
+	wg.Go(func() { f.copyBytes(pair, client, server, true) })
+	wg.Go(func() { f.copyBytes(pair, server, client, false) })
 	wg.Wait()
 }
 
-func (f *Forwarder) add(l *link) bool {
+func (f *Forwarder) add(pair *connPair) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l.mode = f.mode
-	f.links[l] = true
+	pair.mode = f.mode
+	f.connPairs[pair] = true
 	return !f.mode.Refuse
 }
 
-func (f *Forwarder) remove(l *link) {
+func (f *Forwarder) remove(pair *connPair) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.links, l)
+	delete(f.connPairs, pair)
 }
 
-// modeOf gives a link's mode, or with nil the mode for new ones.
-func (f *Forwarder) modeOf(l *link) Mode {
+// modeFor returns the mode of a connection, or with nil the mode of new ones.
+func (f *Forwarder) modeFor(pair *connPair) Mode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l == nil {
+	if pair == nil {
 		return f.mode
 	}
-	return l.mode
+	return pair.mode
 }
 
-func (f *Forwarder) pass(l *link, from, to net.Conn, toServer bool) {
-	defer l.close()
+func (f *Forwarder) copyBytes(pair *connPair, from, to net.Conn, toServer bool) {
+	defer pair.close()
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
-		m := f.modeOf(l)
-		silent := m.BlackholeToServer && toServer || m.BlackholeToClient && !toServer
-		if n > 0 && silent {
-			f.loses(l)
+		m := f.modeFor(pair)
+		blackholed := m.BlackholeToServer && toServer || m.BlackholeToClient && !toServer
+		if n > 0 && blackholed {
+			f.markLostBytes(pair)
 		}
-		if n > 0 && !silent {
+		if n > 0 && !blackholed {
 			time.Sleep(m.Delay)
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
-			f.endSilently(l, silent)
+			f.waitWhileBlackholed(pair, blackholed)
 			return
 		}
 	}
 }
 
-func (f *Forwarder) loses(l *link) {
+func (f *Forwarder) markLostBytes(pair *connPair) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l.lossy = true
+	pair.lostBytes = true
 }
 
-// endSilently keeps the other end open when this direction is silent: the end
-// of a connection must not pass either. It waits until the mode changes.
-func (f *Forwarder) endSilently(l *link, silent bool) {
-	for silent {
-		time.Sleep(pollSilent)
-		m := f.modeOf(l)
-		silent = !m.Refuse && m.silent()
+// waitWhileBlackholed delays the close of the other end while this direction
+// discards bytes: the end of the connection must not get through either. It
+// returns when the mode no longer discards bytes, or refuses connections.
+func (f *Forwarder) waitWhileBlackholed(pair *connPair, blackholed bool) {
+	for blackholed {
+		time.Sleep(blackholePollInterval)
+		m := f.modeFor(pair)
+		blackholed = !m.Refuse && m.blackholes()
 	}
 }
 
-// pollSilent is how often a silent link looks whether it may end.
-const pollSilent = 20 * time.Millisecond
+// blackholePollInterval is how often waitWhileBlackholed checks the mode.
+const blackholePollInterval = 20 * time.Millisecond
 
-func (l *link) close() {
-	_ = l.client.Close()
-	_ = l.server.Close()
+func (pair *connPair) close() {
+	_ = pair.client.Close()
+	_ = pair.server.Close()
 }
--- a/internal/standin/forwarder/forwarder_test.go
+++ b/internal/standin/forwarder/forwarder_test.go
@@ -9,7 +9,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// echoServer sends every line back.
+// echoServer starts a server that echoes every line, and returns its address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,18 +36,18 @@
 	return ln.Addr().String()
 }
 
-// says sends a line and tells whether it came back within the time.
-func says(t *testing.T, conn net.Conn, within time.Duration) bool {
+// roundTrip sends a line and reports whether it came back before the timeout.
+func roundTrip(t *testing.T, conn net.Conn, timeout time.Duration) bool {
 	t.Helper()
 	if _, err := conn.Write([]byte("x\n")); err != nil {
 		return false
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(within))
+	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 	n, err := conn.Read(make([]byte, 8))
 	return err == nil && n == 2
 }
 
-func TestOpenConnectionsGoSilentWhileNewOnesWork(t *testing.T) {
+func TestBlackholedOpenConnectionsLeaveNewOnesWorking(t *testing.T) {
 	f, err := Listen("127.0.0.1:0", echoServer(t))
 	if err != nil {
 		t.Fatal(err)
@@ -61,19 +61,19 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	}
-	old := dial()
-	if !says(t, old, 5*time.Second) {
-		t.Fatal("nothing passes")
+	oldConn := dial()
+	if !roundTrip(t, oldConn, 5*time.Second) {
+		t.Fatal("the forwarder does not forward")
 	}
 	f.BlackholeOpenConnections()
-	if says(t, old, 100*time.Millisecond) {
-		t.Fatal("the open connection still passes")
+	if roundTrip(t, oldConn, 100*time.Millisecond) {
+		t.Fatal("the blackholed connection still forwards bytes")
 	}
-	if !says(t, dial(), 5*time.Second) {
-		t.Fatal("a new connection does not pass")
+	if !roundTrip(t, dial(), 5*time.Second) {
+		t.Fatal("a new connection does not forward bytes")
 	}
 	f.SetMode(Mode{Refuse: true})
-	if says(t, dial(), 100*time.Millisecond) {
-		t.Fatal("a refusing forwarder passes bytes")
+	if roundTrip(t, dial(), 100*time.Millisecond) {
+		t.Fatal("a refusing forwarder forwards bytes")
 	}
 }
