--- a/internal/standin/journal/journal.go
+++ b/internal/standin/journal/journal.go
@@ -1,9 +1,10 @@
-// Package journal is what a stand-in writes down about the calls and orders it
-// received, started and finished. Checks compare it with what callers got.
+// Package journal records the requests and orders that a stand-in server received,
+// started and finished. Tests compare the records with the results that callers
+// got.
 //
-// Each record is one write of one line: a record survives SIGKILL of the
-// process as soon as Write returns (it is in the kernel then). It is not
-// synced, since only processes die in the tests, not the VM.
+// Each record is written as one line in one system call, so that it survives
+// SIGKILL of the process once Write has returned. The file is not synced: tests
+// kill processes only, not the VM.
 package journal
 
 import (
@@ -22,42 +23,47 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("journal")
 
-// Failed is the type of errors about journals that can't be written or read.
+// Failed is the type of errors about journals that can't be opened or read.
 var Failed = Namespace.NewType("broken")
 
-// Event says what a record is about.
+// Event is the kind of a record.
 type Event string
 
 // Events.
 const (
-	// ServerStarted: the process serves.
+	// ServerStarted: the process is serving.
 	ServerStarted Event = "began"
-	// RequestReceived: a completion or a call came in; nothing was started yet.
+	// RequestReceived: a completion or call has arrived; no work on it has
+	// started.
 	RequestReceived Event = "received"
-	// RequestRejected: it was answered with "not started".
+	// RequestRejected: the response says that no work was started.
 	RequestRejected Event = "rejected"
-	// RequestStarted: work on it began; a once-only call counts as run from here.
+	// RequestStarted: work on the request has started; an at-most-once call
+	// counts as run from here on.
 	RequestStarted Event = "started"
-	// RequestFinished: its last token was produced or the call's answer is ready.
+	// RequestFinished: the last token is generated, or the call's response is
+	// ready.
 	RequestFinished Event = "finished"
-	// RequestCancelled: it was cancelled before its end.
+	// RequestCancelled: the request was aborted before its end, by a cancel
+	// request or an order.
 	RequestCancelled Event = "cancelled"
-	// CrashTriggered: the process is about to die of it.
+	// CrashTriggered: the request is about to crash the process.
 	CrashTriggered Event = "poisoned"
-	// OrderReceived, OrderBegan, OrderDone and OrderRejected: of an order.
+	// OrderReceived, OrderStarted, OrderDone and OrderRejected are the steps of
+	// an order.
 	OrderReceived Event = "order_received"
 	OrderStarted  Event = "order_began"
 	OrderDone     Event = "order_done"
 	OrderRejected Event = "order_rejected"
-	// ServerLeaving: from here on the process takes no new work.
+	// ServerLeaving: the process accepts no new work from here on.
 	ServerLeaving Event = "leaving"
-	// ServerStopped: the process stops by itself.
+	// ServerStopped: the process has drained and is about to exit.
 	ServerStopped Event = "ended"
 )
 
-// Record is one line. Which fields count depends on Event.
+// Record is one line of a journal. The event determines which fields are set.
 type Record struct {
-	// UnixNS is the wall clock; all processes of a test bed share it.
+	// UnixNS is the wall-clock time; all processes of a test bed share the clock.
 	UnixNS      int64  `json:"unix_ns"`
 	Server      string `json:"server"`
 	Incarnation string `json:"incarnation"`
@@ -65,7 +71,8 @@
 	RequestID   string `json:"request_id,omitempty"`
 	Attempt     uint32 `json:"attempt,omitempty"`
 	Member      string `json:"member,omitempty"`
-	// Mark is what the caller wrote into the prompt or the call to know it by.
+	// Mark is the text in the prompt or in the call's query by which the caller
+	// identifies the request.
 	Mark           string `json:"mark,omitempty"`
 	Service        string `json:"service,omitempty"`
 	Method         string `json:"method,omitempty"`
@@ -73,7 +80,8 @@
 	IdempotencyKey string `json:"key,omitempty"`
 	// Salt is a completion's cache salt.
 	Salt string `json:"salt,omitempty"`
-	// Offset and Tokens are the part of the answer that was produced.
+	// Offset is the offset of the first token to generate. Tokens is the number
+	// of tokens generated, or the requested maximum until the request ends.
 	Offset      int                    `json:"offset,omitempty"`
 	Tokens      int                    `json:"tokens,omitempty"`
 	Order       *engineapi.Order       `json:"order,omitempty"`
@@ -81,7 +89,7 @@
 	Reason      string                 `json:"reason,omitempty"`
 }
 
-// Writer appends records to a file. Safe for use by many goroutines.
+// Writer appends records to a file. It is safe for concurrent use.
 type Writer struct {
 	mu          sync.Mutex
 	file        *os.File
@@ -89,8 +97,8 @@
 	incarnation string
 }
 
-// Open opens the journal of one life of a server. An empty path writes nowhere.
-// Errors: Broken.
+// Open opens the journal of one server incarnation for appending. With an empty
+// path, records are discarded. Errors: Failed.
 func Open(path, server, incarnation string) (*Writer, error) {
 	w := &Writer{server: server, incarnation: incarnation}
 	if path == "" {
@@ -104,8 +112,8 @@
 	return w, nil
 }
 
-// Write appends one record and fills in time, server and incarnation. A
-// stand-in without a journal proves nothing, so that a failed write panics.
+// Write appends one record and fills in time, server and incarnation. It panics
+// if the write fails, since tests can't rely on an incomplete journal.
 func (w *Writer) Write(r Record) {
 	if w.file == nil {
 		return
@@ -131,8 +139,8 @@
 	return w.file.Close()
 }
 
-// Read gives the records of one file. A torn last line, which SIGKILL can
-// leave, is skipped. Errors: Broken.
+// Read returns the records of one file. It skips a truncated last line, which
+// SIGKILL can leave. Errors: Failed.
 func Read(path string) ([]Record, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -152,8 +160,8 @@
 	return records, nil
 }
 
-// ReadAll gives the records of all *.journal files in a folder, file by file.
-// Errors: Broken.
+// ReadAll returns the records of all *.journal files in a directory, file by file.
+// Errors: Failed.
 func ReadAll(dir string) ([]Record, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.journal"))
 	if err != nil {
