--- a/internal/standin/workload/report.go
+++ b/internal/standin/workload/report.go
@@ -8,13 +8,14 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/audit"
 )
 
-// Report is what callers saw, class by class, in order of the workload file.
+// Report summarizes the results of callers by class, in the order of the workload
+// file.
 type Report struct {
 	Counts  *audit.Counts `json:"counts"`
 	Classes []ClassReport `json:"classes"`
 }
 
-// ClassReport is what the callers of one class saw. Times are in milliseconds.
+// ClassReport summarizes the results of one class. Times are in milliseconds.
 type ClassReport struct {
 	Class            string    `json:"class"`
 	Requests         int       `json:"requests"`
@@ -27,7 +28,7 @@
 	Elapsed          Quantiles `json:"took_ms"`
 }
 
-// Quantiles is a histogram in short.
+// Quantiles summarizes a histogram, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -35,45 +36,45 @@
 	Max float64 `json:"max"`
 }
 
-// The histograms go from 1 microsecond to 10 minutes with three digits.
+// Histograms range from 1 microsecond to 10 minutes with three significant digits.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Histogram collects times.
+// Histogram is a histogram of durations.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
-// NewHistogram gives an empty one.
+// NewHistogram returns an empty histogram.
 func NewHistogram() *Histogram {
-	return &Histogram{h: hdrhistogram.New(lowestMicros, highestMicros, digits)}
+	return &Histogram{h: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
-// Add takes a time in; one out of range counts as the nearest in range.
+// Add records a duration; one out of range is clamped to the range.
 func (h *Histogram) Add(d time.Duration) {
-	_ = h.h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
+	_ = h.h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-// Quantiles gives the histogram in short.
+// Quantiles returns the quantiles of the histogram.
 func (h *Histogram) Quantiles() Quantiles {
 	at := func(q float64) float64 { return float64(h.h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(h.h.Max()) / 1000}
 }
 
-// NewReport sums up by class.
-func (w *Workload) NewReport(counts *audit.Counts, done []audit.FinishedRequest) *Report {
+// NewReport summarizes the results by class.
+func (w *Workload) NewReport(counts *audit.Counts, results []audit.FinishedRequest) *Report {
 	r := &Report{Counts: counts}
 	for _, c := range w.Classes {
-		r.Classes = append(r.Classes, classReport(c.Name, done))
+		r.Classes = append(r.Classes, classReport(c.Name, results))
 	}
 	return r
 }
 
-func classReport(class string, done []audit.FinishedRequest) ClassReport {
+func classReport(class string, results []audit.FinishedRequest) ClassReport {
 	r := ClassReport{Class: class}
-	first, gap, longest, took := NewHistogram(), NewHistogram(), NewHistogram(), NewHistogram()
-	for _, d := range done {
+	timeToFirstToken, chunkGap, maxChunkGap, elapsed := NewHistogram(), NewHistogram(), NewHistogram(), NewHistogram()
+	for _, d := range results {
 		if d.Class != class {
 			continue
 		}
@@ -85,15 +86,15 @@
 			continue
 		}
 		r.Complete++
-		took.Add(res.Elapsed)
+		elapsed.Add(res.Elapsed)
 		if res.TimeToFirstToken > 0 {
-			first.Add(res.TimeToFirstToken)
-			longest.Add(res.MaxChunkGap)
+			timeToFirstToken.Add(res.TimeToFirstToken)
+			maxChunkGap.Add(res.MaxChunkGap)
 		}
 		for _, g := range res.ChunkGaps {
-			gap.Add(g)
+			chunkGap.Add(g)
 		}
 	}
-	r.TimeToFirstToken, r.ChunkGap, r.MaxChunkGap, r.Elapsed = first.Quantiles(), gap.Quantiles(), longest.Quantiles(), took.Quantiles()
+	r.TimeToFirstToken, r.ChunkGap, r.MaxChunkGap, r.Elapsed = timeToFirstToken.Quantiles(), chunkGap.Quantiles(), maxChunkGap.Quantiles(), elapsed.Quantiles()
 	return r
 }
--- a/internal/standin/workload/run.go
+++ b/internal/standin/workload/run.go
@@ -12,40 +12,41 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/caller"
 )
 
-// Runner plays arrivals with one caller for each member.
+// Runner sends a schedule of arrivals, with one client per member.
 type Runner struct {
-	// Callers are by member.
+	// Callers maps the name of a member to its client.
 	Callers map[string]*caller.Client
 
-	mu   sync.Mutex
-	done []audit.FinishedRequest
+	mu      sync.Mutex
+	results []audit.FinishedRequest
 }
 
-// Run sends each arrival at its time, whatever became of those before it, and
-// waits until all have their result or ctx is over.
-func (p *Runner) Run(ctx context.Context, arrivals []Arrival) []audit.FinishedRequest {
+// Run sends each arrival at its scheduled time without waiting for earlier ones
+// (open loop). It returns the results once all requests have finished; when ctx
+// ends, it sends no more.
+func (r *Runner) Run(ctx context.Context, arrivals []Arrival) []audit.FinishedRequest {
 	var wg conc.WaitGroup
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range arrivals {
 		a := &arrivals[i]
-		if !sleepUntil(ctx, began.Add(a.At)) {
+		if !sleepUntil(ctx, startedAt.Add(a.At)) {
 			break
 		}
-		wg.Go(func() { p.add(Send(ctx, p.Callers[a.Member], a)) })
+		wg.Go(func() { r.addResult(Send(ctx, r.Callers[a.Member], a)) })
 	}
 	wg.Wait()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.done
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.results
 }
 
-func (p *Runner) add(d audit.FinishedRequest) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.done = append(p.done, d)
+func (r *Runner) addResult(d audit.FinishedRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.results = append(r.results, d)
 }
 
-// Send sends one arrival and gives its result.
+// Send sends one arrival and returns it with its result.
 func Send(ctx context.Context, c *caller.Client, a *Arrival) audit.FinishedRequest {
 	d := audit.FinishedRequest{
 		Class: a.Class.Name, Member: a.Member, Mark: a.Mark, Prompt: a.Prompt, Seed: a.Seed, Tokens: a.Tokens,
--- a/internal/standin/workload/schedule.go
+++ b/internal/standin/workload/schedule.go
@@ -13,7 +13,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Arrival is one request at its time.
+// Arrival is one scheduled request.
 type Arrival struct {
 	At     time.Duration
 	Class  *Class
@@ -24,8 +24,8 @@
 	Tokens int
 }
 
-// Schedule gives the arrivals in order of time. Run tells runs of the same file
-// apart: it stands in the marks.
+// Schedule returns the arrivals in order of time. run becomes part of the marks, so
+// that runs of the same workload file can be told apart.
 func (w *Workload) Schedule(run string) []Arrival {
 	var all []Arrival
 	for i := range w.Classes {
@@ -36,27 +36,28 @@
 	all = all[:min(len(all), w.MaxRequests)]
 	for i := range all {
 		all[i].Mark = run + "-" + strconv.Itoa(i)
-		w.fill(&all[i], rand.New(rand.NewPCG(w.Seed, uint64(1000+i))))
+		w.fillPrompt(&all[i], rand.New(rand.NewPCG(w.Seed, uint64(1000+i))))
 	}
 	return all
 }
 
-// classSchedule thins arrivals at the class's highest rate to the rate of each time.
+// classSchedule draws arrivals of a Poisson process with varying rate: it draws
+// them at the peak rate of the class and thins them to the rate at each time.
 func (w *Workload) classSchedule(c *Class, rng *rand.Rand) []Arrival {
-	highest := c.Rate
+	peakRate := c.Rate
 	for _, b := range w.Bursts {
 		if b.Class == c.Name {
-			highest = max(highest, c.Rate*b.Factor)
+			peakRate = max(peakRate, c.Rate*b.Factor)
 		}
 	}
 	var list []Arrival
 	at := time.Duration(0)
 	for len(list) < w.MaxRequests {
-		at += time.Duration(rng.ExpFloat64() / highest * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / peakRate * float64(time.Second))
 		if at >= w.Duration {
 			break
 		}
-		if rng.Float64()*highest <= w.rateAt(c, at) {
+		if rng.Float64()*peakRate <= w.rateAt(c, at) {
 			list = append(list, Arrival{At: at, Class: c, Member: w.drawMember(rng)})
 		}
 	}
@@ -87,33 +88,34 @@
 	return w.Members[len(w.Members)-1].Name
 }
 
-// fill makes the prompt: the member's mark, text that the member's requests of
-// this class share, text of its own, the request's mark.
-func (w *Workload) fill(a *Arrival, rng *rand.Rand) {
+// fillPrompt draws the prompt, seed and output length of a completion. Plain calls
+// have none.
+func (w *Workload) fillPrompt(a *Arrival, rng *rand.Rand) {
 	if a.Class.Path != "" {
 		return
 	}
-	prompt, output := w.factors(a.At)
+	prompt, output := w.mixFactors(a.At)
 	a.Seed = rng.Uint64() >> 12
 	a.Tokens = max(1, int(float64(draw(a.Class.OutputTokens, rng))*output))
-	own := int(float64(draw(a.Class.PromptTokens, rng))*prompt) - a.Class.SharedTokens
-	a.Prompt = Prompt(a.Member, a.Class.Name, a.Mark, a.Class.SharedTokens, max(own, 0), rng)
+	uniqueTokens := int(float64(draw(a.Class.PromptTokens, rng))*prompt) - a.Class.SharedTokens
+	a.Prompt = Prompt(a.Member, a.Class.Name, a.Mark, a.Class.SharedTokens, max(uniqueTokens, 0), rng)
 }
 
-// Prompt makes a prompt with marks: shared tokens are the same for the same
-// member and topic, own ones are drawn.
-func Prompt(member, topic, mark string, shared, own int, rng *rand.Rand) string {
+// Prompt returns a prompt of the member's mark, the topic, shared tokens that are
+// the same for all prompts of the member and topic, unique tokens that are drawn
+// at random, and the request's mark.
+func Prompt(member, topic, mark string, sharedTokens, uniqueTokens int, rng *rand.Rand) string {
 	var b strings.Builder
 	b.WriteString(answer.Mark(member) + " " + topic + " ")
-	b.WriteString(strings.Repeat(member+" file ", shared*engineapi.BytesPerToken/len(member+" file ")))
-	for range own {
+	b.WriteString(strings.Repeat(member+" file ", sharedTokens*engineapi.BytesPerToken/len(member+" file ")))
+	for range uniqueTokens {
 		b.WriteString(strconv.FormatUint(rng.Uint64()&0xfff|0x1000, 16)[1:] + " ")
 	}
 	b.WriteString("[request=" + mark + "]")
 	return b.String()
 }
 
-func (w *Workload) factors(at time.Duration) (prompt, output float64) {
+func (w *Workload) mixFactors(at time.Duration) (prompt, output float64) {
 	prompt, output = 1, 1
 	for _, s := range w.Shifts {
 		if at >= s.At {
--- a/internal/standin/workload/workload.go
+++ b/internal/standin/workload/workload.go
@@ -1,5 +1,6 @@
-// Package workload plays workload files: open-loop arrivals of several classes
-// by several members, with bursts and mix shifts, the same for the same seed.
+// Package workload generates load from workload files: open-loop arrivals of
+// several request classes from several members, with bursts and changes of the
+// prompt/output mix. The same seed gives the same arrivals.
 package workload
 
 import (
@@ -10,14 +11,15 @@
 	"goldcrestseam.dev/goldcrestseam/internal/yamlfile"
 )
 
-// Workload is a workload file.
+// Workload is the content of a workload file.
 type Workload struct {
-	// Seed makes arrivals, sizes and prompts; the same seed gives the same.
+	// Seed determines the arrivals, sizes and prompts.
 	Seed uint64 `yaml:"seed"`
-	// Duration is how long requests arrive; MaxRequests bounds their number.
+	// Duration is the length of the arrival period; MaxRequests bounds the number
+	// of requests.
 	Duration    time.Duration `yaml:"duration"`
 	MaxRequests int           `yaml:"max_requests"`
-	// RequestTimeout bounds one request with its retries. Default 60s.
+	// RequestTimeout bounds one request including its retries. Default 60s.
 	RequestTimeout time.Duration `yaml:"patience"`
 	Classes        []Class       `yaml:"classes"`
 	Bursts         []Burst       `yaml:"bursts"`
@@ -25,31 +27,33 @@
 	Members        []Member      `yaml:"members"`
 }
 
-// Class is one kind of request.
+// Class is a class of similar requests.
 type Class struct {
 	Name    string `yaml:"name"`
 	Service string `yaml:"service"`
-	// Rate is arrivals a second, exponentially apart.
+	// Rate is the mean number of arrivals per second; inter-arrival times are
+	// exponentially distributed.
 	Rate float64 `yaml:"rate"`
-	// Method and Path make it a call of a plain service; AtMostOnce gives it a key.
+	// Method and Path are set for calls of a plain service. AtMostOnce adds an
+	// idempotency key.
 	Method     string `yaml:"method"`
 	Path       string `yaml:"path"`
 	AtMostOnce bool   `yaml:"once"`
-	// PromptTokens and OutputTokens are ranges, both ends included.
+	// PromptTokens and OutputTokens are ranges including both ends.
 	PromptTokens Range `yaml:"prompt_tokens"`
 	OutputTokens Range `yaml:"output_tokens"`
-	// SharedTokens is how much of a prompt is the same for all requests of a
-	// member and class.
+	// SharedTokens is the number of prompt tokens that all requests of a member
+	// and class have in common.
 	SharedTokens int `yaml:"shared_tokens"`
 }
 
-// Range is a range of tokens.
+// Range is a range of token counts.
 type Range struct {
 	Min int `yaml:"min"`
 	Max int `yaml:"max"`
 }
 
-// Burst multiplies a class's rate for a while.
+// Burst multiplies the rate of a class between two times.
 type Burst struct {
 	Class  string        `yaml:"class"`
 	From   time.Duration `yaml:"from"`
@@ -57,14 +61,15 @@
 	Factor float64       `yaml:"factor"`
 }
 
-// MixShift changes the ratio of prompt to output tokens from a time on.
+// MixShift changes the ratio of prompt to output tokens from a time on. It replaces
+// the factors of earlier shifts.
 type MixShift struct {
 	At           time.Duration `yaml:"at"`
 	PromptFactor float64       `yaml:"prompt_factor"`
 	OutputFactor float64       `yaml:"output_factor"`
 }
 
-// Member is one member; a heavy one has a large Weight.
+// Member is one member. Its share of the requests is proportional to Weight.
 type Member struct {
 	Name   string  `yaml:"name"`
 	Weight float64 `yaml:"weight"`
@@ -72,12 +77,12 @@
 
 const (
 	defaultPatience = time.Minute
-	// maxRequests and maxDuration bound what one file may ask for.
+	// maxRequests and maxDuration bound the values in a workload file.
 	maxRequests = 1_000_000
 	maxDuration = time.Hour
 )
 
-// Load reads and checks a workload file.
+// Load reads and validates a workload file.
 func Load(path string) (*Workload, finding.List) {
 	data, err := os.ReadFile(path)
 	if err != nil {
