--- a/internal/testbed/measure/doc.go
+++ b/internal/testbed/measure/doc.go
@@ -1,3 +1,3 @@
-// Package measure measures what entries cost on a bed: time added to tokens,
-// processor time per relayed token, memory per open stream.
+// Package measure measures the overhead of entries on a test bed: added latency,
+// CPU time per relayed token and memory per open stream.
 package measure
--- a/internal/testbed/measure/latency.go
+++ b/internal/testbed/measure/latency.go
@@ -21,8 +21,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// Latency compares streams through the entry with streams at the engine, both
-// at the same time. Times are in milliseconds.
+// Latency compares streams through an entry with streams directly from an engine,
+// measured at the same time. Times are in milliseconds.
 type Latency struct {
 	Pairs                  int                `json:"pairs"`
 	Failed                 int                `json:"failed"`
@@ -32,13 +32,13 @@
 	ChunkGapEntry          workload.Quantiles `json:"gap_entry_ms"`
 }
 
-// Sizes of the requests that are compared.
+// Sizes of the compared requests.
 const (
-	latencyPrompt = 200
-	latencyTokens = 50
+	latencyPromptTokens = 200
+	latencyOutputTokens = 50
 )
 
-// target is where requests of a measurement go.
+// target is the test bed and the service that a measurement sends requests to.
 type target struct {
 	bed        *testbed.Bed
 	deployment string
@@ -57,44 +57,45 @@
 	}
 }
 
-// latency runs pairs one after the other, with width of them at once.
-func (t *target) latency(ctx context.Context, pairs, width int) *Latency {
+// measureLatency measures the given number of request pairs, with concurrency of
+// them at a time.
+func (t *target) measureLatency(ctx context.Context, pairs, concurrency int) *Latency {
 	l := &Latency{Pairs: pairs}
-	direct, entry := newTimes(), newTimes()
+	direct, entry := newStreamTimes(), newStreamTimes()
 	var wg conc.WaitGroup
-	for lane := range width {
+	for worker := range concurrency {
 		wg.Go(func() {
-			rng := rand.New(rand.NewPCG(uint64(lane), 5))
-			for n := lane; n < pairs; n += width {
-				t.pair(ctx, rng, n, direct, entry)
+			rng := rand.New(rand.NewPCG(uint64(worker), 5))
+			for n := worker; n < pairs; n += concurrency {
+				t.measurePair(ctx, rng, n, direct, entry)
 			}
 		})
 	}
 	wg.Wait()
 	l.Failed = direct.failed + entry.failed
-	l.TimeToFirstTokenDirect, l.ChunkGapDirect = direct.first.Quantiles(), direct.gap.Quantiles()
-	l.TimeToFirstTokenEntry, l.ChunkGapEntry = entry.first.Quantiles(), entry.gap.Quantiles()
+	l.TimeToFirstTokenDirect, l.ChunkGapDirect = direct.timeToFirstToken.Quantiles(), direct.chunkGap.Quantiles()
+	l.TimeToFirstTokenEntry, l.ChunkGapEntry = entry.timeToFirstToken.Quantiles(), entry.chunkGap.Quantiles()
 	return l
 }
 
-func (t *target) pair(ctx context.Context, rng *rand.Rand, n int, direct, entry *times) {
-	ask := func() caller.Completion {
+func (t *target) measurePair(ctx context.Context, rng *rand.Rand, n int, direct, entry *streamTimes) {
+	newCompletion := func() caller.Completion {
 		return caller.Completion{
-			ID: uuid.NewString(), Service: t.service, MaxTokens: latencyTokens, Seed: rng.Uint64() >> 12,
-			Prompt: workload.Prompt(t.member, "overhead", strconv.Itoa(n), 0, latencyPrompt, rng),
+			ID: uuid.NewString(), Service: t.service, MaxTokens: latencyOutputTokens, Seed: rng.Uint64() >> 12,
+			Prompt: workload.Prompt(t.member, "overhead", strconv.Itoa(n), 0, latencyPromptTokens, rng),
 		}
 	}
-	here, there := ask(), ask()
-	here.Entry = t.bed.Entries[n%len(t.bed.Entries)].Address
+	entryRequest, engineRequest := newCompletion(), newCompletion()
+	entryRequest.Entry = t.bed.Entries[n%len(t.bed.Entries)].Address
 	engine := t.bed.Engines[n%len(t.bed.Engines)].Address
 	var wg conc.WaitGroup
-	wg.Go(func() { entry.add(t.caller.Complete(ctx, here)) })
-	wg.Go(func() { direct.add(askEngine(ctx, engine, there)) })
+	wg.Go(func() { entry.add(t.caller.Complete(ctx, entryRequest)) })
+	wg.Go(func() { direct.add(completeAtEngine(ctx, engine, engineRequest)) })
 	wg.Wait()
 }
 
-// askEngine sends the request to the engine itself.
-func askEngine(ctx context.Context, address string, c caller.Completion) *caller.Result {
+// completeAtEngine sends the request directly to an engine.
+func completeAtEngine(ctx context.Context, address string, c caller.Completion) *caller.Result {
 	res := &caller.Result{}
 	body, err := json.Marshal(engineapi.CompletionRequest{
 		RequestID: engineapi.WireID("direct", c.ID, "0"), Attempt: 1, Prompt: c.Prompt, MaxTokens: c.MaxTokens,
@@ -108,17 +109,17 @@
 		return res
 	}
 	req.Header.Set(outcome.HeaderRequestID, c.ID)
-	began := time.Now()
+	startedAt := time.Now()
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		return res
 	}
 	defer resp.Body.Close()
-	readEngine(bufio.NewScanner(resp.Body), res, began)
+	readEngineStream(bufio.NewScanner(resp.Body), res, startedAt)
 	return res
 }
 
-func readEngine(lines *bufio.Scanner, res *caller.Result, began time.Time) {
+func readEngineStream(lines *bufio.Scanner, res *caller.Result, startedAt time.Time) {
 	var last time.Time
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -131,7 +132,7 @@
 		}
 		now := time.Now()
 		if last.IsZero() {
-			res.TimeToFirstToken = now.Sub(began)
+			res.TimeToFirstToken = now.Sub(startedAt)
 		} else {
 			res.ChunkGaps = append(res.ChunkGaps, now.Sub(last))
 		}
--- a/internal/testbed/measure/streams.go
+++ b/internal/testbed/measure/streams.go
@@ -16,7 +16,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// RelayCost is what one entry spends on relaying tokens.
+// RelayCost is the CPU time that one entry spends on relaying tokens.
 type RelayCost struct {
 	Streams             int     `json:"streams"`
 	Tokens              int     `json:"tokens"`
@@ -25,22 +25,25 @@
 	Failed              int     `json:"failed"`
 }
 
-// MemoryCost is what an open stream takes at its entry, fitted over sizes.
+// MemoryCost is the memory that open streams take at their entry, as a linear fit
+// over the numbers of streams.
 type MemoryCost struct {
 	Streams    []float64 `json:"streams"`
 	ResidentKB []float64 `json:"resident_kb"`
-	// KBPerStream and BaseKB are the line's slope and its value at no stream.
+	// KBPerStream is the slope of the fitted line and BaseKB its value at no
+	// streams. R2 is the coefficient of determination.
 	KBPerStream float64 `json:"kb_per_stream"`
 	BaseKB      float64 `json:"base_kb"`
 	R2          float64 `json:"r2"`
 }
 
 const (
-	relayTokens = 500
-	// settleTime lets streams begin and garbage be collected before memory is read.
-	settleTime = 4 * time.Second
-	openPrompt = 400
-	openTokens = 600
+	relayOutputTokens = 500
+	// settleTime is the wait for streams to begin and garbage to be collected
+	// before memory is read.
+	settleTime             = 4 * time.Second
+	streamPromptTokens     = 400
+	openStreamOutputTokens = 600
 )
 
 func (t *target) completion(rng *rand.Rand, n, prompt, tokens int) caller.Completion {
@@ -51,22 +54,22 @@
 	}
 }
 
-// relay sends streams through one entry and reads its processor time.
-// Errors: Failed.
-func (t *target) relay(ctx context.Context, streams int) (*RelayCost, error) {
+// measureRelay sends streams through one entry and measures its CPU time.
+// Errors: testbed.Failed.
+func (t *target) measureRelay(ctx context.Context, streams int) (*RelayCost, error) {
 	r := &RelayCost{Streams: streams}
 	pid := t.bed.Entries[0].PID()
 	before, err := testbed.CPUTime(pid)
 	if err != nil {
 		return nil, err
 	}
-	var whole atomic.Int64
+	var completed atomic.Int64
 	var wg conc.WaitGroup
 	for n := range streams {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(n), 6))
-			if t.caller.Complete(ctx, t.completion(rng, n, openPrompt, relayTokens)).Complete {
-				whole.Add(1)
+			if t.caller.Complete(ctx, t.completion(rng, n, streamPromptTokens, relayOutputTokens)).Complete {
+				completed.Add(1)
 			}
 		})
 	}
@@ -75,27 +78,27 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Tokens, r.Failed = int(whole.Load())*relayTokens, streams-int(whole.Load())
+	r.Tokens, r.Failed = int(completed.Load())*relayOutputTokens, streams-int(completed.Load())
 	r.CPUSeconds = (after - before).Seconds()
 	r.TokensPerCoreSecond = float64(r.Tokens) / r.CPUSeconds
 	return r, nil
 }
 
-// memory opens more and more streams at one entry and reads its memory.
-// Errors: Failed.
-func (t *target) memory(ctx context.Context, sizes []int) (*MemoryCost, error) {
+// measureMemory opens an increasing number of streams at one entry and measures its
+// memory. Errors: testbed.Failed.
+func (t *target) measureMemory(ctx context.Context, streamCounts []int) (*MemoryCost, error) {
 	m := &MemoryCost{}
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 	open := 0
-	for _, size := range sizes {
+	for _, size := range streamCounts {
 		for ; open < size; open++ {
 			n := open
 			wg.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(n), 7))
-				t.caller.Complete(ctx, t.completion(rng, n, openPrompt, openTokens))
+				t.caller.Complete(ctx, t.completion(rng, n, streamPromptTokens, openStreamOutputTokens))
 			})
 		}
 		time.Sleep(settleTime)
--- a/internal/testbed/measure/times.go
+++ b/internal/testbed/measure/times.go
@@ -7,27 +7,28 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/workload"
 )
 
-// times collects the times of one kind of stream.
-type times struct {
-	mu     sync.Mutex
-	first  *workload.Histogram
-	gap    *workload.Histogram
-	failed int
+// streamTimes collects the latencies of the streams through an entry or of those
+// directly from an engine.
+type streamTimes struct {
+	mu               sync.Mutex
+	timeToFirstToken *workload.Histogram
+	chunkGap         *workload.Histogram
+	failed           int
 }
 
-func newTimes() *times {
-	return &times{first: workload.NewHistogram(), gap: workload.NewHistogram()}
+func newStreamTimes() *streamTimes {
+	return &streamTimes{timeToFirstToken: workload.NewHistogram(), chunkGap: workload.NewHistogram()}
 }
 
-func (t *times) add(res *caller.Result) {
+func (t *streamTimes) add(res *caller.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !res.Complete {
 		t.failed++
 		return
 	}
-	t.first.Add(res.TimeToFirstToken)
+	t.timeToFirstToken.Add(res.TimeToFirstToken)
 	for _, g := range res.ChunkGaps {
-		t.gap.Add(g)
+		t.chunkGap.Add(g)
 	}
 }
