--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -20,29 +20,29 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// Bed is one deployment in real processes.
+// Bed is a test bed: one deployment that runs in real processes on this machine.
 type Bed struct {
 	Control      []*Process
 	Entries      []*Process
 	Engines      []*Process
 	PlainServers []*Process
-	// Forwarders stand before the engines with those ids and, with
-	// Options.ForwardControl, between the control replicas.
+	// Forwarders holds the forwarders in front of engines by engine ID and, with
+	// Options.ForwardControl, those between control replicas.
 	Forwarders map[string]*forwarder.Forwarder
-	// Declaration is what was applied.
+	// Declaration is the deployment's declaration, which Start applies.
 	Declaration *declaration.Declaration
 
 	options          Options
-	ports            *portSource
+	ports            *portAllocator
 	auth             settings.Auth
 	controlAddresses []string
 	wg               conc.WaitGroup
 }
 
-// New writes all settings and starts nothing. Errors: Failed.
+// New writes the settings of all processes. It starts no process. Errors: Failed.
 func New(o Options) (*Bed, error) {
 	o.setDefaults()
-	b := &Bed{options: o, ports: newPortSource(), Forwarders: make(map[string]*forwarder.Forwarder)}
+	b := &Bed{options: o, ports: newPortAllocator(), Forwarders: make(map[string]*forwarder.Forwarder)}
 	d, findings := declaration.Load(b.DeclarationFile())
 	if err := findings.Err(); err != nil {
 		return nil, Failed.Wrap(err, "declaration")
@@ -54,22 +54,22 @@
 	if err := b.writeAuth(); err != nil {
 		return nil, err
 	}
-	for _, plan := range []func() error{
-		b.planControl, b.planEntries, func() error { return b.planServers(d) },
+	for _, prepare := range []func() error{
+		b.prepareControl, b.prepareEntries, func() error { return b.prepareServers(d) },
 	} {
-		if err := plan(); err != nil {
+		if err := prepare(); err != nil {
 			return nil, err
 		}
 	}
 	return b, nil
 }
 
-// DeclarationFile is the file that Start applies.
+// DeclarationFile returns the path of the declaration that Start applies.
 func (b *Bed) DeclarationFile() string {
 	return filepath.Join(b.options.DeployDir, b.options.Deployment, "declaration.yaml")
 }
 
-// Processes lists all of them.
+// Processes returns all processes of the test bed.
 func (b *Bed) Processes() []*Process {
 	var all []*Process
 	for _, list := range [][]*Process{b.Control, b.Entries, b.Engines, b.PlainServers} {
@@ -78,7 +78,7 @@
 	return all
 }
 
-// Process gives the process with that name, or nil.
+// Process returns the process with the given name, or nil.
 func (b *Bed) Process(name string) *Process {
 	for _, p := range b.Processes() {
 		if p.Name == name {
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// ControlForwarder gives the forwarder on the way from one control replica to another, by
-// their ids, or nil.
+// ControlForwarder returns the forwarder for connections from one control replica
+// to another, by replica ID, or nil.
 func (b *Bed) ControlForwarder(from, to uint64) *forwarder.Forwarder {
-	return b.Forwarders[linkName(from, to)]
+	return b.Forwarders[controlForwarderName(from, to)]
 }
 
-// Auth is how the bed's own processes know each other.
+// Auth returns the settings with which the processes authenticate each other.
 func (b *Bed) Auth() settings.Auth { return b.auth }
 
 func (b *Bed) writeAuth() error {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// EntryAddresses lists where callers connect.
+// EntryAddresses returns the caller addresses of all entries.
 func (b *Bed) EntryAddresses() []string {
 	var list []string
 	for _, e := range b.Entries {
@@ -121,8 +121,8 @@
 	return list
 }
 
-// Start starts all processes, applies the declaration and waits until every
-// entry serves it. On an error what was started still runs: call Close.
+// Start starts all processes, applies the declaration and waits until every entry
+// serves it. After an error, started processes keep running until Close.
 // Errors: Failed.
 func (b *Bed) Start(ctx context.Context) error {
 	for _, p := range b.Processes() {
@@ -130,16 +130,17 @@
 			return err
 		}
 	}
-	if err := b.applyFirst(ctx); err != nil {
+	if err := b.applyDeclaration(ctx); err != nil {
 		return err
 	}
 	return b.WaitReady(ctx)
 }
 
-// applyPause is how long to wait before applying again while control elects.
-const applyPause = 200 * time.Millisecond
+// applyRetryInterval is the wait before the declaration is applied again, for
+// example because the control replicas have not elected a leader yet.
+const applyRetryInterval = 200 * time.Millisecond
 
-func (b *Bed) applyFirst(ctx context.Context) error {
+func (b *Bed) applyDeclaration(ctx context.Context) error {
 	for {
 		out, err := b.RunCtl(ctx, "apply", b.DeclarationFile(), "--wait")
 		if err == nil {
@@ -148,13 +149,13 @@
 		select {
 		case <-ctx.Done():
 			return Failed.Wrap(err, "apply: %s", out)
-		case <-time.After(applyPause):
+		case <-time.After(applyRetryInterval):
 		}
 	}
 }
 
-// RunCtl runs goldcrestctl against the bed's control replicas and gives what it
-// printed. Errors: Failed.
+// RunCtl runs goldcrestctl against the control replicas and returns its output.
+// Errors: Failed.
 func (b *Bed) RunCtl(ctx context.Context, args ...string) (string, error) {
 	args = append(args, "--control", strings.Join(b.controlAddresses, ","),
 		"--cluster", b.options.Deployment, "--shared-key-file", b.auth.SharedKeyFile)
@@ -169,27 +170,27 @@
 	return string(out), nil
 }
 
-// WaitReady waits until every running entry serves a completion and a plain
-// call. Errors: Failed.
+// WaitReady waits until every running entry serves a probe of each declared
+// service. Errors: Failed.
 func (b *Bed) WaitReady(ctx context.Context) error {
 	entries := pool.New().WithContext(ctx)
 	for _, e := range b.Entries {
 		if e.Running() {
-			entries.Go(func(ctx context.Context) error { return b.waitEntry(ctx, e) })
+			entries.Go(func(ctx context.Context) error { return b.waitEntryReady(ctx, e) })
 		}
 	}
 	return entries.Wait()
 }
 
-func (b *Bed) waitEntry(ctx context.Context, e *Process) error {
+func (b *Bed) waitEntryReady(ctx context.Context, e *Process) error {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	last := ""
+	lastFailure := ""
 	for {
 		ok := true
 		for _, s := range b.Declaration.Services {
 			var reason string
 			if reason = b.probe(ctx, client, e.Address, s); reason != "" {
-				ok, last = false, s.Name+": "+reason
+				ok, lastFailure = false, s.Name+": "+reason
 			}
 		}
 		if ok {
@@ -197,16 +198,17 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Failed.New("%s does not serve %s", e.Name, last)
+			return Failed.New("%s does not serve service %s", e.Name, lastFailure)
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 }
 
-// JournalRecords gives all that the stand-ins have written down.
+// JournalRecords returns all journal records of the stand-in servers.
 func (b *Bed) JournalRecords() ([]journal.Record, error) { return journal.ReadAll(b.path(journalDir)) }
 
-// UnexpectedlyExited lists processes that ended without the bed's doing.
+// UnexpectedlyExited returns the names of processes that exited although the test
+// did not stop them.
 func (b *Bed) UnexpectedlyExited() []string {
 	var names []string
 	for _, p := range b.Processes() {
@@ -217,7 +219,8 @@
 	return names
 }
 
-// Close kills every process that still runs, each by its id, and waits.
+// Close kills every process that still runs, each by its ID, waits for their exit
+// and closes the forwarders.
 func (b *Bed) Close() {
 	for _, p := range b.Processes() {
 		p.Signal(syscall.SIGKILL)
@@ -228,5 +231,5 @@
 	}
 }
 
-// Dir is the folder with settings, logs, data and journals.
+// Dir returns the directory with settings, logs, data and journals.
 func (b *Bed) Dir() string { return b.options.Dir }
--- a/internal/testbed/options.go
+++ b/internal/testbed/options.go
@@ -1,8 +1,8 @@
-// Package testbed starts the processes of one deployment on loopback, with
-// stand-in backend servers, and gives tests a hold on each of them: signals,
-// restarts, data folders, and forwarders on the way to backend servers.
+// Package testbed starts the processes of one deployment on loopback addresses,
+// with stand-in backend servers. Tests can signal and restart each process, damage
+// its data directory, and simulate network faults with forwarders.
 //
-// It runs on test machines only.
+// It is for test machines only.
 package testbed
 
 import (
@@ -18,52 +18,57 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("testbed")
 
-// Failed is the type of errors of a bed that can't be set up or driven.
+// Failed is the type of errors in setting up or operating a test bed.
 var Failed = Namespace.NewType("failed")
 
-// Options says which deployment to start and how.
+// Options says which deployment to start, and how.
 type Options struct {
-	// BinDir is the folder with the programs.
+	// BinDir is the directory with the binaries.
 	BinDir string
-	// Dir is where settings, data, logs and journals go; it must be empty.
+	// Dir is the directory for settings, data, logs and journals; it must be
+	// empty.
 	Dir string
-	// Deployment is a folder under Deploy: qalhat or qazaq.
+	// Deployment is the name of a directory under DeployDir: qalhat or qazaq.
 	Deployment string
-	// DeployDir is the folder with the deployments' declarations.
+	// DeployDir is the directory with the deployments' declarations.
 	DeployDir string
-	// EnginesPerDataCentre and EntriesPerDataCentre are counts. Default 3.
+	// EnginesPerDataCentre and EntriesPerDataCentre are process counts. Default 3.
 	EnginesPerDataCentre int
 	EntriesPerDataCentre int
-	// TuneServer changes a backend server's configuration before it is written.
+	// TuneServer changes the configuration of a backend server before it is
+	// written.
 	TuneServer func(*server.Config)
-	// ForwardEngines puts a forwarder before every model engine.
+	// ForwardEngines puts a forwarder in front of every model engine.
 	ForwardEngines bool
-	// ForwardControl puts a forwarder on the way from each control replica to
-	// each other one; Bed.ControlForwarder finds them.
+	// ForwardControl puts a forwarder between each ordered pair of control
+	// replicas; Bed.ControlForwarder returns them.
 	ForwardControl bool
-	// TLS protects the system's own processes with throw-away certificates,
-	// beside the shared key.
+	// TLS makes the processes use temporary certificates, in addition to the
+	// shared key.
 	TLS bool
-	// EntryListTTL is how long callers keep entry lists. Default 1s, to be quick.
+	// EntryListTTL is how long callers cache the list of entries. Default 1s, so
+	// that tests see changes of the list soon.
 	EntryListTTL time.Duration
-	// MaxOrderPause is the longest pause stated for control. Default 2s.
+	// MaxOrderPause is the setting order_pause of the control replicas: the
+	// longest pause of a control process that orders must tolerate. Default 2s.
 	MaxOrderPause time.Duration
-	// LogLevel of entries and control. Default info.
+	// LogLevel is the log level of entries and control replicas. Default info.
 	LogLevel string
 }
 
-// The sizes that both users have today.
+// Sizes as in the deployments of both users: the number of data centres, and the
+// default number of engines and of entries in each.
 const (
-	dataCentres   = 3
-	perDataCentre = 3
+	dataCentres               = 3
+	defaultNodesPerDataCentre = 3
 )
 
 func (o *Options) setDefaults() {
 	if o.EnginesPerDataCentre == 0 {
-		o.EnginesPerDataCentre = perDataCentre
+		o.EnginesPerDataCentre = defaultNodesPerDataCentre
 	}
 	if o.EntriesPerDataCentre == 0 {
-		o.EntriesPerDataCentre = perDataCentre
+		o.EntriesPerDataCentre = defaultNodesPerDataCentre
 	}
 	if o.EntryListTTL == 0 {
 		o.EntryListTTL = time.Second
@@ -76,7 +81,7 @@
 	}
 }
 
-// region gives the deployment's region: its city.
+// region returns the deployment's region, which is named after a city.
 func (o *Options) region() string {
 	switch o.Deployment {
 	case "qalhat":
@@ -88,18 +93,19 @@
 	}
 }
 
-// dataCentre names data centre i, from 0.
+// dataCentre returns the name of data centre i, counted from 0.
 func (o *Options) dataCentre(i int) string { return o.region() + "-" + strconv.Itoa(i+1) }
 
-// nodeName names node n, from 0, of data centre dc: engine-a1, entry-c3.
+// nodeName returns the name of node n in data centre dc, both counted from 0, such
+// as engine-a1 or entry-c3.
 func nodeName(kind string, dc, n int) string {
 	return kind + "-" + string(rune('a'+dc)) + strconv.Itoa(n+1)
 }
 
-// MemberToken is the bearer token of a member of the deployments under deploy/.
+// MemberToken returns the bearer token of a member of a deployment under deploy/.
 func MemberToken(deployment, member string) string { return deployment + "-" + member + "-token" }
 
-// plainServices lists the names of the declaration's plain services.
+// plainServices returns the names of the declaration's plain services.
 func plainServices(d *declaration.Declaration) []string {
 	var names []string
 	for _, s := range d.Services {
--- a/internal/testbed/ports.go
+++ b/internal/testbed/ports.go
@@ -6,26 +6,26 @@
 	"strconv"
 )
 
-// Ports are taken from below the range that the kernel hands out to outgoing
-// connections, so that no connection of a test takes a port in between.
+// Ports are below the kernel's ephemeral port range, so that no outgoing connection
+// takes an allocated port before its process listens. Each process ID starts at a
+// different port, to avoid collisions of concurrent test runs.
 const (
-	lowestPort  = 11000
-	portRange   = 20000
+	minPort     = 11000
+	portCount   = 20000
 	portsPerPID = 97
 )
 
-// portSource hands out free loopback ports; each call of a bed goes on where
-// the last one stopped.
-type portSource struct{ next int }
+// portAllocator allocates free loopback ports in ascending order.
+type portAllocator struct{ next int }
 
-func newPortSource() *portSource {
-	return &portSource{next: os.Getpid() * portsPerPID % portRange}
+func newPortAllocator() *portAllocator {
+	return &portAllocator{next: os.Getpid() * portsPerPID % portCount}
 }
 
-// address gives a loopback address with a port that is free now.
-func (p *portSource) address() string {
-	for range portRange {
-		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(lowestPort+p.next%portRange))
+// address returns a loopback address with a free port.
+func (p *portAllocator) address() string {
+	for range portCount {
+		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(minPort+p.next%portCount))
 		p.next++
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
--- a/internal/testbed/probe.go
+++ b/internal/testbed/probe.go
@@ -10,8 +10,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// probe sends a small call of the service to the entry. It gives "" when it was
-// answered well, else what was wrong.
+// probe sends a small request for the service to the entry. It returns "" if the
+// entry responds with status 200, else the reason of the failure.
 func (b *Bed) probe(ctx context.Context, client *http.Client, address string, s declaration.Service) string {
 	req, err := b.probeRequest(ctx, address, s)
 	if err != nil {
--- a/internal/testbed/proc.go
+++ b/internal/testbed/proc.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// clockTicks is the unit of processor times in /proc: USER_HZ, 100 a
-	// second on all Linux platforms that Go runs on.
+	// clockTicks is USER_HZ, the number of clock ticks per second in which
+	// /proc reports CPU time. It is 100 on all Linux platforms that Go supports.
 	clockTicks = 100
-	// fieldsBeforeTimes is how many fields of /proc/PID/stat stand between the
-	// command's closing parenthesis and utime.
+	// fieldsBeforeTimes is the number of fields in /proc/PID/stat between the
+	// closing parenthesis of the command and utime.
 	fieldsBeforeTimes = 11
 )
 
-// CPUTime gives the processor time that a process has used. Errors: Failed.
+// CPUTime returns the CPU time that a process has used in user and system mode.
+// Errors: Failed.
 func CPUTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
-		return 0, Failed.Wrap(err, "processor time")
+		return 0, Failed.Wrap(err, "CPU time")
 	}
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
@@ -38,7 +39,7 @@
 	return time.Duration(ticks) * time.Second / clockTicks, nil
 }
 
-// ResidentKB gives the memory that a process holds, in kB. Errors: Failed.
+// ResidentKB returns the resident set size of a process in kB. Errors: Failed.
 func ResidentKB(pid int) (float64, error) {
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -11,40 +11,42 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Process is one program of the bed; it may live several times.
+// Process is a process of the test bed, which can be restarted.
 type Process struct {
 	Name string
-	// Address is where callers of it connect.
+	// Address is the address for clients of the process.
 	Address string
-	// MetricsAddress is where it serves /metrics; empty for backend servers.
+	// MetricsAddress is the address that serves /metrics; empty for backend
+	// servers.
 	MetricsAddress string
-	// DataCentre says where its VM is said to stand.
+	// DataCentre is the data centre in the settings of the process.
 	DataCentre string
-	// LogFile holds its standard output and error of all its lives.
+	// LogFile holds the standard output and error of all runs of the process.
 	LogFile string
-	// DataDir is a control replica's data folder.
+	// DataDir is the data directory of a control replica; empty for others.
 	DataDir string
 
 	binary string
 	args   []string
 	wg     *conc.WaitGroup
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	// meant tells that the bed ended this life itself.
-	meant bool
-	// unmeant counts lives that ended without the bed's doing.
-	unmeant int
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
+	// exitExpected is true once the test stops the current run or expects its
+	// exit.
+	exitExpected bool
+	// unexpectedExits counts runs that exited without that.
+	unexpectedExits int
 }
 
-// NewProcess gives a process of the program at path with its arguments; wg waits for
-// its lives' ends.
+// NewProcess returns a process that runs the binary at path with the given
+// arguments. wg waits for the exit of each run.
 func NewProcess(name, path string, args []string, logFile string, wg *conc.WaitGroup) *Process {
 	return &Process{Name: name, LogFile: logFile, binary: path, args: args, wg: wg}
 }
 
-// Start begins a life of the process. Errors: Failed.
+// Start starts the process. Errors: Failed.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,29 +57,29 @@
 	defer log.Close()
 	cmd := exec.Command(p.binary, p.args...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// The kernel kills the child when the bed's process dies, so that nothing
-	// stays behind even when a test run is killed. Its own process group keeps
-	// a Ctrl-C in the terminal from reaching it before the bed stops it.
+	// The kernel kills the child when its parent dies, so that no process stays
+	// behind if a test run is killed. Its own process group keeps a Ctrl-C in
+	// the terminal from reaching it before the test bed stops it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return Failed.Wrap(err, "start %s", p.Name)
 	}
-	done := make(chan struct{})
-	p.cmd, p.done, p.meant = cmd, done, false
+	exited := make(chan struct{})
+	p.cmd, p.exited, p.exitExpected = cmd, exited, false
 	p.wg.Go(func() {
 		_ = cmd.Wait()
 		p.mu.Lock()
-		if !p.meant {
-			p.unmeant++
+		if !p.exitExpected {
+			p.unexpectedExits++
 		}
 		p.mu.Unlock()
-		close(done)
+		close(exited)
 	})
 	return nil
 }
 
-// Signal sends a signal to the process and nobody else. SIGKILL, SIGTERM and
-// SIGINT count as the bed's own ending of this life.
+// Signal sends a signal to this process only. After SIGKILL, SIGTERM or SIGINT, the
+// exit of the current run counts as expected.
 func (p *Process) Signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,19 +88,19 @@
 	}
 	switch sig {
 	case syscall.SIGKILL, syscall.SIGTERM, syscall.SIGINT:
-		p.meant = true
+		p.exitExpected = true
 	}
 	_ = p.cmd.Process.Signal(sig)
 }
 
-// Kill ends the process with SIGKILL and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.Exited()
 }
 
-// Stop asks for a planned stop and waits for it. It gives false, and kills the
-// process, when that takes longer than the timeout.
+// Stop sends SIGTERM and waits until the process has exited. If that takes longer
+// than the timeout, it kills the process and returns false.
 func (p *Process) Stop(timeout time.Duration) bool {
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -110,26 +112,27 @@
 	}
 }
 
-// ExpectExit says that the process's end is part of the test.
+// ExpectExit makes the exit of the current run count as expected.
 func (p *Process) ExpectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.meant = true
+	p.exitExpected = true
 }
 
-// Exited is closed when the current life is over.
+// Exited returns a channel that is closed when the current run has exited, or a
+// closed channel if the process has never been started.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done == nil {
+	if p.exited == nil {
 		closed := make(chan struct{})
 		close(closed)
 		return closed
 	}
-	return p.done
+	return p.exited
 }
 
-// Running tells whether the process lives.
+// Running reports whether the process is running.
 func (p *Process) Running() bool {
 	select {
 	case <-p.Exited():
@@ -139,21 +142,21 @@
 	}
 }
 
-// PID is the process id of the current life.
+// PID returns the process ID of the current run.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// UnexpectedExits gives how many lives ended without the bed's doing.
+// UnexpectedExits returns the number of runs that exited unexpectedly.
 func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unmeant
+	return p.unexpectedExits
 }
 
-// WipeData empties the data folder of a process that doesn't run.
+// WipeData empties the data directory of a stopped process.
 func (p *Process) WipeData() error {
 	if err := os.RemoveAll(p.DataDir); err != nil {
 		return Failed.Wrap(err, "wipe")
@@ -161,8 +164,8 @@
 	return os.MkdirAll(p.DataDir, 0o700)
 }
 
-// TruncateData cuts every file of the data folder to the share given, 0 to 1,
-// as a torn disk would, while the process doesn't run.
+// TruncateData truncates every file in the data directory of a stopped process to
+// the given share of its size, 0 to 1. It simulates data lost in a disk failure.
 func (p *Process) TruncateData(share float64) error {
 	return filepath.Walk(p.DataDir, func(path string, info os.FileInfo, err error) error {
 		if err != nil || info.IsDir() {
--- a/internal/testbed/status.go
+++ b/internal/testbed/status.go
@@ -5,20 +5,20 @@
 	"encoding/json"
 )
 
-// status is what the bed reads of goldcrestctl status --output json.
+// status holds the fields read from "goldcrestctl status --output json".
 type status struct {
 	Leader      uint64 `json:"leader,string"`
 	RoleChanges uint64 `json:"role_changes,string"`
 }
 
-// Leader gives the control replica that leads. Errors: Failed.
+// Leader returns the process of the leading control replica. Errors: Failed.
 func (b *Bed) Leader(ctx context.Context) (*Process, error) {
 	s, err := b.status(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if s.Leader == 0 || s.Leader > uint64(len(b.Control)) {
-		return nil, Failed.New("replica %d leads, which the bed does not have", s.Leader)
+		return nil, Failed.New("the leader is replica %d, which is not in the test bed", s.Leader)
 	}
 	return b.Control[s.Leader-1], nil
 }
@@ -35,7 +35,7 @@
 	return s, nil
 }
 
-// ChangeRole asks control for an engine's role, as an operator does.
+// ChangeRole requests a role for an engine from control, as an operator would.
 // Errors: Failed.
 func (b *Bed) ChangeRole(ctx context.Context, engine, role string) error {
 	_, err := b.RunCtl(ctx, "roles", engine, role)
--- a/internal/testbed/write.go
+++ b/internal/testbed/write.go
@@ -16,7 +16,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/server"
 )
 
-// Names of the programs and folders.
+// Names of binaries and directories, and the shared key of the processes.
 const (
 	binControl = "goldcrest-control"
 	binEntry   = "goldcrest-entry"
@@ -26,14 +26,14 @@
 	sharedKey  = "test-bed-shared-key-0123456789"
 )
 
-// stopTimeout bounds a planned stop of an entry in the bed.
+// stopTimeout bounds the graceful stop of an entry.
 const stopTimeout = time.Minute
 
 func (b *Bed) path(parts ...string) string {
 	return filepath.Join(append([]string{b.options.Dir}, parts...)...)
 }
 
-// newProcess writes the settings and gives the process that runs on them.
+// newProcess writes a settings file and returns the process that uses it.
 func (b *Bed) newProcess(binary, name, dc, address string, content any) (*Process, error) {
 	data, err := yaml.Marshal(content)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return p, nil
 }
 
-func (b *Bed) common(name, dc string) settings.Common {
+func (b *Bed) commonSettings(name, dc string) settings.Common {
 	return settings.Common{
 		Cluster: b.options.Deployment, Name: name, Region: b.options.region(), DataCentre: dc,
 		Control: b.controlAddresses, Auth: b.auth,
@@ -56,7 +56,7 @@
 	}
 }
 
-func (b *Bed) planControl() error {
+func (b *Bed) prepareControl() error {
 	var replicas []settings.ControlReplica
 	for dc := range dataCentres {
 		address := b.ports.address()
@@ -66,18 +66,18 @@
 		})
 	}
 	for dc, r := range replicas {
-		seen, err := b.replicasSeenFrom(r, replicas)
+		reachable, err := b.replicasReachableFrom(r, replicas)
 		if err != nil {
 			return err
 		}
 		name := "control-" + strconv.Itoa(dc+1)
 		dir := b.path("data", name)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
-			return Failed.Wrap(err, "data folder")
+			return Failed.Wrap(err, "data directory")
 		}
 		p, err := b.newProcess(binControl, name, r.DataCentre, r.Address, settings.Control{
-			Common: b.common(name, r.DataCentre), ReplicaID: r.ID, Address: r.Address, DataDir: dir,
-			Bootstrap: seen, ElectionTimeout: settings.DefaultElectionTimeout,
+			Common: b.commonSettings(name, r.DataCentre), ReplicaID: r.ID, Address: r.Address, DataDir: dir,
+			Bootstrap: reachable, ElectionTimeout: settings.DefaultElectionTimeout,
 			SnapshotEntries: settings.DefaultSnapshotEntries, OrderPause: b.options.MaxOrderPause,
 		})
 		if err != nil {
@@ -89,10 +89,10 @@
 	return nil
 }
 
-// replicasSeenFrom gives the replicas at the addresses where one of them reaches
-// the others: forwarders, if the options ask for them.
-func (b *Bed) replicasSeenFrom(own settings.ControlReplica, all []settings.ControlReplica) ([]settings.ControlReplica, error) {
-	seen := slices.Clone(all)
+// replicasReachableFrom returns the replicas with the addresses at which replica own
+// reaches them. With Options.ForwardControl these are forwarders, which it starts.
+func (b *Bed) replicasReachableFrom(own settings.ControlReplica, all []settings.ControlReplica) ([]settings.ControlReplica, error) {
+	reachable := slices.Clone(all)
 	for i, r := range all {
 		if !b.options.ForwardControl || r.ID == own.ID {
 			continue
@@ -101,23 +101,23 @@
 		if err != nil {
 			return nil, err
 		}
-		b.Forwarders[linkName(own.ID, r.ID)] = f
-		seen[i].Address = f.Address()
+		b.Forwarders[controlForwarderName(own.ID, r.ID)] = f
+		reachable[i].Address = f.Address()
 	}
-	return seen, nil
+	return reachable, nil
 }
 
-func linkName(from, to uint64) string {
+func controlForwarderName(from, to uint64) string {
 	return "control-" + strconv.FormatUint(from, 10) + ">control-" + strconv.FormatUint(to, 10)
 }
 
-func (b *Bed) planEntries() error {
+func (b *Bed) prepareEntries() error {
 	for dc := range dataCentres {
 		for n := range b.options.EntriesPerDataCentre {
 			name, address, peer := nodeName("entry", dc, n), b.ports.address(), b.ports.address()
-			where := b.options.dataCentre(dc)
-			p, err := b.newProcess(binEntry, name, where, address, settings.Entry{
-				Common: b.common(name, where), CallerAddress: address, PeerAddress: peer,
+			dataCentre := b.options.dataCentre(dc)
+			p, err := b.newProcess(binEntry, name, dataCentre, address, settings.Entry{
+				Common: b.commonSettings(name, dataCentre), CallerAddress: address, PeerAddress: peer,
 				MaxBodyBytes: settings.DefaultMaxBodyBytes, MaxStreams: settings.DefaultMaxStreams,
 				AnswerKeep: b.options.EntryListTTL, StopTimeout: stopTimeout,
 			})
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func (b *Bed) planServers(d *declaration.Declaration) error {
+func (b *Bed) prepareServers(d *declaration.Declaration) error {
 	for dc := range dataCentres {
 		for n := range b.options.EnginesPerDataCentre {
 			c := b.serverConfig(nodeName("engine", dc, n), dc)
@@ -140,7 +140,7 @@
 			if d.ChecksFencing(c.ID) {
 				c.Fencing = declaration.FencingChecked
 			}
-			p, err := b.planServer(c)
+			p, err := b.prepareServer(c)
 			if err != nil {
 				return err
 			}
@@ -148,7 +148,7 @@
 		}
 		c := b.serverConfig(nodeName("plain", dc, 0), dc)
 		c.Kind, c.Services = engineapi.KindPlain, plainServices(d)
-		p, err := b.planServer(c)
+		p, err := b.prepareServer(c)
 		if err != nil {
 			return err
 		}
@@ -161,14 +161,14 @@
 	c := server.Default()
 	c.Cluster, c.ID, c.Region, c.DataCentre = b.options.Deployment, id, b.options.region(), b.options.dataCentre(dc)
 	c.Address, c.Journal = b.ports.address(), b.path(journalDir, id+".journal")
-	// Own data centre first, then one entry of each other.
+	// One entry of each data centre, starting with the server's own.
 	for i := range dataCentres {
 		c.Entries = append(c.Entries, b.Entries[(dc+i)%dataCentres*b.options.EntriesPerDataCentre].Address)
 	}
 	return c
 }
 
-func (b *Bed) planServer(c server.Config) (*Process, error) {
+func (b *Bed) prepareServer(c server.Config) (*Process, error) {
 	if b.options.TuneServer != nil {
 		b.options.TuneServer(&c)
 	}
