--- a/internal/standin/journal/journal.go
+++ b/internal/standin/journal/journal.go
@@ -1,9 +1,10 @@
-// Package journal is what a stand-in writes down about the calls and orders it
-// received, started and finished. Checks compare it with what callers got.
+// Package journal records the requests and orders that a stand-in server received,
+// started and finished. Tests compare the records with the results that callers
+// got.
 //
-// Each record is one write of one line: a record survives SIGKILL of the
-// process as soon as Write returns (it is in the kernel then). It is not
-// synced, since only processes die in the tests, not the VM.
+// Each record is written as one line in one system call, so that it survives
+// SIGKILL of the process once Write has returned. The file is not synced: tests
+// kill processes only, not the VM.
 package journal
 
 import (
@@ -22,42 +23,47 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("journal")
 
-// Broken is the type of errors about journals that can't be written or read.
-var Broken = Namespace.NewType("broken")
+// Failed is the type of errors about journals that can't be opened or read.
+var Failed = Namespace.NewType("broken")
 
-// Event says what a record is about.
+// Event is the kind of a record.
 type Event string
 
 // Events.
 const (
-	// Began: the process serves.
-	Began Event = "began"
-	// Received: a completion or a call came in; nothing was started yet.
-	Received Event = "received"
-	// Rejected: it was answered with "not started".
-	Rejected Event = "rejected"
-	// Started: work on it began; a once-only call counts as run from here.
-	Started Event = "started"
-	// Finished: its last token was produced or the call's answer is ready.
-	Finished Event = "finished"
-	// Cancelled: it was cancelled before its end.
-	Cancelled Event = "cancelled"
-	// Poisoned: the process is about to die of it.
-	Poisoned Event = "poisoned"
-	// OrderReceived, OrderBegan, OrderDone and OrderRejected: of an order.
+	// ServerStarted: the process is serving.
+	ServerStarted Event = "began"
+	// RequestReceived: a completion or call has arrived; no work on it has
+	// started.
+	RequestReceived Event = "received"
+	// RequestRejected: the response says that no work was started.
+	RequestRejected Event = "rejected"
+	// RequestStarted: work on the request has started; an at-most-once call
+	// counts as run from here on.
+	RequestStarted Event = "started"
+	// RequestFinished: the last token is generated, or the call's response is
+	// ready.
+	RequestFinished Event = "finished"
+	// RequestCancelled: the request was aborted before its end, by a cancel
+	// request or an order.
+	RequestCancelled Event = "cancelled"
+	// CrashTriggered: the request is about to crash the process.
+	CrashTriggered Event = "poisoned"
+	// OrderReceived, OrderStarted, OrderDone and OrderRejected are the steps of
+	// an order.
 	OrderReceived Event = "order_received"
-	OrderBegan    Event = "order_began"
+	OrderStarted  Event = "order_began"
 	OrderDone     Event = "order_done"
 	OrderRejected Event = "order_rejected"
-	// Leaving: from here on the process takes no new work.
-	Leaving Event = "leaving"
-	// Ended: the process stops by itself.
-	Ended Event = "ended"
+	// ServerLeaving: the process accepts no new work from here on.
+	ServerLeaving Event = "leaving"
+	// ServerStopped: the process has drained and is about to exit.
+	ServerStopped Event = "ended"
 )
 
-// Record is one line. Which fields count depends on Event.
+// Record is one line of a journal. The event determines which fields are set.
 type Record struct {
-	// UnixNS is the wall clock; all processes of a test bed share it.
+	// UnixNS is the wall-clock time; all processes of a test bed share the clock.
 	UnixNS      int64  `json:"unix_ns"`
 	Server      string `json:"server"`
 	Incarnation string `json:"incarnation"`
@@ -65,23 +71,25 @@
 	RequestID   string `json:"request_id,omitempty"`
 	Attempt     uint32 `json:"attempt,omitempty"`
 	Member      string `json:"member,omitempty"`
-	// Mark is what the caller wrote into the prompt or the call to know it by.
-	Mark    string `json:"mark,omitempty"`
-	Service string `json:"service,omitempty"`
-	Method  string `json:"method,omitempty"`
-	Path    string `json:"path,omitempty"`
-	Key     string `json:"key,omitempty"`
+	// Mark is the text in the prompt or in the call's query by which the caller
+	// identifies the request.
+	Mark           string `json:"mark,omitempty"`
+	Service        string `json:"service,omitempty"`
+	Method         string `json:"method,omitempty"`
+	Path           string `json:"path,omitempty"`
+	IdempotencyKey string `json:"key,omitempty"`
 	// Salt is a completion's cache salt.
 	Salt string `json:"salt,omitempty"`
-	// Offset and Tokens are the part of the answer that was produced.
-	Offset int                    `json:"offset,omitempty"`
-	Tokens int                    `json:"tokens,omitempty"`
-	Order  *engineapi.Order       `json:"order,omitempty"`
-	Newest engineapi.FencingToken `json:"newest,omitzero"`
-	Reason string                 `json:"reason,omitempty"`
+	// Offset is the offset of the first token to generate. Tokens is the number
+	// of tokens generated, or the requested maximum until the request ends.
+	Offset      int                    `json:"offset,omitempty"`
+	Tokens      int                    `json:"tokens,omitempty"`
+	Order       *engineapi.Order       `json:"order,omitempty"`
+	NewestToken engineapi.FencingToken `json:"newest,omitzero"`
+	Reason      string                 `json:"reason,omitempty"`
 }
 
-// Writer appends records to a file. Safe for use by many goroutines.
+// Writer appends records to a file. It is safe for concurrent use.
 type Writer struct {
 	mu          sync.Mutex
 	file        *os.File
@@ -89,8 +97,8 @@
 	incarnation string
 }
 
-// Open opens the journal of one life of a server. An empty path writes nowhere.
-// Errors: Broken.
+// Open opens the journal of one server incarnation for appending. With an empty
+// path, records are discarded. Errors: Failed.
 func Open(path, server, incarnation string) (*Writer, error) {
 	w := &Writer{server: server, incarnation: incarnation}
 	if path == "" {
@@ -98,14 +106,14 @@
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, Broken.Wrap(err, "open")
+		return nil, Failed.Wrap(err, "open")
 	}
 	w.file = file
 	return w, nil
 }
 
-// Write appends one record and fills in time, server and incarnation. A
-// stand-in without a journal proves nothing, so that a failed write panics.
+// Write appends one record and fills in time, server and incarnation. It panics
+// if the write fails, since tests can't rely on an incomplete journal.
 func (w *Writer) Write(r Record) {
 	if w.file == nil {
 		return
@@ -131,12 +139,12 @@
 	return w.file.Close()
 }
 
-// Read gives the records of one file. A torn last line, which SIGKILL can
-// leave, is skipped. Errors: Broken.
+// Read returns the records of one file. It skips a truncated last line, which
+// SIGKILL can leave. Errors: Failed.
 func Read(path string) ([]Record, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Broken.Wrap(err, "read")
+		return nil, Failed.Wrap(err, "read")
 	}
 	var records []Record
 	for line := range bytes.Lines(data) {
@@ -145,19 +153,19 @@
 		}
 		var r Record
 		if err := json.Unmarshal(line, &r); err != nil {
-			return nil, Broken.Wrap(err, "%s", path)
+			return nil, Failed.Wrap(err, "%s", path)
 		}
 		records = append(records, r)
 	}
 	return records, nil
 }
 
-// ReadAll gives the records of all *.journal files in a folder, file by file.
-// Errors: Broken.
+// ReadAll returns the records of all *.journal files in a directory, file by file.
+// Errors: Failed.
 func ReadAll(dir string) ([]Record, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.journal"))
 	if err != nil {
-		return nil, Broken.Wrap(err, "list")
+		return nil, Failed.Wrap(err, "list")
 	}
 	var all []Record
 	for _, path := range paths {
--- a/internal/standin/workload/play.go
+++ b/internal/standin/workload/run.go
@@ -12,44 +12,45 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/caller"
 )
 
-// Player plays arrivals with one caller for each member.
-type Player struct {
-	// Callers are by member.
+// Runner sends a schedule of arrivals, with one client per member.
+type Runner struct {
+	// Callers maps the name of a member to its client.
 	Callers map[string]*caller.Client
 
-	mu   sync.Mutex
-	done []audit.Done
+	mu      sync.Mutex
+	results []audit.FinishedRequest
 }
 
-// Play sends each arrival at its time, whatever became of those before it, and
-// waits until all have their result or ctx is over.
-func (p *Player) Play(ctx context.Context, arrivals []Arrival) []audit.Done {
+// Run sends each arrival at its scheduled time without waiting for earlier ones
+// (open loop). It returns the results once all requests have finished; when ctx
+// ends, it sends no more.
+func (r *Runner) Run(ctx context.Context, arrivals []Arrival) []audit.FinishedRequest {
 	var wg conc.WaitGroup
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range arrivals {
 		a := &arrivals[i]
-		if !sleepUntil(ctx, began.Add(a.At)) {
+		if !sleepUntil(ctx, startedAt.Add(a.At)) {
 			break
 		}
-		wg.Go(func() { p.add(Send(ctx, p.Callers[a.Member], a)) })
+		wg.Go(func() { r.addResult(Send(ctx, r.Callers[a.Member], a)) })
 	}
 	wg.Wait()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.done
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.results
 }
 
-func (p *Player) add(d audit.Done) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.done = append(p.done, d)
+func (r *Runner) addResult(d audit.FinishedRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.results = append(r.results, d)
 }
 
-// Send sends one arrival and gives its result.
-func Send(ctx context.Context, c *caller.Client, a *Arrival) audit.Done {
-	d := audit.Done{
+// Send sends one arrival and returns it with its result.
+func Send(ctx context.Context, c *caller.Client, a *Arrival) audit.FinishedRequest {
+	d := audit.FinishedRequest{
 		Class: a.Class.Name, Member: a.Member, Mark: a.Mark, Prompt: a.Prompt, Seed: a.Seed, Tokens: a.Tokens,
-		Path: a.Class.Path, Once: a.Class.Once,
+		Path: a.Class.Path, AtMostOnce: a.Class.AtMostOnce,
 	}
 	if a.Class.Path == "" {
 		d.Result = c.Complete(ctx, caller.Completion{
@@ -60,8 +61,8 @@
 	call := caller.Call{
 		ID: uuid.NewString(), Service: a.Class.Service, Method: a.Class.Method, Path: a.Class.Path + "?mark=" + a.Mark,
 	}
-	if a.Class.Once {
-		call.Key = uuid.Must(uuid.NewV7()).String()
+	if a.Class.AtMostOnce {
+		call.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
 	d.Result = c.Call(ctx, call)
 	return d
--- a/internal/testbed/measure/latency.go
+++ b/internal/testbed/measure/latency.go
@@ -21,24 +21,24 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// Latency compares streams through the entry with streams at the engine, both
-// at the same time. Times are in milliseconds.
+// Latency compares streams through an entry with streams directly from an engine,
+// measured at the same time. Times are in milliseconds.
 type Latency struct {
-	Pairs            int               `json:"pairs"`
-	Failed           int               `json:"failed"`
-	FirstTokenDirect workload.Quantile `json:"first_token_direct_ms"`
-	FirstTokenEntry  workload.Quantile `json:"first_token_entry_ms"`
-	GapDirect        workload.Quantile `json:"gap_direct_ms"`
-	GapEntry         workload.Quantile `json:"gap_entry_ms"`
+	Pairs                  int                `json:"pairs"`
+	Failed                 int                `json:"failed"`
+	TimeToFirstTokenDirect workload.Quantiles `json:"first_token_direct_ms"`
+	TimeToFirstTokenEntry  workload.Quantiles `json:"first_token_entry_ms"`
+	ChunkGapDirect         workload.Quantiles `json:"gap_direct_ms"`
+	ChunkGapEntry          workload.Quantiles `json:"gap_entry_ms"`
 }
 
-// Sizes of the requests that are compared.
+// Sizes of the compared requests.
 const (
-	latencyPrompt = 200
-	latencyTokens = 50
+	latencyPromptTokens = 200
+	latencyOutputTokens = 50
 )
 
-// target is where requests of a measurement go.
+// target is the test bed and the service that a measurement sends requests to.
 type target struct {
 	bed        *testbed.Bed
 	deployment string
@@ -52,49 +52,50 @@
 	return &target{
 		bed: bed, deployment: deployment, service: service, member: member,
 		caller: caller.New(caller.Config{
-			Seeds: bed.EntryAddresses(), Member: member, Token: testbed.Token(deployment, member), Seed: 1,
+			SeedEntries: bed.EntryAddresses(), Member: member, Token: testbed.MemberToken(deployment, member), Seed: 1,
 		}),
 	}
 }
 
-// latency runs pairs one after the other, with width of them at once.
-func (t *target) latency(ctx context.Context, pairs, width int) *Latency {
+// measureLatency measures the given number of request pairs, with concurrency of
+// them at a time.
+func (t *target) measureLatency(ctx context.Context, pairs, concurrency int) *Latency {
 	l := &Latency{Pairs: pairs}
-	direct, entry := newTimes(), newTimes()
+	direct, entry := newStreamTimes(), newStreamTimes()
 	var wg conc.WaitGroup
-	for lane := range width {
+	for worker := range concurrency {
 		wg.Go(func() {
-			rng := rand.New(rand.NewPCG(uint64(lane), 5))
-			for n := lane; n < pairs; n += width {
-				t.pair(ctx, rng, n, direct, entry)
+			rng := rand.New(rand.NewPCG(uint64(worker), 5))
+			for n := worker; n < pairs; n += concurrency {
+				t.measurePair(ctx, rng, n, direct, entry)
 			}
 		})
 	}
 	wg.Wait()
 	l.Failed = direct.failed + entry.failed
-	l.FirstTokenDirect, l.GapDirect = direct.first.Quantile(), direct.gap.Quantile()
-	l.FirstTokenEntry, l.GapEntry = entry.first.Quantile(), entry.gap.Quantile()
+	l.TimeToFirstTokenDirect, l.ChunkGapDirect = direct.timeToFirstToken.Quantiles(), direct.chunkGap.Quantiles()
+	l.TimeToFirstTokenEntry, l.ChunkGapEntry = entry.timeToFirstToken.Quantiles(), entry.chunkGap.Quantiles()
 	return l
 }
 
-func (t *target) pair(ctx context.Context, rng *rand.Rand, n int, direct, entry *times) {
-	ask := func() caller.Completion {
+func (t *target) measurePair(ctx context.Context, rng *rand.Rand, n int, direct, entry *streamTimes) {
+	newCompletion := func() caller.Completion {
 		return caller.Completion{
-			ID: uuid.NewString(), Service: t.service, MaxTokens: latencyTokens, Seed: rng.Uint64() >> 12,
-			Prompt: workload.Prompt(t.member, "overhead", strconv.Itoa(n), 0, latencyPrompt, rng),
+			ID: uuid.NewString(), Service: t.service, MaxTokens: latencyOutputTokens, Seed: rng.Uint64() >> 12,
+			Prompt: workload.Prompt(t.member, "overhead", strconv.Itoa(n), 0, latencyPromptTokens, rng),
 		}
 	}
-	here, there := ask(), ask()
-	here.Entry = t.bed.Entries[n%len(t.bed.Entries)].Address
+	entryRequest, engineRequest := newCompletion(), newCompletion()
+	entryRequest.Entry = t.bed.Entries[n%len(t.bed.Entries)].Address
 	engine := t.bed.Engines[n%len(t.bed.Engines)].Address
 	var wg conc.WaitGroup
-	wg.Go(func() { entry.add(t.caller.Complete(ctx, here)) })
-	wg.Go(func() { direct.add(askEngine(ctx, engine, there)) })
+	wg.Go(func() { entry.add(t.caller.Complete(ctx, entryRequest)) })
+	wg.Go(func() { direct.add(completeAtEngine(ctx, engine, engineRequest)) })
 	wg.Wait()
 }
 
-// askEngine sends the request to the engine itself.
-func askEngine(ctx context.Context, address string, c caller.Completion) *caller.Result {
+// completeAtEngine sends the request directly to an engine.
+func completeAtEngine(ctx context.Context, address string, c caller.Completion) *caller.Result {
 	res := &caller.Result{}
 	body, err := json.Marshal(engineapi.CompletionRequest{
 		RequestID: engineapi.WireID("direct", c.ID, "0"), Attempt: 1, Prompt: c.Prompt, MaxTokens: c.MaxTokens,
@@ -108,17 +109,17 @@
 		return res
 	}
 	req.Header.Set(outcome.HeaderRequestID, c.ID)
-	began := time.Now()
+	startedAt := time.Now()
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		return res
 	}
 	defer resp.Body.Close()
-	readEngine(bufio.NewScanner(resp.Body), res, began)
+	readEngineStream(bufio.NewScanner(resp.Body), res, startedAt)
 	return res
 }
 
-func readEngine(lines *bufio.Scanner, res *caller.Result, began time.Time) {
+func readEngineStream(lines *bufio.Scanner, res *caller.Result, startedAt time.Time) {
 	var last time.Time
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -126,14 +127,14 @@
 			continue
 		}
 		if data == engineapi.DoneMarker {
-			res.Whole = true
+			res.Complete = true
 			return
 		}
 		now := time.Now()
 		if last.IsZero() {
-			res.FirstToken = now.Sub(began)
+			res.TimeToFirstToken = now.Sub(startedAt)
 		} else {
-			res.Gaps = append(res.Gaps, now.Sub(last))
+			res.ChunkGaps = append(res.ChunkGaps, now.Sub(last))
 		}
 		last = now
 	}
--- a/internal/testbed/probe.go
+++ b/internal/testbed/probe.go
@@ -10,15 +10,15 @@
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 )
 
-// probe sends a small call of the service to the entry. It gives "" when it was
-// answered well, else what was wrong.
+// probe sends a small request for the service to the entry. It returns "" if the
+// entry responds with status 200, else the reason of the failure.
 func (b *Bed) probe(ctx context.Context, client *http.Client, address string, s declaration.Service) string {
 	req, err := b.probeRequest(ctx, address, s)
 	if err != nil {
 		return err.Error()
 	}
 	member := b.Declaration.Members[0].Name
-	req.Header.Set("Authorization", "Bearer "+Token(b.options.Deployment, member))
+	req.Header.Set("Authorization", "Bearer "+MemberToken(b.options.Deployment, member))
 	resp, err := client.Do(req)
 	if err != nil {
 		return err.Error()
