--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -37,7 +37,7 @@
 	PeerAddress string
 	DataCentre  string
 	Leaving     bool
-	// IsAggregator tells that the entry sums up the reports of other entries.
+	// IsAggregator is set if the entry sums up the reports of other entries.
 	IsAggregator bool
 	// Weight is the entry's share of callers relative to the others of its data centre.
 	Weight float64
@@ -60,7 +60,7 @@
 		Declaration: v.declaration, Members: v.members, Routes: v.routes, ViewVersion: v.version,
 		Revision: v.revision, Control: v.control,
 		Leaving: r.leaving, Drained: make(map[string]bool), Servers: len(r.servers.sorted), Load: r.loadShare(),
-		Aggregator: r.peers.group.aggregatorAddress(r.now), AskAggregatorFrom: r.peers.group.pauseUntil,
+		Aggregator: r.peers.group.aggregatorAddress(r.now), AskAggregatorFrom: r.peers.group.backoffUntil,
 		LeaseExpiring: r.leaseExpiring(),
 	}
 	for _, e := range v.sortedEntries() {
--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -8,8 +8,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// requestArrived either refuses a request at once or accepts it. A repeated event for the same request
-// is ignored.
+// requestArrived either refuses a request at once or accepts it. A repeated event for the same
+// request is ignored.
 func (r *Reducer) requestArrived(ev RequestArrived) {
 	id := ev.Work.RequestID
 	if r.requests[id] != nil {
--- a/internal/entry/authorize.go
+++ b/internal/entry/authorize.go
@@ -75,7 +75,7 @@
 	return refuseUnknownCredential()
 }
 
-// credentialsOutdated tells whether a credential may have been revoked without this entry
+// credentialsOutdated reports whether a credential may have been revoked without this entry
 // knowing of it.
 func (r *Reducer) credentialsOutdated() bool {
 	limits := r.cfg.Credentials
--- a/internal/entry/cachepoll.go
+++ b/internal/entry/cachepoll.go
@@ -52,9 +52,9 @@
 // pollCaches polls the engines that this entry uses for their cache events, in round-robin
 // order.
 //
-// Without the events an entry knows only of the prefixes that it sent itself. A caller that
-// moves to another entry would have its dossier prefilled again on another engine, and prefixes
-// that an engine has evicted would be counted on for minutes.
+// Without the events an entry knows only of the prefixes that it sent itself. The long prompt of
+// a caller that moves to another entry would be prefilled again on another engine, and prefixes
+// that an engine has evicted would count as cached for minutes.
 func (r *Reducer) pollCaches() {
 	if r.now-r.lastCachePoll < cachePollInterval {
 		return
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -38,12 +38,12 @@
 		r.refuse(q, refusal)
 		return
 	}
-	if !r.payRetries(q, &choice) {
+	if !r.takeRetriesFor(q, &choice) {
 		r.refuse(q, refuseRetryLimit())
 		return
 	}
 	if !r.takePermits(q, &choice) {
-		r.log(LogWait, q, choice.Server.ID, "the server has no permit left or asked for a pause", nil)
+		r.log(LogWait, q, choice.Server.ID, "the server has no permit left or asked for a back-off", nil)
 		r.requeue(q)
 		return
 	}
@@ -65,7 +65,7 @@
 //
 // With a separate prefill the attempt takes no slot at the decoding engine, which is chosen
 // again once the prompt is prefilled. If it were counted at both engines, requests that are
-// still being prefilled would fill engines with few slots on paper, and other requests would
+// still being prefilled would count as filling engines with few slots, and other requests would
 // wait although a slot is free.
 func (r *Reducer) dispatch(q *request, s *server, choice placement.Choice, reconnect bool) {
 	r.sharedFleet = nil
--- a/internal/entry/effect.go
+++ b/internal/entry/effect.go
@@ -40,7 +40,7 @@
 	PrefillServer      string
 	PrefillIncarnation string
 	PrefillAddress     string
-	// FetchAddress is the engine from which the prefilling engine fetches parts of the KV cache,
+	// FetchAddress is the engine from which the prefilling engine fetches blocks of the KV cache,
 	// empty for none.
 	FetchAddress string
 }
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -15,16 +15,16 @@
 	// maxCallAttempts bounds the attempts of one idempotent call, so that one call does not use
 	// up its profile's retry budget.
 	maxCallAttempts = 3
-	// retryBackOff delays a retry when the profile's budget is used up. Accepted model work is
+	// retryBackoff delays a retry when the profile's budget is used up. Accepted model work is
 	// never failed for the budget: it waits.
-	retryBackOff = time.Second
+	retryBackoff = time.Second
 	// maxNotRun bounds the attempts of a request with HardDeadline that servers do not run.
 	// After so many full servers its caller does better to retry later than to wait here without
 	// an answer.
 	maxNotRun = 3
-	// notStartedBackOff keeps requests off a server that has just answered that it did not start
+	// notStartedBackoff keeps requests off a server that has just answered that it did not start
 	// one.
-	notStartedBackOff = 100 * time.Millisecond
+	notStartedBackoff = 100 * time.Millisecond
 )
 
 // attemptEnded finishes a request, sends another attempt or refuses the request. Events of an
@@ -111,7 +111,7 @@
 // retryNotRun requeues a request that a server did not start.
 func (r *Reducer) retryNotRun(q *request, s *server, ev AttemptEnded) {
 	if !ev.ServerDied {
-		s.coolUntil = max(s.coolUntil, r.now+notStartedBackOff)
+		s.coolUntil = max(s.coolUntil, r.now+notStartedBackoff)
 	}
 	r.requeue(q)
 }
@@ -150,7 +150,7 @@
 	}
 	q.reconnects = 0
 	if !r.decisions.admission.AllowRetry(q.work.Profile) {
-		q.notBefore = r.now + retryBackOff
+		q.notBefore = r.now + retryBackoff
 	}
 	r.requeue(q)
 }
--- a/internal/entry/ended_incarnations.go
+++ b/internal/entry/ended_incarnations.go
@@ -18,27 +18,27 @@
 
 // keep stores the state of a server that is dropped. It ignores nil and servers without such
 // state.
-func (l *endedIncarnations) keep(s *server) {
+func (e *endedIncarnations) keep(s *server) {
 	if s == nil || !s.backpressure.HasSignal() {
 		return
 	}
-	if l.states == nil {
-		l.states = make(map[string]*backpressure.ServerState)
+	if e.states == nil {
+		e.states = make(map[string]*backpressure.ServerState)
 	}
 	incarnation := s.pb.Incarnation
-	if l.states[incarnation] == nil {
-		l.order = append(l.order, incarnation)
+	if e.states[incarnation] == nil {
+		e.order = append(e.order, incarnation)
 	}
-	l.states[incarnation] = s.backpressure
-	if len(l.order) > maxEndedIncarnations {
-		delete(l.states, l.order[0])
-		l.order = l.order[1:]
+	e.states[incarnation] = s.backpressure
+	if len(e.order) > maxEndedIncarnations {
+		delete(e.states, e.order[0])
+		e.order = e.order[1:]
 	}
 }
 
 // take returns the known backpressure state of an incarnation, or an empty one.
-func (l *endedIncarnations) take(incarnation string) *backpressure.ServerState {
-	if known := l.states[incarnation]; known != nil {
+func (e *endedIncarnations) take(incarnation string) *backpressure.ServerState {
+	if known := e.states[incarnation]; known != nil {
 		return known
 	}
 	return &backpressure.ServerState{}
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -34,7 +34,7 @@
 	State   engineapi.State
 	Load    engineapi.Load
 	HasLoad bool
-	// FromResponse tells that the report came with the response to a request that was sent at
+	// FromResponse is set if the report came with the response to a request that was sent at
 	// SentAt. Backpressure is what the server said with it about the load that it accepts.
 	FromResponse bool
 	SentAt       time.Duration
@@ -54,19 +54,19 @@
 	Answer              *pb.PermitAnswer
 }
 
-// PermitTimedOut tells that the entry at an address gave no answer about that server in time.
+// PermitTimedOut reports that the entry at an address gave no answer about that server in time.
 type PermitTimedOut struct{ Address, Server, Incarnation string }
 
-// ProbeFailed tells that a health probe got no answer.
+// ProbeFailed reports that a health probe got no answer.
 type ProbeFailed struct {
 	Server      string
 	Incarnation string
 }
 
-// ReportFailed tells that control may not have received a report.
+// ReportFailed reports that control may not have received a report.
 type ReportFailed struct{ Request *pb.ReportRequest }
 
-// ReportAnswered tells that control has answered a report.
+// ReportAnswered reports that control has answered a report.
 type ReportAnswered struct {
 	Request *pb.ReportRequest
 	// ResendInFull are the servers of which control needs a full announcement again.
@@ -96,7 +96,7 @@
 	// Credential is the hash of the credential that the caller presented for a member, empty for
 	// none.
 	Credential string
-	// MembersOnly tells that the request runs only for the member that holds Credential at the
+	// MembersOnly is set if the request runs only for the member that holds Credential at the
 	// time of dispatch.
 	MembersOnly bool
 	// Fingerprint identifies the request's content within its member, for quarantine.
@@ -105,7 +105,7 @@
 	RetryBudget float64
 	// MaxRuns bounds the servers on which the request may run. 0 means no separate bound.
 	MaxRuns int
-	// HardDeadline tells that the final answer is due at Work.FinishBy, even if the caller
+	// HardDeadline is set if the final answer is due at Work.FinishBy, even if the caller
 	// already has a part of the answer.
 	HardDeadline bool
 	// Attempt is the last attempt number that another entry may have used, 0 for none.
@@ -117,7 +117,7 @@
 	Incarnation string
 }
 
-// AttemptProgress tells that tokens arrived.
+// AttemptProgress reports that tokens arrived.
 type AttemptProgress struct {
 	RequestID string
 	Attempt   uint32
@@ -125,7 +125,7 @@
 	Tokens int
 }
 
-// PrefillDone tells that the separate engine has finished the prefill of an attempt and holds
+// PrefillDone reports that the separate engine has finished the prefill of an attempt and holds
 // the KV cache. The reducer reacts with a DecodeAt, or as if the attempt had ended without
 // running.
 type PrefillDone struct {
@@ -137,21 +137,21 @@
 type AttemptEnded struct {
 	RequestID string
 	Attempt   uint32
-	// Complete tells that the answer is complete.
+	// Complete is set if the answer is complete.
 	Complete bool
 	// Outcome is what is known about execution: NotRun if no byte was sent or the server said
 	// so.
 	Outcome outcome.Outcome
-	// ServerDied tells that the server's process seems to be gone (connection refused or reset),
+	// ServerDied is set if the server's process seems to be gone (connection refused or reset),
 	// and not only this connection.
 	ServerDied bool
-	// StreamUnknown tells that the server does not know the stream that was to be resumed.
+	// StreamUnknown is set if the server does not know the stream that was to be resumed.
 	StreamUnknown bool
-	// Invalid tells that the server will never accept this request.
+	// Invalid is set if the server will never accept this request.
 	Invalid bool
-	// AtPrefillServer tells that all of this is about the engine of the separate prefill.
+	// AtPrefillServer is set if all of this is about the engine of the separate prefill.
 	AtPrefillServer bool
-	// Unsent tells that no server received any byte of this attempt.
+	// Unsent is set if no server received any byte of this attempt.
 	Unsent bool
 	Tokens int
 	// FirstToken is the time to the first token, Decode the time from the first to the last
@@ -161,10 +161,10 @@
 	Elapsed    time.Duration
 }
 
-// CallerDisconnected tells that the caller's connection is closed.
+// CallerDisconnected reports that the caller's connection is closed.
 type CallerDisconnected struct{ RequestID string }
 
-// DeadlineExpired tells that the deadline of a request with HardDeadline has passed.
+// DeadlineExpired reports that the deadline of a request with HardDeadline has passed.
 type DeadlineExpired struct{ RequestID string }
 
 // Stop begins the planned stop of the entry. AcceptFor is how long the entry still accepts
@@ -193,7 +193,7 @@
 	Sum    *pb.PeerSum
 }
 
-// AggregatorTimedOut tells that the aggregator at an address did not answer in time.
+// AggregatorTimedOut reports that the aggregator at an address did not answer in time.
 type AggregatorTimedOut struct{ Address string }
 
 func (PermitRequested) isEvent()    {}
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -36,7 +36,7 @@
 	return *r.sharedFleet
 }
 
-// anyCandidate tells whether some server could run the request at once or after its cool-down.
+// anyCandidate reports whether some server could run the request at once or after its cool-down.
 func (r *Reducer) anyCandidate(q *request) bool {
 	return slices.ContainsFunc(r.servers.sorted, func(s *server) bool {
 		if s.backpressure.Leaving || s.died || s.pb.Drained || s.pb.State == pb.ServerState_SERVER_STATE_GONE {
@@ -47,7 +47,7 @@
 	})
 }
 
-// canTake tells whether a request may go to the server, including by a permit that the request
+// canTake reports whether a request may go to the server, including by a permit that the request
 // holds. A nil request holds none.
 func (r *Reducer) canTake(q *request, s *server) bool {
 	return s.acceptsWork(r.now, r.stale()) ||
@@ -93,8 +93,8 @@
 	}
 }
 
-// reportsCountsOnly tells that the server reports request counts but no tokens. Such a server
-// never reports rates either.
+// reportsCountsOnly reports whether the server reports request counts but no tokens. Such a
+// server never reports rates either.
 func (s *server) reportsCountsOnly() bool { return s.load.PrefillRate == 0 && s.load.DecodeRate == 0 }
 
 // effectiveLoad returns the server's load, with assumed rates if it reports none.
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -22,9 +22,9 @@
 	maxTimeouts = 3
 	// aggregatorAvoidance is how long an aggregator that timed out is avoided.
 	aggregatorAvoidance = 2 * time.Second
-	// firstTimeoutPause is how long no sum is requested after the first timeout. It doubles with
-	// each further timeout.
-	firstTimeoutPause = 50 * time.Millisecond
+	// firstTimeoutBackoff is how long no sum is requested after the first timeout. It doubles
+	// with each further timeout.
+	firstTimeoutBackoff = 50 * time.Millisecond
 	// urgentPrefillTime is how much prefill time the members must have begun for their
 	// aggregator to report it to the other aggregators at once. A long prompt delays everything
 	// behind it by hundreds of milliseconds. Short prompts do not.
@@ -55,11 +55,11 @@
 	// candidates are the aggregators that this entry may report to, best first.
 	candidates []aggregator
 	// avoidUntil tells until when aggregators that timed out are avoided, by address. timeouts
-	// counts the requests in a row that the current one has left unanswered, pauseUntil is when
-	// it is asked again.
-	avoidUntil map[string]time.Duration
-	timeouts   int
-	pauseUntil time.Duration
+	// counts the requests in a row that the current one has left unanswered, backoffUntil is when
+	// it may be asked again.
+	avoidUntil   map[string]time.Duration
+	timeouts     int
+	backoffUntil time.Duration
 	// prefixes are the prompt prefixes that servers were recently seen to prefill, for group
 	// members that ask.
 	prefixes prefixLog
@@ -162,7 +162,7 @@
 	return ""
 }
 
-// isGroupMember tells whether this entry reports to an aggregator.
+// isGroupMember reports whether this entry reports to an aggregator.
 func (g *group) isGroupMember() bool { return g.formed && !g.isAggregator }
 
 func (g *group) reportTargets(now time.Duration) []string {
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -158,7 +158,7 @@
 }
 
 // Guards against a group member that waits at each request for an aggregator that does not
-// answer. It pauses, reports to another aggregator after some timeouts, and returns later.
+// answer. It backs off, reports to another aggregator after some timeouts, and returns later.
 func TestUnresponsiveAggregatorIsAvoided(t *testing.T) {
 	member, aggregator := memberAndAggregator(t, entriesInFiveDataCentres(191), serving(2)...)
 	member.arriveWithDeadline("r1", nil)
@@ -171,7 +171,7 @@
 		if len(snap) != 1 || snap[0].Snapshot.Aggregator == first && snap[0].Snapshot.AskAggregatorFrom <= member.now {
 			t.Errorf("%q is asked at once after %d timeouts", first, i+1)
 		}
-		member.advance(firstTimeoutPause << i)
+		member.advance(firstTimeoutBackoff << i)
 	}
 	if next := member.r.peers.group.aggregatorAddress(member.now); next == first || next == "" {
 		t.Fatalf("the group member asks %q after %q timed out", next, first)
--- a/internal/entry/hard_deadline_test.go
+++ b/internal/entry/hard_deadline_test.go
@@ -196,9 +196,9 @@
 	w.singleDispatch()
 }
 
-// Guards against refusals of requests that no server has received. One of two servers is gone
-// and the retry limit is used up, but an attempt whose connection was refused is no retry and
-// may go to the other server.
+// Guards against refusals of requests that no server has received. One of two servers has
+// stopped, and failures elsewhere have used up the retry limit. An attempt whose connection was
+// refused reached no server, so that another one is no retry and may go to the other server.
 func TestUnsentAttemptIsNoRetry(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.r.retryLimit = admission.NewResendLimiter(&admission.ResendLimit{Window: 10 * second})
@@ -217,9 +217,9 @@
 	}
 }
 
-// Guards against a stream that the stopping entry would cut. The entry ends 6.8 s after the stop
-// begins. A dossier that arrives after 3.7 s and may take 8 s is refused, and a lookup that ends
-// in time is served.
+// Guards against a stream that the stopping entry would abort. The entry ends 6.8 s after the
+// stop begins. A long request that arrives after 3.7 s with an outdated address and may take 8 s
+// is refused, and a short one that ends in time is served.
 func TestStoppingEntryRefusesWorkItCannotFinish(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
--- a/internal/entry/leaving.go
+++ b/internal/entry/leaving.go
@@ -43,7 +43,7 @@
 	return &pb.ServerLeaving{Server: s.pb.Id, IncarnationHash: s.incarnationHash()}
 }
 
-// applyPeerLeaving applies other entries' reports. forward tells that this entry must report
+// applyPeerLeaving applies other entries' reports. forward is set if this entry must report
 // them further.
 func (r *Reducer) applyPeerLeaving(list []*pb.ServerLeaving, forward bool) {
 	for _, item := range list {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -50,7 +50,7 @@
 		r.applyLeaving(s, "reported in a response that it is leaving")
 	}
 	if signal.Backoff > 0 {
-		r.applyPause(s, signal.Backoff)
+		r.applyBackoff(s, signal.Backoff)
 	}
 	s.backpressure.Malformed = signal.Malformed
 	if signal.Malformed != "" && signal.RateLimit == 0 {
@@ -60,7 +60,7 @@
 }
 
 // applyLimit applies the rate limit of a response that came at receivedAt to a request sent at
-// sentAt. It tells whether the limit has changed.
+// sentAt. It reports whether the limit has changed.
 func (r *Reducer) applyLimit(s *server, receivedAt, sentAt time.Duration, rate float64) bool {
 	before := s.backpressure.Limit.Rate()
 	if !s.backpressure.Limit.Update(receivedAt, sentAt, rate) {
@@ -85,24 +85,24 @@
 	}})
 }
 
-// applyPause keeps requests off a server for the time that it asked for.
-func (r *Reducer) applyPause(s *server, pause time.Duration) {
-	s.backpressure.BackOff(r.now, pause)
+// applyBackoff keeps requests off a server for the back-off that it asked for.
+func (r *Reducer) applyBackoff(s *server, backoff time.Duration) {
+	s.backpressure.BackOff(r.now, backoff)
 	r.sharedFleet, r.dirty = nil, true
 	r.servers.findRestricted(r.now)
-	r.logPause(s, pause)
+	r.logBackoff(s, backoff)
 }
 
-// expirePauses updates the list of restricted servers as pauses end.
-func (r *Reducer) expirePauses() {
+// expireBackoffs updates the list of restricted servers as back-offs end.
+func (r *Reducer) expireBackoffs() {
 	if len(r.servers.restricted) > 0 {
 		r.servers.findRestricted(r.now)
 	}
 }
 
-func (r *Reducer) logPause(s *server, pause time.Duration) {
-	r.emit(LogDecision{Kind: LogServer, Server: s.pb.Id, Reason: "asked for a pause", Figures: []Figure{
-		{Name: "rest_seconds", Value: pause.Seconds()},
+func (r *Reducer) logBackoff(s *server, backoff time.Duration) {
+	r.emit(LogDecision{Kind: LogServer, Server: s.pb.Id, Reason: "asked for a back-off", Figures: []Figure{
+		{Name: "rest_seconds", Value: backoff.Seconds()},
 		{Name: "sent_last_seconds", Value: float64(s.sends.sum(r.now))},
 	}})
 }
@@ -150,7 +150,7 @@
 	}
 }
 
-// applyPeerLimits applies limits that other entries learned of. forward tells that this entry
+// applyPeerLimits applies limits that other entries learned of. forward is set if this entry
 // must report them further.
 func (r *Reducer) applyPeerLimits(list []*pb.ServerWord, forward bool) {
 	for _, item := range list {
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -49,7 +49,7 @@
 	reported bool
 }
 
-// leaseExpiring tells whether the view's lease has ended or soon will.
+// leaseExpiring reports whether the view's lease has ended or soon will.
 func (r *Reducer) leaseExpiring() bool { return r.now >= r.view.leaseUntil-leaseExpiryMargin }
 
 // updateLeaseExpiring publishes a snapshot when the lease is about to end or is valid again.
@@ -109,7 +109,7 @@
 	return &pb.ServerDied{Server: d.server, IncarnationHash: d.hash, AgeMs: uint32((now - d.at).Milliseconds())}
 }
 
-// applyPeerDeaths keeps new work off servers that other entries saw crash. forward tells that
+// applyPeerDeaths keeps new work off servers that other entries saw crash. forward is set if
 // this entry must report the crashes further.
 func (r *Reducer) applyPeerDeaths(list []*pb.ServerDied, forward bool) {
 	for _, item := range list {
@@ -161,7 +161,7 @@
 }
 
 // applyPeerAlive applies reports of serving servers that other entries received. They were sent
-// at sentAt or later. forward tells that this entry must report them further.
+// at sentAt or later. forward is set if this entry must report them further.
 func (r *Reducer) applyPeerAlive(list []*pb.ServerAlive, sentAt time.Duration, forward bool) {
 	for _, item := range list {
 		s := r.servers.byIncarnationHash(item.GetServer(), item.GetIncarnationHash())
@@ -188,7 +188,7 @@
 	return s
 }
 
-// shouldProbe tells whether this entry probes the server. Without groups each entry probes all
+// shouldProbe reports whether this entry probes the server. Without groups each entry probes all
 // servers. In groups an aggregator probes those assigned to it that reported no state recently.
 // A group member probes only while it has no aggregator that answers.
 //
@@ -207,7 +207,7 @@
 	case g.isAggregator:
 		return own && r.now-s.ownStateAt >= probeSilence
 	case g.isGroupMember():
-		return g.aggregator(r.now) == nil || r.now < g.pauseUntil
+		return g.aggregator(r.now) == nil || r.now < g.backoffUntil
 	default:
 		return true
 	}
--- a/internal/entry/liveness_test.go
+++ b/internal/entry/liveness_test.go
@@ -22,8 +22,8 @@
 }
 
 // Guards against servers that are never probed. Without control, in a fleet with more servers
-// than one round probes, the first ones by id would be probed again and again, and the others
-// would get no requests.
+// than one round probes, the first ones by id would be probed again and again. The others,
+// more than half of the fleet, would never be confirmed and get no requests although they serve.
 func TestAllServersAreProbedWithoutControl(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(3 * maxProbes)...)
@@ -110,7 +110,7 @@
 	}
 }
 
-// assignsToOwnGroup tells whether a server is assigned to the partition's own group.
+// assignsToOwnGroup reports whether a server is assigned to the partition's own group.
 func assignsToOwnGroup(d *partition, servers []*pb.BackendServer, id string) bool {
 	owns := false
 	list := slices.Clone(servers)
--- a/internal/entry/logging_test.go
+++ b/internal/entry/logging_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against missing or repeated log lines when an engine prefills more slowly than others
-// and when it recovers.
+// and when it recovers. The lines explain why the engine got less work for a while.
 func TestSlowEngineIsLoggedOnce(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
--- a/internal/entry/overload_test.go
+++ b/internal/entry/overload_test.go
@@ -43,8 +43,9 @@
 )
 
 // Guards against refusals that leave the entry at the deadline of a waiting call or a tick
-// later, when its caller has already disconnected. At its second attempt a caller has 0.6 to 1 s
-// left.
+// later, when its caller has already disconnected. A plain service has one server left and gets
+// more calls than its slots can take, so that some must be refused. At its second attempt a
+// caller has 0.6 to 1 s left.
 func TestWaitingCallIsRefusedBeforeItsDeadline(t *testing.T) {
 	for _, callTime := range callTimes {
 		t.Run(callTime.String(), func(t *testing.T) {
--- a/internal/entry/partition.go
+++ b/internal/entry/partition.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-// preferredByOthers tells whether another group prefers the server. It has to be called exactly
+// preferredByOthers reports whether another group prefers the server. It has to be called exactly
 // once for each server, in order of id, since each call advances the round-robin assignment.
 func (a *partition) preferredByOthers(p *pb.BackendServer) bool {
 	group := a.groupOf(p)
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -9,10 +9,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
-// requestPause lets a server reject a request and ask for a pause.
-func (w *harness) requestPause(server string, pause time.Duration) {
+// requestBackoff lets a server reject a request and ask for a back-off.
+func (w *harness) requestBackoff(server string, backoff time.Duration) {
 	w.step(ServerReported{
-		Server: server, Incarnation: "life-1", FromResponse: true, SentAt: w.now, Backpressure: backpressure.Signal{Backoff: pause},
+		Server: server, Incarnation: "life-1", FromResponse: true, SentAt: w.now, Backpressure: backpressure.Signal{Backoff: backoff},
 		State: engineapi.StateServing, HasLoad: true,
 	})
 }
@@ -22,13 +22,13 @@
 	return w.endAttempt(d, func(ev *AttemptEnded) { ev.Outcome = outcome.NotRun })
 }
 
-// Guards against a pause that ends early by a load report, a heartbeat, another view or a
-// shorter pause.
+// Guards against a back-off that ends early by a load report, a heartbeat, another view or a
+// shorter back-off.
 func TestPauseLastsUntilItsEnd(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.requestPause("engine-0", time.Hour)
-	w.requestPause("engine-0", second)
+	w.requestBackoff("engine-0", time.Hour)
+	w.requestBackoff("engine-0", second)
 	for range 10 {
 		w.advance(5 * time.Minute)
 		w.reportState(0, engineapi.StateServing)
@@ -45,11 +45,11 @@
 	w.singleDispatch()
 }
 
-// Guards against a pause that passes to another incarnation of the server.
+// Guards against a back-off that passes to another incarnation of the server.
 func TestPauseEndsWithTheIncarnation(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.requestPause("engine-0", time.Hour)
+	w.requestBackoff("engine-0", time.Hour)
 	next := serving(1)
 	next[0].Incarnation = "life-2"
 	w.view(next...)
@@ -58,44 +58,44 @@
 }
 
 // Guards against a separately prefilled request that is decoded on an engine that has asked for
-// a pause.
+// a back-off.
 func TestPrefilledWorkDoesNotGoToAPausedEngine(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(withPrefillEngines(2, 1)...)
 	d := w.arriveWithSeparatePrefill("r1")
-	w.requestPause(d.Server, 3*second)
+	w.requestBackoff(d.Server, 3*second)
 	w.step(PrefillDone{RequestID: d.RequestID, Attempt: d.Attempt})
 	at := effectsOf[DecodeAt](w.effects)
 	if len(at) != 1 || at[0].Server == d.Server {
-		t.Fatalf("decodes at %+v, %s has a pause", at, d.Server)
+		t.Fatalf("decodes at %+v, %s has asked for a back-off", at, d.Server)
 	}
 }
 
-// Guards against a requeued request that reaches a server that has asked for a pause.
+// Guards against a requeued request that reaches a server that has asked for a back-off.
 func TestRequeuedWorkDoesNotReachAPausedServer(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
 	w.arriveWithDeadline("r1", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
 	d := w.singleDispatch()
-	w.requestPause(d.Server, 3*second)
+	w.requestBackoff(d.Server, 3*second)
 	w.endNotRun(d)
 	next := w.singleDispatch()
 	if next.Server == d.Server {
-		t.Fatal("sent again to the server with the pause")
+		t.Fatal("sent again to the server that has asked for a back-off")
 	}
-	w.requestPause(next.Server, 2*second)
+	w.requestBackoff(next.Server, 2*second)
 	w.endNotRun(next)
 	if r := w.singleRefusal(); r.Outcome != outcome.NotRun || r.RetryAfter < 2*second || r.RetryAfter > 3*second {
-		t.Fatalf("refusal %+v, the shorter pause is 2 s", r)
+		t.Fatalf("refusal %+v, the shorter back-off is 2 s", r)
 	}
 }
 
-// Guards against a request that waits without an answer for a server whose pause outlasts its
-// first-token deadline.
+// Guards against a request that waits without an answer for a server whose back-off outlasts its
+// first-token deadline. A request with a later deadline is served after the back-off.
 func TestWorkThatCanWaitIsServedAfterThePause(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.requestPause("engine-0", second)
+	w.requestBackoff("engine-0", second)
 	w.arriveWithDeadline("clerk", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
 	if r := w.singleRefusal(); r.RetryAfter < second {
 		t.Fatalf("refusal %+v", r)
@@ -109,11 +109,11 @@
 	w.singleDispatch()
 }
 
-// Guards against health probes of a server that has asked for a pause.
+// Guards against health probes of a server that has asked for a back-off.
 func TestPausedServerIsNotProbed(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
-	w.requestPause("engine-0", 30*second)
+	w.requestBackoff("engine-0", 30*second)
 	w.step(ProbeFailed{Server: "engine-0", Incarnation: "life-1"})
 	probed := make(map[string]int)
 	for range 50 {
@@ -127,11 +127,11 @@
 	}
 }
 
-// Guards against a request that was dispatched before a pause and connects during it.
+// Guards against a request that was dispatched before a back-off and connects during it.
 func TestSnapshotContainsPausedServers(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
-	w.requestPause("engine-0", 3*second)
+	w.requestBackoff("engine-0", 3*second)
 	published := effectsOf[Publish](w.effects)
 	if len(published) != 1 {
 		t.Fatalf("%d snapshots", len(published))
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -14,7 +14,7 @@
 	// (TestPeerReportsShortenTheWait).
 	minPeerReportInterval = 20 * time.Millisecond
 	// peerReportFraction is how much prefill time must have begun or ended for a report, as a
-	// fraction of the time that prompts usually take to prefill. One more short prompt changes
+	// fraction of the median time that prompts take to prefill. One more short prompt changes
 	// no placement, and each report costs bandwidth between data centres. With a report for each
 	// prompt, nine entries spent as much on reports as on everything else.
 	peerReportFraction = 0.6
@@ -22,7 +22,7 @@
 	minPrefillChange = 20 * time.Millisecond
 	maxPrefillChange = 150 * time.Millisecond
 	// peerReportRepeat is when an unchanged report is sent again, so that it stays valid
-	// (decision.PeerReportFor) even if one or two reports are lost.
+	// (decision.PeerReportTTL) even if one or two reports are lost.
 	peerReportRepeat = 300 * time.Millisecond
 	// aggregatorReportInterval is the shortest time between two reports of an aggregator to the
 	// other aggregators. Groups prefer servers of their own, so that delayed knowledge of other
@@ -36,7 +36,7 @@
 	// since the next entry that chooses a server must know of them.
 	sentReportInterval = 5 * time.Millisecond
 	// idleReportInterval is when an entry in a group repeats that it has no requests, well
-	// within decision.IdleReportFor, so that a restarted aggregator learns of it.
+	// within decision.IdlePeerReportTTL, so that a restarted aggregator learns of it.
 	idleReportInterval = 2 * time.Second
 )
 
@@ -257,12 +257,13 @@
 
 func backlogProto(server string, b decision.Backlog) *pb.ServerBacklog {
 	return &pb.ServerBacklog{
-		Server: server, Requests: uint32(b.Requests), UnreadTokens: unreadByRank(&b.PrefillBacklog), CacheTokens: uint64(b.KVTokens),
+		Server: server, Requests: uint32(b.Requests), UnreadTokens: prefillTokensByRank(&b.PrefillBacklog), CacheTokens: uint64(b.KVTokens),
 	}
 }
 
-// unreadByRank leaves out the ranks after the last one with tokens.
-func unreadByRank(u *decision.PrefillBacklog) []uint64 {
+// prefillTokensByRank returns the tokens that are still to be prefilled, by rank. It leaves out
+// the ranks after the last one with tokens.
+func prefillTokensByRank(u *decision.PrefillBacklog) []uint64 {
 	var list []uint64
 	for rank, tokens := range u {
 		if tokens > 0 {
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -25,7 +25,8 @@
 }
 
 // Guards against a prompt that is queued behind a long prompt of another entry. By request
-// counts alone, without a response from that engine, that would happen in half of the cases.
+// counts alone a long prompt looks like a short one, and without a response from that engine the
+// next prompt would go there in half of the cases.
 func TestPlacementAvoidsPeersBacklog(t *testing.T) {
 	for i := range 2 {
 		w := newDeadlineHarness(t)
--- a/internal/entry/permits.go
+++ b/internal/entry/permits.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxOwnersTried is how many entries are tried as the owner of a schedule before this entry
-	// sends its share of the limit on its own.
+	// maxOwnersTried is how many entries are tried as the owner of a permit schedule. If none of
+	// them answers, this entry schedules its equal share of the rate limit by itself.
 	maxOwnersTried = 3
 	// ownerAvoidance is how long an owner that gave no answer is avoided.
 	ownerAvoidance = 2 * time.Second
@@ -249,16 +249,17 @@
 	}
 }
 
-// refuseIfBlocked refuses a request whose servers accept no more work until it is too late.
+// refuseIfBlocked refuses a request whose servers accept no more work until it is too late. It
+// reports whether it did.
 func (r *Reducer) refuseIfBlocked(q *request) bool {
 	if len(r.servers.restricted) == 0 || q.work.Resumed {
 		return false
 	}
 	fleet, w := r.fleet(q), q.work
 	w.FirstTokenBy = q.originalFirstTokenBy
-	retryAfter, closed := admission.ThrottledPastDeadline(r.now, &w, &fleet)
-	if closed {
-		r.refuse(q, refuseClosed(retryAfter))
+	retryAfter, throttled := admission.ThrottledPastDeadline(r.now, &w, &fleet)
+	if throttled {
+		r.refuse(q, refuseThrottled(retryAfter))
 	}
-	return closed
+	return throttled
 }
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -38,7 +38,7 @@
 	Cluster    string
 	Identity   *pb.EntryIdentity
 	MaxStreams int
-	// AbortOnDisconnect tells that servers stop a request whose connection breaks. Otherwise
+	// AbortOnDisconnect is set if servers stop a request whose connection breaks. Otherwise
 	// they keep working, and a new connection can continue the request.
 	AbortOnDisconnect bool
 	// AssumedPace is assumed of engines that report no rates.
@@ -189,7 +189,7 @@
 	for _, s := range r.servers.sorted {
 		s.forgetSent(r.now - sentRetention)
 	}
-	r.expirePauses()
+	r.expireBackoffs()
 	r.updateLeaseExpiring()
 	r.sendProbes()
 	r.pollCaches()
@@ -203,7 +203,7 @@
 	r.refreshWeights()
 }
 
-// Idle tells whether nothing waits for time to pass except what happens at intervals of seconds:
+// Idle reports whether nothing waits for time to pass except what happens at intervals of seconds:
 // there is no request, the lease is valid, and no server is probed or carries out an order.
 func (r *Reducer) Idle() bool {
 	if len(r.requests) > 0 || r.leaving || r.stale() || r.report.changing || r.peers.reportedAny {
@@ -212,7 +212,7 @@
 	return !slices.ContainsFunc(r.servers.sorted, func(s *server) bool { return s.failures > 0 })
 }
 
-// stale tells whether the lease on the view has ended.
+// stale reports whether the lease on the view has ended.
 func (r *Reducer) stale() bool { return r.now >= r.view.leaseUntil }
 
 // stop keeps the entry open for callers that resolved its address earlier.
@@ -227,12 +227,12 @@
 	}
 }
 
-// refusesNew tells whether a leaving entry no longer accepts the request.
+// refusesNew reports whether a leaving entry no longer accepts the request.
 //
-// If a dossier arrives 3.7 s after the stop began, it would be cut 3.9 s later in the middle of
-// its stream, when the entry has to end. Its caller is refused at once instead and has its whole
-// deadline left for another entry. Before shortOnlyFrom nearly all requests still have enough
-// time, and callers have not learned of other addresses yet.
+// If a long request arrives 3.7 s after the stop began, it would be aborted 3.9 s later in the
+// middle of its stream, when the entry has to end. Its caller is refused at once instead and has
+// all of its time left for another entry. Before shortOnlyFrom nearly all requests still have
+// enough time, and callers have not learned of other addresses yet.
 func (r *Reducer) refusesNew(q *request) bool {
 	if !r.leaving {
 		return false
--- a/internal/entry/reducer_test.go
+++ b/internal/entry/reducer_test.go
@@ -10,9 +10,9 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// Guards against new work at an engine that is stopped for maintenance. It reports itself
-// leaving before control's view shows it, and a response that was under way arrives later and
-// says "serving".
+// Guards against new work at an engine that is stopped for maintenance, which would be refused
+// or aborted there. The engine reports itself leaving before control's view shows it, and a
+// response that was under way arrives later and says "serving".
 func TestServersOwnReportStopsNewWork(t *testing.T) {
 	w := newHarness(t)
 	w.view(serving(1)...)
@@ -124,8 +124,9 @@
 	w.singleDispatch()
 }
 
-// Guards against the quarantine of a dossier that streams from two engines that are withdrawn
-// one after the other. Nothing shows that the dossier caused it.
+// Guards against the quarantine of a long request that streams from two engines that are taken
+// away one after the other. Nothing shows that the request caused it, so that its caller must
+// get the whole answer.
 func TestProgressPreventsQuarantine(t *testing.T) {
 	w := newHarness(t)
 	w.view(serving(3)...)
@@ -208,9 +209,9 @@
 	}
 }
 
-// Guards against a stream that ends when its connection goes silent. The caller must get the
-// rest from the same engine over a new connection, and from another engine if that connection is
-// silent too.
+// Guards against a stream that ends when its connection goes silent while the engine keeps
+// working. The caller must get the rest from the same engine over a new connection. If that
+// connection is silent too, because the engine is frozen, the rest must come from another engine.
 func TestSilentStreamReconnectsThenMoves(t *testing.T) {
 	w := newHarness(t)
 	w.view(serving(2)...)
@@ -228,8 +229,9 @@
 	}
 }
 
-// Guards against a second execution of a call that may run only once. Only an attempt that was
-// not sent may be repeated.
+// Guards against a second execution of a call that may run only once, such as the issue of a
+// receipt. If the connection breaks after the call was sent, it may have run. It is sent again
+// only if it is certain not to have run.
 func TestOnceOnlyCallIsNotSentAgain(t *testing.T) {
 	w := newHarness(t)
 	w.view(serving(2)...)
@@ -246,7 +248,7 @@
 }
 
 // Guards against retries that double the load of a slow service. The profile's budget bounds
-// them, and a lookup beyond it is refused at once. Model work is not refused but waits a little.
+// them, and a call beyond it is refused at once. Model work is not refused but waits a little.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	w := newHarness(t)
 	w.view(serving(4)...)
@@ -286,7 +288,7 @@
 	if len(effectsOf[Dispatch](w.effects)) != 0 || len(effectsOf[Refuse](w.effects)) != 0 {
 		t.Fatalf("beyond the budget: %v", w.effects)
 	}
-	w.advance(retryBackOff)
+	w.advance(retryBackoff)
 	w.renew()
 	w.singleDispatch()
 }
--- a/internal/entry/refusals.go
+++ b/internal/entry/refusals.go
@@ -110,9 +110,9 @@
 	return unavailable(outcome.CodeOverloaded, "too much is being sent again to send this once more", retrySoon)
 }
 
-// refuseClosed sets the retry delay by what the servers said about when, or at what rate, they
+// refuseThrottled sets the retry delay by what the servers said about when, or at what rate, they
 // accept requests.
-func refuseClosed(retryAfter time.Duration) *outcome.Refusal {
+func refuseThrottled(retryAfter time.Duration) *outcome.Refusal {
 	return unavailable(outcome.CodeDeadline, "its servers take no more work until it is too late", retryAfter)
 }
 
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -40,7 +40,7 @@
 	// originalFirstTokenBy is the first-token deadline at arrival. Requeueing extends the one in
 	// work.
 	originalFirstTokenBy time.Duration
-	// hardDeadline tells that the final answer is due at work.FinishBy.
+	// hardDeadline is set if the final answer is due at work.FinishBy.
 	hardDeadline bool
 	// server is where the attempt runs, nil while the request waits. prefill is the engine of a
 	// separate prefill, if there is one.
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -16,27 +16,27 @@
 	// prefilled is set once a server may have received the request for its prefill only,
 	// executed once a server may have received it for execution.
 	prefilled, executed bool
-	// paid is how many retries were taken and not used.
-	paid int
+	// unusedRetries is how many retries were taken and not used yet.
+	unusedRetries int
 }
 
 // record notes which servers an ended attempt reached.
-func (a *deliveries) record(ev *AttemptEnded) {
+func (d *deliveries) record(ev *AttemptEnded) {
 	if ev.Unsent {
 		return
 	}
-	a.paid = 0
-	a.prefilled = a.prefilled || a.separatePrefill
-	a.executed = a.executed || !ev.AtPrefillServer
+	d.unusedRetries = 0
+	d.prefilled = d.prefilled || d.separatePrefill
+	d.executed = d.executed || !ev.AtPrefillServer
 }
 
-// retries is how many retries an attempt costs: the first call of each kind is free.
-func (a *deliveries) retries(separatePrefill bool) int {
+// retryCost is how many retries an attempt counts as: the first call of each kind is not a retry.
+func (d *deliveries) retryCost(separatePrefill bool) int {
 	n := 0
-	if separatePrefill && a.prefilled {
+	if separatePrefill && d.prefilled {
 		n++
 	}
-	if a.executed {
+	if d.executed {
 		n++
 	}
 	return n
@@ -46,27 +46,27 @@
 // that no server received does not count. Otherwise it would use up the limit just when a server
 // is unreachable, and requests that no server has seen would be refused for it.
 func (r *Reducer) takeRetry(q *request) bool {
-	if q.deliveries.paid > 0 {
+	if q.deliveries.unusedRetries > 0 {
 		return true
 	}
 	if !r.retryLimit.AllowResend(r.now, q.work.Service, len(r.view.entries)) {
 		return false
 	}
-	q.deliveries.paid++
+	q.deliveries.unusedRetries++
 	return true
 }
 
-// payRetries takes the retries that the choice needs beyond those already taken. If the limit
+// takeRetriesFor takes the retries that the choice needs beyond those already taken. If the limit
 // does not allow them, the decoding engine prefills the prompt itself. It returns false if the
 // limit does not allow that either.
-func (r *Reducer) payRetries(q *request, choice *placement.Choice) bool {
-	a := &q.deliveries
-	for a.paid < a.retries(choice.Prefill != nil) {
+func (r *Reducer) takeRetriesFor(q *request, choice *placement.Choice) bool {
+	d := &q.deliveries
+	for d.unusedRetries < d.retryCost(choice.Prefill != nil) {
 		if r.retryLimit.AllowResend(r.now, q.work.Service, len(r.view.entries)) {
-			a.paid++
+			d.unusedRetries++
 			continue
 		}
-		if a.paid < a.retries(false) || choice.Server.Role != engineapi.RoleMixed {
+		if d.unusedRetries < d.retryCost(false) || choice.Server.Role != engineapi.RoleMixed {
 			return false
 		}
 		*choice = placement.Choice{
--- a/internal/entry/sent.go
+++ b/internal/entry/sent.go
@@ -32,13 +32,13 @@
 	return sentTable{states: make(map[string]serverState), full: make(map[string]*sentAnnouncement)}
 }
 
-// hasRoom tells whether the server can be tracked.
+// hasRoom reports whether the server can be tracked.
 func (t *sentTable) hasRoom(a engineapi.Announcement) bool {
 	_, known := t.states[a.ID]
 	return known || len(t.states) < maxPendingServers
 }
 
-// observe records the server's announcement and tells whether its incarnation, state or order
+// observe records the server's announcement and reports whether its incarnation, state or order
 // has changed.
 func (t *sentTable) observe(a engineapi.Announcement) bool {
 	next := serverState{a.Incarnation, a.State, a.LastOrder + "/" + a.RunningOrder}
@@ -47,7 +47,7 @@
 	return changed
 }
 
-// controlHas tells whether control has acknowledged this announcement, apart from its load.
+// controlHas reports whether control has acknowledged this announcement, apart from its load.
 func (t *sentTable) controlHas(a *pb.Announcement) bool {
 	known := t.full[a.GetServer().GetId()]
 	return known != nil && known.acknowledged && proto.Equal(known.announcement, withoutLoad(a))
@@ -80,7 +80,7 @@
 	}
 }
 
-// heartbeatSuffices tells whether a heartbeat may replace the announcement: the server is
+// heartbeatSuffices reports whether a heartbeat may replace the announcement: the server is
 // serving by its own report and by the view, and carries out no order.
 func heartbeatSuffices(a engineapi.Announcement, inView *pb.BackendServer) bool {
 	return inView != nil && inView.GetState() == pb.ServerState_SERVER_STATE_SERVING &&
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -75,7 +75,8 @@
 	tokens decision.RequestTokens
 }
 
-// roleKey groups servers that do the same work.
+// roleKey groups servers that do the same work. pool is the model of an engine, or the first
+// service of a plain service's server.
 type roleKey struct {
 	role pb.EngineRole
 	pool string
@@ -221,11 +222,11 @@
 // minAverageWeight is the least weight of a new request in the averages.
 const minAverageWeight = 0.05
 
-func (u *workAverage) add(t decision.RequestTokens) {
-	u.count++
-	weight := max(minAverageWeight, 1/float64(u.count))
-	u.prefill += weight * (float64(t.Prefill) - u.prefill)
-	u.kv += weight * (float64(t.KV) - u.kv)
+func (a *workAverage) add(t decision.RequestTokens) {
+	a.count++
+	weight := max(minAverageWeight, 1/float64(a.count))
+	a.prefill += weight * (float64(t.Prefill) - a.prefill)
+	a.kv += weight * (float64(t.KV) - a.kv)
 }
 
 func (s *server) forgetSent(before time.Duration) {
@@ -238,13 +239,13 @@
 	s.coolUntil = now + coolDown
 }
 
-// acceptsWork tells whether new work may go to the server: it is available, and its backpressure
+// acceptsWork reports whether new work may go to the server: it is available, and its backpressure
 // allows a request.
 func (s *server) acceptsWork(now time.Duration, stale bool) bool {
 	return s.available(now, stale) && s.backpressure.CanSend(now)
 }
 
-// available tells whether new work may go to the server, apart from backpressure.
+// available reports whether new work may go to the server, apart from backpressure.
 //
 // There are two independent signs that a server is leaving: the view and its own report. After
 // either of them it gets no more work. A view whose lease has ended may hide that a server is
--- a/internal/entry/simulation_test.go
+++ b/internal/entry/simulation_test.go
@@ -43,7 +43,7 @@
 	modify func(*RequestArrived)
 }
 
-// deliveredRequest is a request that reached a server. limitKnown tells that its entry had known
+// deliveredRequest is a request that reached a server. limitKnown is set if its entry had known
 // of the server's limit for at least half a second.
 type deliveredRequest struct {
 	at         time.Duration
--- a/internal/entry/snapshot.go
+++ b/internal/entry/snapshot.go
@@ -32,17 +32,17 @@
 	Aggregator string
 	// AskAggregatorFrom is when it may be asked, in time since boot.
 	AskAggregatorFrom time.Duration
-	// LeaseExpiring tells that the view's lease has ended or soon will. Other entries are then
-	// asked which servers are alive.
+	// LeaseExpiring is set if the view's lease has ended or is about to end. Other entries are
+	// then asked which servers are alive.
 	LeaseExpiring bool
 	// Load is the fraction of this entry's streams that is in use.
 	Load float64
 }
 
-// AcceptsRequests tells whether a server incarnation accepts requests at that time.
+// AcceptsRequests reports whether a server incarnation accepts requests at that time.
 func (s *Snapshot) AcceptsRequests(incarnation string, now time.Duration) bool {
 	return now >= s.UnavailableUntil[incarnation]
 }
 
-// Ready tells whether the entry has a declaration to serve by.
+// Ready reports whether the entry has a declaration to serve by.
 func (s *Snapshot) Ready() bool { return s.Declaration != nil }
--- a/internal/entry/speeds.go
+++ b/internal/entry/speeds.go
@@ -38,7 +38,7 @@
 // also decodes. The factor is from the engines' documentation.
 const prefillOnlyGain = 2
 
-// learnsFrom tells whether speeds are learned from the server. Without an assumed speed, servers
+// learnsFrom reports whether speeds are learned from the server. Without an assumed speed, servers
 // report their own rates.
 func (s *speeds) learnsFrom(srv *server) bool {
 	return s.assumed.PrefillRate > 0 && srv.pb.Kind == pb.ServerKind_SERVER_KIND_MODEL && srv.reportsCountsOnly()
--- a/internal/entry/sums.go
+++ b/internal/entry/sums.go
@@ -84,7 +84,7 @@
 	r.dispatchWaiting()
 }
 
-// aggregatorTimedOut pauses before the aggregator is asked again, and avoids it after several
+// aggregatorTimedOut backs off before the aggregator is asked again, and avoids it after several
 // timeouts.
 //
 // An aggregator that is busy for a moment answers late. If its members moved to another one at
@@ -95,13 +95,13 @@
 	if g.aggregatorAddress(r.now) != ev.Address {
 		return
 	}
-	g.pauseUntil = r.now + firstTimeoutPause<<g.timeouts
+	g.backoffUntil = r.now + firstTimeoutBackoff<<g.timeouts
 	g.timeouts++
 	r.dirty = true
 	if g.timeouts < maxTimeouts {
 		return
 	}
-	g.timeouts, g.pauseUntil = 0, 0
+	g.timeouts, g.backoffUntil = 0, 0
 	if g.avoidUntil == nil {
 		g.avoidUntil = make(map[string]time.Duration)
 	}
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -21,8 +21,8 @@
 	// A crash adds earlyCrashScore to a request that had begun there without progress,
 	// lateCrashScore to one with progress, and uncertainCrashScore to one that may have been
 	// sent after the crash. The scores count in quarters of a crash. The lower ones bound the
-	// retries of a request that crashes servers late or at once, while a dossier whose servers
-	// crash several times for other reasons is not quarantined.
+	// retries of a request that crashes servers late or at once, while a long request whose
+	// servers crash several times for other reasons is not quarantined.
 	earlyCrashScore     = 4
 	lateCrashScore      = 2
 	uncertainCrashScore = 1
@@ -131,13 +131,13 @@
 	}
 }
 
-// onProbation tells whether the request is a suspect that is not cleared.
+// onProbation reports whether the request is a suspect that is not cleared.
 func (t *suspectTable) onProbation(q *request) bool {
 	s := t.byKey[q.key()]
 	return s != nil && !s.cleared
 }
 
-// mayShareServer tells whether the request may go to the server as far as suspects are
+// mayShareServer reports whether the request may go to the server as far as suspects are
 // concerned. Two suspects never share a server. A suspect and other requests share one only
 // after isolationTime.
 func (t *suspectTable) mayShareServer(r *Reducer, q *request, s *server) bool {
@@ -188,16 +188,16 @@
 	return xxhash.Sum64String(server + "/" + q.work.Member + "/" + strconv.FormatUint(q.fingerprint+uint64(q.attempts), 16))
 }
 
-// quarantined tells whether the request gets no more attempts.
+// quarantined reports whether the request gets no more attempts.
 func (r *Reducer) quarantined(q *request) bool {
 	if r.view.quarantine[q.key()] {
 		return true
 	}
 	s := r.suspects.byKey[q.key()]
-	return s != nil && s.score >= scorePerCrash*r.quarantineDeaths()
+	return s != nil && s.score >= scorePerCrash*r.quarantineCrashes()
 }
 
-func (r *Reducer) quarantineDeaths() int {
+func (r *Reducer) quarantineCrashes() int {
 	if d := r.view.declaration; d != nil && d.Limits.QuarantineCrashes > 0 {
 		return d.Limits.QuarantineCrashes
 	}
@@ -229,7 +229,7 @@
 	r.logServer(s, "died")
 }
 
-// recentlySuspected tells whether a new request ran on a server that crashed recently, according
+// recentlySuspected reports whether a new request ran on a server that crashed recently, according
 // to control.
 func (r *Reducer) recentlySuspected(q *request) bool {
 	until, ok := r.view.suspected[q.key()]
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -56,51 +56,51 @@
 	}
 }
 
-func (b *usageCounter) enabled() bool { return b.cfg.Window > 0 }
+func (u *usageCounter) enabled() bool { return u.cfg.Window > 0 }
 
-func (b *usageCounter) windowAt(now time.Duration) int64 {
-	return int64((now + b.cfg.BootUnixTime) / b.cfg.Window)
+func (u *usageCounter) windowAt(now time.Duration) int64 {
+	return int64((now + u.cfg.BootUnixTime) / u.cfg.Window)
 }
 
 // count adds a request of a member.
-func (b *usageCounter) count(now time.Duration, member string) {
-	window := b.windowAt(now)
-	c := b.windows[window]
+func (u *usageCounter) count(now time.Duration, member string) {
+	window := u.windowAt(now)
+	c := u.windows[window]
 	if c == nil {
 		c = &usageCounts{requests: make(map[string]uint64)}
-		b.windows[window] = c
-		b.forget(window)
+		u.windows[window] = c
+		u.forget(window)
 	}
 	c.requests[member]++
 	c.reported = false
 }
 
 // forget drops windows that ended long before this one.
-func (b *usageCounter) forget(window int64) {
-	kept := int64(usageRetention / b.cfg.Window)
-	maps.DeleteFunc(b.windows, func(w int64, _ *usageCounts) bool { return w < window-kept })
+func (u *usageCounter) forget(window int64) {
+	kept := int64(usageRetention / u.cfg.Window)
+	maps.DeleteFunc(u.windows, func(w int64, _ *usageCounts) bool { return w < window-kept })
 }
 
-// due tells whether a window has ended that was not reported as complete.
-func (b *usageCounter) due(now time.Duration) bool {
-	return b.enabled() && b.windowAt(now-b.jitter) > b.reportedTo
+// due reports whether a window has ended that was not reported as complete.
+func (u *usageCounter) due(now time.Duration) bool {
+	return u.enabled() && u.windowAt(now-u.jitter) > u.reportedTo
 }
 
 // fill adds to a report what the leader lacks.
-func (b *usageCounter) fill(now time.Duration, req *pb.ReportRequest) {
-	if !b.enabled() {
+func (u *usageCounter) fill(now time.Duration, req *pb.ReportRequest) {
+	if !u.enabled() {
 		return
 	}
-	for _, window := range slices.Sorted(maps.Keys(b.windows)) {
-		c := b.windows[window]
+	for _, window := range slices.Sorted(maps.Keys(u.windows)) {
+		c := u.windows[window]
 		if c.reported {
 			continue
 		}
 		c.reported = true
 		req.Usage = append(req.Usage, c.proto(window))
 	}
-	b.reportedTo = b.windowAt(now)
-	req.UsageComplete = b.reportedTo
+	u.reportedTo = u.windowAt(now)
+	req.UsageComplete = u.reportedTo
 }
 
 func (c *usageCounts) proto(window int64) *pb.UsageWindow {
@@ -113,19 +113,19 @@
 
 // acknowledged records which leader answered a report. A new leader has received only this
 // report.
-func (b *usageCounter) acknowledged(term uint64) {
-	if term != b.term {
-		b.term = term
-		b.resendAll()
+func (u *usageCounter) acknowledged(term uint64) {
+	if term != u.term {
+		u.term = term
+		u.resendAll()
 	}
 }
 
 // resendAll makes the next report contain all windows that are kept.
-func (b *usageCounter) resendAll() {
-	for _, c := range b.windows {
+func (u *usageCounter) resendAll() {
+	for _, c := range u.windows {
 		c.reported = false
 	}
-	b.reportedTo = 0
+	u.reportedTo = 0
 }
 
 // countUsage counts a request for its member once, when it is first seen to have begun.
