--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -11,7 +11,7 @@
 
 const (
 	// serverLease is how long a backend server counts as alive after its last announcement.
-	// Servers announce once a second, so four announcements may be lost.
+	// At one announcement a second, four may be lost.
 	serverLease = 5 * time.Second
 	// entryLease is the same for entries, which send a Watch at least every watchHold.
 	entryLease = 5 * time.Second
@@ -22,9 +22,9 @@
 	// watchHold is the longest time that a Watch is held open. It must leave more than half
 	// of viewLease for delivering the answer.
 	watchHold = 600 * time.Millisecond
-	// isolatedAfter is the silence after which a leader considers itself isolated: if it
-	// got no report from any entry, or did not run, for this long, it does not declare
-	// servers GONE.
+	// isolatedAfter is the silence after which a leader considers itself isolated: if no
+	// entry, server or relaying replica reached it, or it did not run, for this long, it
+	// does not declare servers GONE.
 	isolatedAfter = 2 * time.Second
 	// sweepInterval is how often a leader looks for expired leases.
 	sweepInterval = 200 * time.Millisecond
@@ -65,8 +65,8 @@
 	// them, and the time.
 	departed map[string]time.Duration
 
-	// lastContactAt is when any entry last reported. lastSweepAt is when leases were last
-	// checked.
+	// lastContactAt is when an entry, a server or a relaying replica last reached this
+	// leader. lastSweepAt is when leases were last checked.
 	lastContactAt time.Duration
 	lastSweepAt   time.Duration
 	// lastExpiryCheckAt is when the leader last checked whether to propose an Expire.
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -102,7 +102,7 @@
 		return "the engine does not serve"
 	case s.unresolved(u.GetServer()) != nil:
 		return "order " + s.orders[u.GetServer()].proto.GetId() + " to it is unresolved"
-	case s.changingEngines(sv.info.GetModel()) >= s.maxAway():
+	case s.changingEngines(sv.info.GetModel()) >= s.maxUnavailable():
 		return "as many engines of its model are away as roles.max_away allows"
 	}
 	return ""
@@ -124,7 +124,7 @@
 	return n
 }
 
-func (s *State) maxAway() int {
+func (s *State) maxUnavailable() int {
 	if s.declared.parsed == nil {
 		return declaration.DefaultMaxUnavailable
 	}
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -133,7 +133,7 @@
 // leader's other messages.
 func (r *Reducer) roleBounds() roles.Bounds {
 	d := r.state.declared.parsed.Roles
-	limit := r.state.maxAway()
+	limit := r.state.maxUnavailable()
 	if loaded := d.MaxUnavailableUnderLoad; loaded > 0 {
 		idle := max(loaded, maxChangeNotifications/max(1, len(r.state.entries)))
 		if r.now < r.lead.lastDemandAt+noDemandPeriod {
--- a/internal/control/reconcile.go
+++ b/internal/control/reconcile.go
@@ -60,7 +60,7 @@
 	return sv.info.GetKind() == pb.ServerKind_SERVER_KIND_MODEL &&
 		sv.info.GetState() == pb.ServerState_SERVER_STATE_SERVING &&
 		r.state.unresolved(id) == nil && (d == nil || !d.proposing) &&
-		r.state.changingEngines(sv.info.GetModel()) < r.state.maxAway()
+		r.state.changingEngines(sv.info.GetModel()) < r.state.maxUnavailable()
 }
 
 // reconcileEngine issues at most one order that the engine still needs.
