--- a/cmd/goldcrest-load/capacity.go
+++ b/cmd/goldcrest-load/capacity.go
@@ -12,7 +12,7 @@
 
 func newCapacity() *cobra.Command {
 	var docs string
-	var processes capacity.Processes
+	var processes capacity.ProcessOptions
 	cmd := &cobra.Command{
 		Use:   "capacity",
 		Short: "Measure slopes and renew docs/CAPACITY.md",
@@ -23,7 +23,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			fits, err := capacity.Measure(processes, func(f capacity.Fit) {
 				fmt.Fprintf(cmd.OutOrStdout(), "%-32s %10.2f + %10.4f per %s (R² %.3f)\n",
-					f.Name, f.Intercept, f.PerUnit, f.Size, f.RSquared)
+					f.Name, f.Intercept, f.PerUnit, f.SizeName, f.RSquared)
 			})
 			if err != nil {
 				return cli.WithCode(cli.ExitFailed, err)
@@ -35,6 +35,6 @@
 	f.StringVar(&docs, "docs", "docs", "folder with CAPACITY.md")
 	f.StringVar(&processes.Bin, "bin", "bin", "folder with the programs")
 	f.StringVar(&processes.Deploy, "deploy", "deploy", "folder with the deployments")
-	f.DurationVar(&processes.Observe, "observe", 10*time.Second, "how long each deployment without callers is watched")
+	f.DurationVar(&processes.ObservationTime, "observe", 10*time.Second, "how long each deployment without callers is watched")
 	return cmd
 }
--- a/internal/capacity/controlslopes.go
+++ b/internal/capacity/controlslopes.go
@@ -45,8 +45,8 @@
 	return []Slope{
 		{
 			Name: "control-view-change-cpu", Role: controlRole,
-			What: "committing one change of the view and answering the held Watch calls of all entries",
-			Size: "entries", Unit: Microseconds, Sizes: entrySizes(),
+			Description: "committing one change of the view and answering the held Watch calls of all entries",
+			SizeName:    "entries", Unit: Microseconds, Sizes: entrySizes(),
 			Measure: filled(byEntries, func(b *controlBench, n int) float64 {
 				change := 0
 				return CPUMicros(func() { change++; b.watchRound(n, change) })
@@ -54,16 +54,16 @@
 		},
 		{
 			Name: "control-report-cpu", Role: controlRole,
-			What: "taking in a report of announcements without news",
-			Size: "announcements", Unit: Microseconds, Sizes: []int{1, 9, 30, 90},
+			Description: "taking in a report of announcements without news",
+			SizeName:    "announcements", Unit: Microseconds, Sizes: []int{1, 9, 30, 90},
 			Measure: filled(byServers, func(b *controlBench, n int) float64 {
 				known := report(0, b.reducer.State().View(0).Servers...)
 				return CPUMicros(func() { b.must(known) })
 			}),
 		},
 		{
-			Name: "control-tick-cpu", Role: controlRole, What: "a leader's sweep, every 100 ms",
-			Size: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			Name: "control-tick-cpu", Role: controlRole, Description: "a leader's sweep, every 100 ms",
+			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
 			Measure: filled(byServers, func(b *controlBench, n int) float64 {
 				known := report(0, b.reducer.State().View(0).Servers...)
 				return CPUMicros(func() { b.tick(sweepEvery); b.must(known) }) - CPUMicros(func() { b.must(known) })
@@ -71,16 +71,16 @@
 		},
 		{
 			Name: "control-claim-cpu", Role: controlRole,
-			What: "claiming and settling one once-only call, two log entries",
-			Size: "claims kept", Unit: Microseconds, Sizes: claimSizes(),
+			Description: "claiming and settling one once-only call, two log entries",
+			SizeName:    "claims kept", Unit: Microseconds, Sizes: claimSizes(),
 			Measure: filled(byClaims, func(b *controlBench, n int) float64 {
 				i := n
 				return CPUMicros(func() { i++; b.claimOnce(i) })
 			}),
 		},
 		{
-			Name: "control-apply-cpu", Role: controlRole, What: "accepting a declaration in which one member changed",
-			Size: "members", Unit: Microseconds, Sizes: memberSizes(),
+			Name: "control-apply-cpu", Role: controlRole, Description: "accepting a declaration in which one member changed",
+			SizeName: "members", Unit: Microseconds, Sizes: memberSizes(),
 			Measure: filled(byMembers, func(b *controlBench, n int) float64 {
 				d := sampleDeclaration(n)
 				return CPUMicros(func() {
@@ -106,8 +106,8 @@
 		{"claim", "claims kept", claimSizes(), byClaims},
 	} {
 		list = append(list, Slope{
-			Name: "control-memory-per-" + s.name, Role: controlRole, What: "heap of the state and its lately changed log",
-			Size: s.size, Unit: Bytes, Sizes: s.sizes,
+			Name: "control-memory-per-" + s.name, Role: controlRole, Description: "heap of the state and its lately changed log",
+			SizeName: s.size, Unit: Bytes, Sizes: s.sizes,
 			Measure: func(n int) (float64, error) {
 				var failed error
 				bytes := HeapBytes(func() any {
@@ -118,8 +118,8 @@
 				return bytes, failed
 			},
 		}, Slope{
-			Name: "snapshot-per-" + s.name, Role: controlRole, What: "bytes of a snapshot",
-			Size: s.size, Unit: Bytes, Sizes: s.sizes,
+			Name: "snapshot-per-" + s.name, Role: controlRole, Description: "bytes of a snapshot",
+			SizeName: s.size, Unit: Bytes, Sizes: s.sizes,
 			Measure: filled(s.fill, func(b *controlBench, _ int) float64 {
 				return float64(len(b.reducer.State().Snapshot()))
 			}),
@@ -131,8 +131,8 @@
 // appendBytes is what a leader sends to each follower for claims.
 func appendBytes() Slope {
 	return Slope{
-		Name: "append-per-claim", Role: controlRole, What: "bytes of an append that carries one command with that many claims",
-		Size: "claims", Unit: Bytes, Sizes: []int{1, 4, 16, 64},
+		Name: "append-per-claim", Role: controlRole, Description: "bytes of an append that carries one command with that many claims",
+		SizeName: "claims", Unit: Bytes, Sizes: []int{1, 4, 16, 64},
 		Measure: func(n int) (float64, error) {
 			req := &pb.ClaimRequest{ClusterId: sampleCluster}
 			for i := range n {
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -125,22 +125,22 @@
 func entryMemory() []Slope {
 	return []Slope{
 		{
-			Name: "entry-memory-per-server", Role: "entry", What: "heap of the reducer's view",
-			Size: "backend servers", Unit: Bytes, Sizes: fleetSizes(),
+			Name: "entry-memory-per-server", Role: "entry", Description: "heap of the reducer's view",
+			SizeName: "backend servers", Unit: Bytes, Sizes: fleetSizes(),
 			Measure: func(n int) (float64, error) {
 				return HeapBytes(func() any { return newEntryBench(n, 1) }), nil
 			},
 		},
 		{
-			Name: "entry-memory-per-member", Role: "entry", What: "heap of the reducer's declaration",
-			Size: "members", Unit: Bytes, Sizes: memberSizes(),
+			Name: "entry-memory-per-member", Role: "entry", Description: "heap of the reducer's declaration",
+			SizeName: "members", Unit: Bytes, Sizes: memberSizes(),
 			Measure: func(n int) (float64, error) {
 				return HeapBytes(func() any { return newEntryBench(1, n) }), nil
 			},
 		},
 		{
-			Name: "entry-memory-per-request", Role: "entry", What: "heap of the reducer per open request",
-			Size: "open requests", Unit: Bytes, Sizes: []int{100, 400, 1600, 3200},
+			Name: "entry-memory-per-request", Role: "entry", Description: "heap of the reducer per open request",
+			SizeName: "open requests", Unit: Bytes, Sizes: []int{100, 400, 1600, 3200},
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(fleetToday, 1)
 				return HeapBytes(func() any { b.open(n); return b }), nil
@@ -153,16 +153,16 @@
 func entryControlTimes() []Slope {
 	return []Slope{
 		{
-			Name: "entry-renew-cpu", Role: "entry", What: "taking in a Watch answer without news",
-			Size: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			Name: "entry-renew-cpu", Role: "entry", Description: "taking in a Watch answer without news",
+			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
 				return CPUMicros(b.renew), nil
 			},
 		},
 		{
-			Name: "entry-server-delta-cpu", Role: "entry", What: "taking in a delta with one changed server",
-			Size: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			Name: "entry-server-delta-cpu", Role: "entry", Description: "taking in a delta with one changed server",
+			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
 				changed := sampleServers(1)
@@ -170,8 +170,8 @@
 			},
 		},
 		{
-			Name: "entry-object-delta-cpu", Role: "entry", What: "taking in a delta with one changed member",
-			Size: "members", Unit: Microseconds, Sizes: memberSizes(),
+			Name: "entry-object-delta-cpu", Role: "entry", Description: "taking in a delta with one changed member",
+			SizeName: "members", Unit: Microseconds, Sizes: memberSizes(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(1, n)
 				changed := memberDelta(1).Objects
@@ -179,8 +179,8 @@
 			},
 		},
 		{
-			Name: "entry-announcement-cpu", Role: "entry", What: "taking in one announcement",
-			Size: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			Name: "entry-announcement-cpu", Role: "entry", Description: "taking in one announcement",
+			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
 				i := 0
@@ -194,16 +194,16 @@
 func entryDecisionTimes() []Slope {
 	return []Slope{
 		{
-			Name: "entry-request-cpu", Role: "entry", What: "all decisions of one request that is placed and answered",
-			Size: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			Name: "entry-request-cpu", Role: "entry", Description: "all decisions of one request that is placed and answered",
+			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
 				return CPUMicros(b.request), nil
 			},
 		},
 		{
-			Name: "entry-arrival-cpu-queued", Role: "entry", What: "deciding on one arrival behind a queue",
-			Size: "requests waiting", Unit: Microseconds, Sizes: []int{100, 400, 1600, 3200},
+			Name: "entry-arrival-cpu-queued", Role: "entry", Description: "deciding on one arrival behind a queue",
+			SizeName: "requests waiting", Unit: Microseconds, Sizes: []int{100, 400, 1600, 3200},
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(fleetToday, 1)
 				b.open(n)
--- a/internal/capacity/estimate.go
+++ b/internal/capacity/estimate.go
@@ -8,24 +8,24 @@
 
 // Estimate is one cost of one role at the target size.
 type Estimate struct {
-	Role string
-	What string
-	// How shows the sum that Value comes from.
-	How   string
-	Value float64
-	Unit  string
+	Role        string
+	Description string
+	// Formula shows the calculation of Value with its numbers.
+	Formula string
+	Value   float64
+	Unit    string
 	// Limit is the target's, zero where it names none.
 	Limit float64
 }
 
-// Reaches tells whether the estimate is within its limit.
-func (e Estimate) Reaches() bool { return e.Limit == 0 || e.Value <= e.Limit }
+// WithinLimit reports whether the value is within the limit, if there is one.
+func (e Estimate) WithinLimit() bool { return e.Limit == 0 || e.Value <= e.Limit }
 
 func (e Estimate) verdict() string {
 	switch {
 	case e.Limit == 0:
 		return "no limit named"
-	case e.Reaches():
+	case e.WithinLimit():
 		return fmt.Sprintf("reaches: %.0f%% of the limit", 100*e.Value/e.Limit)
 	default:
 		return fmt.Sprintf("**does not reach**: %.1f times the limit", e.Value/e.Limit)
@@ -42,7 +42,7 @@
 			limit = number(e.Limit) + " " + e.Unit
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s | %s %s | %s | %s |\n",
-			e.Role, e.What, e.How, number(e.Value), e.Unit, limit, e.verdict())
+			e.Role, e.Description, e.Formula, number(e.Value), e.Unit, limit, e.verdict())
 	}
 	return b.String()
 }
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -15,16 +15,16 @@
 	return []Slope{
 		{
 			Name: "full-view-per-server", Role: "control replica",
-			What: "bytes of a full view sent to an entry that starts",
-			Size: "backend servers", Unit: Bytes, Sizes: fleetSizes(),
+			Description: "bytes of a full view sent to an entry that starts",
+			SizeName:    "backend servers", Unit: Bytes, Sizes: fleetSizes(),
 			Measure: func(n int) (float64, error) {
 				return size(&pb.WatchResponse{Full: true, Servers: sampleServers(n)}), nil
 			},
 		},
 		{
 			Name: "full-view-per-member", Role: "control replica",
-			What: "bytes of the declaration sent to an entry that starts",
-			Size: "members", Unit: Bytes, Sizes: memberSizes(),
+			Description: "bytes of the declaration sent to an entry that starts",
+			SizeName:    "members", Unit: Bytes, Sizes: memberSizes(),
 			Measure: func(n int) (float64, error) {
 				objects := sampleDeclaration(n).ToProto().Objects
 				return size(&pb.WatchResponse{Full: true, Objects: objects}), nil
@@ -32,24 +32,24 @@
 		},
 		{
 			Name: "full-view-per-entry", Role: "control replica",
-			What: "bytes of the list of entries sent to an entry that starts",
-			Size: "entries", Unit: Bytes, Sizes: entrySizes(),
+			Description: "bytes of the list of entries sent to an entry that starts",
+			SizeName:    "entries", Unit: Bytes, Sizes: entrySizes(),
 			Measure: func(n int) (float64, error) {
 				return size(&pb.WatchResponse{Full: true, Entries: sampleEntries(n)}), nil
 			},
 		},
 		{
 			Name: "delta-per-server-change", Role: "entry",
-			What: "bytes of a delta when that many servers change at once",
-			Size: "servers changed", Unit: Bytes, Sizes: []int{1, 4, 16, 64, 256},
+			Description: "bytes of a delta when that many servers change at once",
+			SizeName:    "servers changed", Unit: Bytes, Sizes: []int{1, 4, 16, 64, 256},
 			Measure: func(n int) (float64, error) {
 				return size(&pb.WatchResponse{Version: 1 << 20, Servers: sampleServers(n)}), nil
 			},
 		},
 		{
 			Name: "delta-per-declaration-object", Role: "entry",
-			What: "bytes of a delta when that many members of a declaration change",
-			Size: "objects changed", Unit: Bytes, Sizes: []int{1, 4, 16, 64},
+			Description: "bytes of a delta when that many members of a declaration change",
+			SizeName:    "objects changed", Unit: Bytes, Sizes: []int{1, 4, 16, 64},
 			Measure: func(n int) (float64, error) {
 				return size(memberDelta(n)), nil
 			},
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -17,7 +17,7 @@
 func (f Fit) Plot(dir string) error {
 	p := plot.New()
 	p.Title.Text = f.Name
-	p.X.Label.Text = f.Size
+	p.X.Label.Text = f.SizeName
 	p.Y.Label.Text = string(f.Unit)
 	points := make(plotter.XYs, 0, len(f.Points))
 	for _, m := range f.Points {
--- a/internal/capacity/processes.go
+++ b/internal/capacity/processes.go
@@ -13,13 +13,13 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// Processes says how to start real processes for the slopes that need them.
-type Processes struct {
+// ProcessOptions says how to start real processes for the slopes that need them.
+type ProcessOptions struct {
 	// Bin holds the programs, Deploy the deployments.
 	Bin    string
 	Deploy string
-	// Observe is how long a deployment that serves nobody is watched.
-	Observe time.Duration
+	// ObservationTime is how long a deployment without callers is measured.
+	ObservationTime time.Duration
 }
 
 // startTimeout bounds how long a deployment may take to serve.
@@ -53,7 +53,7 @@
 
 // idle starts a deployment with that many entries and engines in each data
 // centre and watches it.
-func (p Processes) idle(entries, engines int) (idleFleet, error) {
+func (p ProcessOptions) idle(entries, engines int) (idleFleet, error) {
 	dir, err := os.MkdirTemp("", "goldcrest-capacity-")
 	if err != nil {
 		return idleFleet{}, Failed.Wrap(err, "folder")
@@ -75,7 +75,7 @@
 	return p.watch(bed)
 }
 
-func (p Processes) watch(bed *testbed.Bed) (idleFleet, error) {
+func (p ProcessOptions) watch(bed *testbed.Bed) (idleFleet, error) {
 	entries, err := p.costs(bed.Entries)
 	if err != nil {
 		return idleFleet{}, err
@@ -96,14 +96,14 @@
 	return fleet, nil
 }
 
-// costs watches the processes for Observe.
-func (p Processes) costs(list []*testbed.Process) ([]idleCost, error) {
+// costs measures the processes for ObservationTime.
+func (p ProcessOptions) costs(list []*testbed.Process) ([]idleCost, error) {
 	before, err := readings(list)
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	time.Sleep(p.Observe)
+	time.Sleep(p.ObservationTime)
 	after, err := readings(list)
 	if err != nil {
 		return nil, err
@@ -201,7 +201,7 @@
 
 // processSlopes watch real deployments; each is started once for all of its
 // slopes.
-func (p Processes) slopes() []Slope {
+func (p ProcessOptions) slopes() []Slope {
 	byEntries := memoize(func(n int) (idleFleet, error) { return p.idle(n/dataCentres, 1) })
 	byEngines := memoize(func(n int) (idleFleet, error) { return p.idle(1, n/dataCentres) })
 	var list []Slope
@@ -221,9 +221,9 @@
 		{"idle-follower-bytes", "a follower's bytes", BytesPerSecond, controlRole, func(f idleFleet) float64 { return f.follower.bytes }},
 	} {
 		list = append(list,
-			Slope{Name: s.name + "-per-entry", Role: s.role, What: s.what + ", 3 engines", Size: "entries", Unit: s.unit,
+			Slope{Name: s.name + "-per-entry", Role: s.role, Description: s.what + ", 3 engines", SizeName: "entries", Unit: s.unit,
 				Sizes: []int{3, 9, 18, 36}, Measure: of(byEntries, s.value)},
-			Slope{Name: s.name + "-per-engine", Role: s.role, What: s.what + ", 3 entries", Size: "engines", Unit: s.unit,
+			Slope{Name: s.name + "-per-engine", Role: s.role, Description: s.what + ", 3 entries", SizeName: "engines", Unit: s.unit,
 				Sizes: []int{3, 9, 18, 36}, Measure: of(byEngines, s.value)})
 	}
 	return list
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -27,7 +27,7 @@
 type Progress func(Fit)
 
 // Measure runs all slopes.
-func Measure(p Processes, progress Progress) (Fits, error) {
+func Measure(p ProcessOptions, progress Progress) (Fits, error) {
 	var fits Fits
 	for _, s := range slopes(p) {
 		fit, err := s.Run()
@@ -112,8 +112,8 @@
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, fit := range f {
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s %s | %s per %s | %.3f | [plot](%s/%s.svg) |\n",
-			fit.Name, fit.Role, fit.What, sizesOf(fit), number(fit.Intercept), fit.Unit,
-			number(fit.PerUnit), fit.Size, fit.RSquared, plotsName, fit.Name)
+			fit.Name, fit.Role, fit.Description, sizesOf(fit), number(fit.Intercept), fit.Unit,
+			number(fit.PerUnit), fit.SizeName, fit.RSquared, plotsName, fit.Name)
 	}
 	return b.String()
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -23,11 +23,11 @@
 	Name string
 	// Role is whose cost it is: entry, control replica, operator tool.
 	Role string
-	// What says in words what one value is.
-	What string
-	// Size says what grows, Unit what is measured.
-	Size string
-	Unit Unit
+	// Description says in words what one value is.
+	Description string
+	// SizeName names the quantity that grows; Unit is the unit of the cost.
+	SizeName string
+	Unit     Unit
 	// Sizes are at least four.
 	Sizes []int
 	// Measure gives the cost at a size.
@@ -42,12 +42,12 @@
 
 // Fit is a slope with its measurements and the line through them.
 type Fit struct {
-	Name   string  `json:"name"`
-	Role   string  `json:"role"`
-	What   string  `json:"what"`
-	Size   string  `json:"size"`
-	Unit   Unit    `json:"unit"`
-	Points []Point `json:"points"`
+	Name        string  `json:"name"`
+	Role        string  `json:"role"`
+	Description string  `json:"what"`
+	SizeName    string  `json:"size"`
+	Unit        Unit    `json:"unit"`
+	Points      []Point `json:"points"`
 	// Intercept and PerUnit are the line's; RSquared tells how well it fits.
 	Intercept float64 `json:"intercept"`
 	PerUnit   float64 `json:"per_unit"`
@@ -59,7 +59,7 @@
 
 // Run measures a slope at all its sizes and fits the line.
 func (s Slope) Run() (Fit, error) {
-	fit := Fit{Name: s.Name, Role: s.Role, What: s.What, Size: s.Size, Unit: s.Unit}
+	fit := Fit{Name: s.Name, Role: s.Role, Description: s.Description, SizeName: s.SizeName, Unit: s.Unit}
 	xs := make([]float64, 0, len(s.Sizes))
 	ys := make([]float64, 0, len(s.Sizes))
 	for _, size := range s.Sizes {
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // slopes are all slopes that the page is worked out from.
-func slopes(p Processes) []Slope {
+func slopes(p ProcessOptions) []Slope {
 	return slices.Concat(
 		messageSlopes(),
 		entrySlopes(),
--- a/internal/proof/build.go
+++ b/internal/proof/build.go
@@ -14,8 +14,8 @@
 // Failed is the type of errors of a proof that can't be carried out.
 var Failed = Namespace.NewType("failed")
 
-// Root gives the folder with go.mod above the working folder. Errors: Failed.
-func Root() (string, error) {
+// ModuleRoot returns the nearest directory with a go.mod, from the working directory upwards. Errors: Failed.
+func ModuleRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return "", Failed.Wrap(err, "working folder")
--- a/internal/proof/control/control_test.go
+++ b/internal/proof/control/control_test.go
@@ -36,7 +36,7 @@
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "goldcrest-control-")
 	if err == nil {
-		root, err = proof.Root()
+		root, err = proof.ModuleRoot()
 	}
 	bin = filepath.Join(dir, "bin")
 	if err == nil {
--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -10,8 +10,8 @@
 // inject waits until streams are under way and lets the fault happen.
 func inject(t *testing.T, tr *Trial, name string) func(context.Context) {
 	return func(ctx context.Context) {
-		pause(ctx, FaultAt)
-		if err := FaultNamed(name).Inject(ctx, tr); err != nil {
+		pause(ctx, FaultDelay)
+		if err := FaultByName(name).Inject(ctx, tr); err != nil {
 			t.Error(err)
 		}
 	}
@@ -31,7 +31,7 @@
 // the engine would have given.
 func TestEngineKilledMidStream(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runUnnoticed(t, ctx, tr, Mixed(seed), inject(t, tr, "engine killed"))
+		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "engine killed"))
 	})
 }
 
@@ -39,7 +39,7 @@
 // killed. The caller asks another entry of its list to go on and gets the rest.
 func TestEntryKilledMidStream(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		out := run(t, ctx, tr, Mixed(seed), inject(t, tr, "entry killed"))
+		out := run(t, ctx, tr, MixedLoad(seed), inject(t, tr, "entry killed"))
 		if out.Resumes() == 0 {
 			t.Error("no stream was resumed: the fault met none")
 		}
@@ -51,7 +51,7 @@
 // entry, which must find another engine too.
 func TestEngineAndEntryKilledAtOnce(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		run(t, ctx, tr, Mixed(seed), inject(t, tr, "engine and entry killed"))
+		run(t, ctx, tr, MixedLoad(seed), inject(t, tr, "engine and entry killed"))
 	})
 }
 
@@ -59,7 +59,7 @@
 // The streams go on elsewhere; when it thaws, its late tokens go nowhere.
 func TestEngineFrozenAndThawed(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runUnnoticed(t, ctx, tr, Mixed(seed), inject(t, tr, "engine frozen"))
+		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "engine frozen"))
 	})
 }
 
@@ -69,7 +69,7 @@
 func TestOpenConnectionsGoSilent(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, _ *Trial, seed uint64) {
 		tr := NewTrial(forwardedBed(t, ctx), seed)
-		runUnnoticed(t, ctx, tr, Mixed(seed), inject(t, tr, "open connections silent"))
+		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "open connections silent"))
 	})
 }
 
@@ -78,6 +78,6 @@
 // leader and still run once.
 func TestControlLeaderKilled(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runUnnoticed(t, ctx, tr, Mixed(seed), inject(t, tr, "control leader killed"))
+		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "control leader killed"))
 	})
 }
--- a/internal/proof/faults.go
+++ b/internal/proof/faults.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// FaultAt is when faults begin: streams of the load are under way then.
-	FaultAt = 1200 * time.Millisecond
+	// FaultDelay is the time from the start of a trial's load to the fault: streams
+	// are in progress by then.
+	FaultDelay = 1200 * time.Millisecond
 	// frozenFor is how long a frozen engine stays so: longer than an entry
 	// waits for a silent stream.
 	frozenFor = 4 * time.Second
@@ -23,8 +24,8 @@
 // Fault is something that goes wrong in the middle of load.
 type Fault struct {
 	Name string
-	// Forward tells that it needs forwarders before the engines.
-	Forward bool
+	// NeedsForwarders says that the fault needs forwarders in front of the engines.
+	NeedsForwarders bool
 	// Inject does it. Errors: testbed.Failed, of the journals.
 	Inject func(context.Context, *Trial) error
 }
@@ -36,12 +37,12 @@
 	{Name: "entry killed", Inject: killEntry},
 	{Name: "engine and entry killed", Inject: killBoth},
 	{Name: "engine frozen", Inject: freezeEngine},
-	{Name: "open connections silent", Forward: true, Inject: silenceConnections},
+	{Name: "open connections silent", NeedsForwarders: true, Inject: silenceConnections},
 	{Name: "control leader killed", Inject: killLeader},
 }
 
-// FaultNamed gives the fault with that name, or nil.
-func FaultNamed(name string) *Fault {
+// FaultByName returns the fault with that name, or nil.
+func FaultByName(name string) *Fault {
 	for i := range Faults {
 		if Faults[i].Name == name {
 			return &Faults[i]
@@ -114,18 +115,18 @@
 	Fault string `json:"fault"`
 	Seeds int    `json:"seeds"`
 	// Accepted requests are those that were not refused as not run.
-	Accepted   int     `json:"accepted"`
-	Whole      int     `json:"whole"`
-	ShareWhole float64 `json:"share_whole"`
-	Doubled    int     `json:"doubled"`
-	Resumes    int     `json:"resumes"`
-	// Moved streams ran at more than one engine or were resumed by their
-	// callers; MovedStall is the longest silence that each of these callers saw,
-	// Stall that of all streams, in milliseconds.
-	Moved      int               `json:"moved"`
-	MovedStall workload.Quantile `json:"moved_stall_ms"`
-	Stall      workload.Quantile `json:"stall_ms"`
-	Findings   []string          `json:"findings,omitempty"`
+	Accepted      int     `json:"accepted"`
+	Complete      int     `json:"whole"`
+	CompleteShare float64 `json:"share_whole"`
+	Doubled       int     `json:"doubled"`
+	Resumes       int     `json:"resumes"`
+	// Migrated streams ran on more than one engine or were resumed by their
+	// callers. MigratedStall has the longest silence that each of these callers
+	// saw, Stall that of all streams, both in milliseconds.
+	Migrated      int               `json:"moved"`
+	MigratedStall workload.Quantile `json:"moved_stall_ms"`
+	Stall         workload.Quantile `json:"stall_ms"`
+	Findings      []string          `json:"findings,omitempty"`
 }
 
 // faultSums adds trials up.
@@ -143,18 +144,18 @@
 	r, c := &s.report, out.Counts
 	r.Seeds++
 	r.Accepted += c.Requests - c.RefusedNotRun
-	r.Whole += c.Whole
+	r.Complete += c.Whole
 	r.Doubled += c.Doubled
 	r.Resumes += out.Resumes()
 	r.Findings = append(r.Findings, c.Findings...)
 	runs := startsByMark(out.Records)
-	for _, d := range out.Done {
+	for _, d := range out.Results {
 		if d.Path != "" || !d.Result.Whole {
 			continue
 		}
 		s.all.Add(longest(d))
 		if runs[d.Mark] > 1 || d.Result.Resumes > 0 {
-			r.Moved++
+			r.Migrated++
 			s.moved.Add(longest(d))
 		}
 	}
@@ -166,8 +167,8 @@
 
 func (s *faultSums) sum() FaultReport {
 	r := s.report
-	r.ShareWhole = float64(r.Whole) / float64(max(r.Accepted, 1))
-	r.Stall, r.MovedStall = s.all.Quantile(), s.moved.Quantile()
+	r.CompleteShare = float64(r.Complete) / float64(max(r.Accepted, 1))
+	r.Stall, r.MigratedStall = s.all.Quantile(), s.moved.Quantile()
 	return r
 }
 
--- a/internal/proof/fixture_test.go
+++ b/internal/proof/fixture_test.go
@@ -24,7 +24,7 @@
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "goldcrest-proof-")
 	if err == nil {
-		root, err = Root()
+		root, err = ModuleRoot()
 	}
 	bin = filepath.Join(dir, "bin")
 	if err == nil {
@@ -145,7 +145,7 @@
 func runUnnoticed(t *testing.T, ctx context.Context, tr *Trial, l Load, faults func(context.Context)) *Outcome {
 	t.Helper()
 	out := run(t, ctx, tr, l, faults)
-	for _, d := range out.Done {
+	for _, d := range out.Results {
 		if d.Result.Resumes > 0 {
 			t.Errorf("%s %s: its caller had to resume it %d times: %v", d.Class, d.Mark, d.Result.Resumes, d.Result.Err)
 		}
@@ -158,7 +158,7 @@
 	t.Helper()
 	c := out.Counts
 	t.Logf("requests %d, whole %d, refused not run %d, unknown %d, resumes %d, %s",
-		c.Requests, c.Whole, c.RefusedNotRun, c.Unknown, out.Resumes(), out.Stall())
+		c.Requests, c.Whole, c.RefusedNotRun, c.Unknown, out.Resumes(), out.GapSummary())
 	for _, f := range c.Findings {
 		t.Error(f)
 	}
--- a/internal/proof/measure.go
+++ b/internal/proof/measure.go
@@ -10,9 +10,9 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// Mixed is the load of most trials: long streams with plain calls beside them.
-func Mixed(seed uint64) Load {
-	return Load{Seed: seed, Duration: 3 * time.Second, Streams: 12, Bulk: 3, Once: 8, Lookups: 6}
+// MixedLoad is the load of most trials: long streams with plain calls beside them.
+func MixedLoad(seed uint64) Load {
+	return Load{Seed: seed, Duration: 3 * time.Second, StreamRate: 12, BulkRate: 3, OnceRate: 8, LookupRate: 6}
 }
 
 // MeasureFaults plays the mixed load with each fault, for seeds 1 to n, each
@@ -38,7 +38,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, Failed.Wrap(err, "folder")
 	}
-	bed, err := NewBed(root, bin, dir, f.Forward)
+	bed, err := NewBed(root, bin, dir, f.NeedsForwarders)
 	if err != nil {
 		return nil, err
 	}
@@ -47,8 +47,8 @@
 		return nil, err
 	}
 	var failed error
-	out, err := NewTrial(bed, seed).Run(ctx, Mixed(seed), func(ctx context.Context) {
-		pause(ctx, FaultAt)
+	out, err := NewTrial(bed, seed).Run(ctx, MixedLoad(seed), func(ctx context.Context) {
+		pause(ctx, FaultDelay)
 		failed = f.Inject(ctx, NewTrial(bed, seed))
 	})
 	if failed != nil {
--- a/internal/proof/member_test.go
+++ b/internal/proof/member_test.go
@@ -18,7 +18,7 @@
 
 // question makes a completion with its audit record.
 func question(member, extra string, tokens int, rng *rand.Rand) (caller.Completion, audit.Done) {
-	mark := RunName()
+	mark := UniqueName()
 	prompt := workload.Prompt(member, "question", mark, 50, 100, rng) + extra
 	req := caller.Completion{
 		ID: uuid.NewString(), Service: ServiceUrgent, Prompt: prompt, MaxTokens: tokens, Seed: rng.Uint64() >> 12,
@@ -51,7 +51,7 @@
 		ask()
 		wg.Wait()
 		ask()
-		out, err := tr.Judge([]audit.Done{own, foreign})
+		out, err := tr.Audit([]audit.Done{own, foreign})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,8 +70,8 @@
 			e.Expect()
 		}
 		var last *caller.Result
-		out := run(t, ctx, tr, Load{Seed: seed, Duration: 4 * time.Second, Streams: 12}, func(ctx context.Context) {
-			pause(ctx, FaultAt)
+		out := run(t, ctx, tr, Load{Seed: seed, Duration: 4 * time.Second, StreamRate: 12}, func(ctx context.Context) {
+			pause(ctx, FaultDelay)
 			for range 4 {
 				poison.ID = uuid.NewString()
 				last = tr.Callers[Members[0]].Complete(ctx, poison)
--- a/internal/proof/once.go
+++ b/internal/proof/once.go
@@ -20,14 +20,14 @@
 	Member string
 	Key    string
 	Mark   string
-	// Late is how long the backend server takes, in the query's form.
-	Late string
+	// Delay is how long the backend server takes to answer, as a Go duration.
+	Delay string
 }
 
 // NewOnceCall draws a key and a mark.
 func NewOnceCall(member, late string) OnceCall {
 	return OnceCall{
-		Member: member, Late: late, Key: uuid.Must(uuid.NewV7()).String(), Mark: RunName(),
+		Member: member, Delay: late, Key: uuid.Must(uuid.NewV7()).String(), Mark: UniqueName(),
 	}
 }
 
@@ -53,7 +53,7 @@
 	began := time.Now()
 	res := c.Call(ctx, caller.Call{
 		ID: uuid.NewString(), Service: ServicePlain, Method: "GET", Key: call.Key, Entry: entry,
-		Path: PathOnce + "?mark=" + call.Mark + "&late=" + call.Late,
+		Path: PathOnce + "?mark=" + call.Mark + "&late=" + call.Delay,
 	})
 	ended := time.Now()
 	h.mu.Lock()
@@ -76,8 +76,8 @@
 	return onceOutput{run: got.Run, replayed: res.Replayed}
 }
 
-// Done gives all sends as the audit takes them.
-func (h *OnceHistory) Done() []audit.Done {
+// Results returns all sends in the form that the audit takes.
+func (h *OnceHistory) Results() []audit.Done {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.done
--- a/internal/proof/once_test.go
+++ b/internal/proof/once_test.go
@@ -41,7 +41,7 @@
 
 func checkOnce(t *testing.T, tr *Trial, h *OnceHistory) {
 	t.Helper()
-	out, err := tr.Judge(h.Done())
+	out, err := tr.Audit(h.Results())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proof/orders_test.go
+++ b/internal/proof/orders_test.go
@@ -16,8 +16,8 @@
 // second and cuts nobody's answer.
 func TestRoleChangeUnderLoadCutsNoStream(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		out := runUnnoticed(t, ctx, tr, Mixed(seed), func(ctx context.Context) {
-			pause(ctx, FaultAt)
+		out := runUnnoticed(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
+			pause(ctx, FaultDelay)
 			engine := busiest(t, tr, tr.Bed.Engines).Name
 			for _, role := range []string{"decode", "mixed"} {
 				changeRole(t, ctx, tr, engine, role)
@@ -79,7 +79,7 @@
 func TestUncheckedEngineGetsNoConflictingOrders(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		engine := tr.Bed.Process("engine-b1").Name
-		l := Load{Seed: seed, Duration: 8 * time.Second, Streams: 2}
+		l := Load{Seed: seed, Duration: 8 * time.Second, StreamRate: 2}
 		out := run(t, ctx, tr, l, func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, l.Duration)
 			defer cancel()
--- a/internal/proof/overload_test.go
+++ b/internal/proof/overload_test.go
@@ -22,8 +22,8 @@
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		for _, engines := range overloadEngines {
 			leaveEngines(tr, engines)
-			busy := NewBusyTrial(tr.Bed, seed, time.Second)
-			out := run(t, ctx, busy, Load{Seed: seed, Duration: 3 * time.Second, Streams: 250}, inject(t, busy, "engine killed"))
+			busy := NewTrialWithRetryLimit(tr.Bed, seed, time.Second)
+			out := run(t, ctx, busy, Load{Seed: seed, Duration: 3 * time.Second, StreamRate: 250}, inject(t, busy, "engine killed"))
 			if out.Counts.RefusedNotRun > 0 || t.Failed() {
 				return
 			}
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -26,8 +26,8 @@
 // there. Each gets the rest; callers with an old list of entries are served.
 func TestPlannedStopOfAnEntryCutsNothing(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runUnnoticed(t, ctx, tr, Mixed(seed), func(ctx context.Context) {
-			pause(ctx, FaultAt)
+		runUnnoticed(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
+			pause(ctx, FaultDelay)
 			stop(t, tr.Bed.Entries[0])
 		})
 	})
@@ -38,11 +38,11 @@
 // until the last list with its address has run out: none may need a second try.
 func TestStoppingEntryServesCallersWithOldLists(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		out := run(t, ctx, tr, Load{Seed: seed, Duration: 3 * time.Second, Lookups: 80}, func(ctx context.Context) {
-			pause(ctx, FaultAt)
+		out := run(t, ctx, tr, Load{Seed: seed, Duration: 3 * time.Second, LookupRate: 80}, func(ctx context.Context) {
+			pause(ctx, FaultDelay)
 			stop(t, tr.Bed.Entries[0])
 		})
-		for _, d := range out.Done {
+		for _, d := range out.Results {
 			if d.Result.Tries > 1 {
 				t.Errorf("%s %s: %d tries, %v", d.Class, d.Mark, d.Result.Tries, d.Result.Err)
 			}
@@ -55,8 +55,8 @@
 // sends it new work.
 func TestPlannedStopOfAnEngineCutsNothing(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		out := runUnnoticed(t, ctx, tr, Mixed(seed), func(ctx context.Context) {
-			pause(ctx, FaultAt)
+		out := runUnnoticed(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
+			pause(ctx, FaultDelay)
 			stop(t, busiest(t, tr, tr.Bed.Engines))
 		})
 		checkNoNewWork(t, out.Records)
@@ -68,8 +68,8 @@
 // work after two seconds, cut off as it is.
 func TestLeavingServerGetsNoNewWorkFromCutOffEntries(t *testing.T) {
 	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		out := run(t, ctx, tr, Load{Seed: seed, Duration: 5500 * time.Millisecond, Streams: 20}, func(ctx context.Context) {
-			pause(ctx, FaultAt)
+		out := run(t, ctx, tr, Load{Seed: seed, Duration: 5500 * time.Millisecond, StreamRate: 20}, func(ctx context.Context) {
+			pause(ctx, FaultDelay)
 			for _, c := range tr.Bed.Control {
 				c.Kill()
 			}
--- a/internal/proof/tls_test.go
+++ b/internal/proof/tls_test.go
@@ -29,9 +29,9 @@
 	if err := b.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	load := Load{Seed: 1, Duration: Mixed(1).Duration, Streams: 4, Once: 4, Lookups: 4}
+	load := Load{Seed: 1, Duration: MixedLoad(1).Duration, StreamRate: 4, OnceRate: 4, LookupRate: 4}
 	run(t, ctx, NewTrial(b, 1), load, func(ctx context.Context) {
-		pause(ctx, FaultAt)
+		pause(ctx, FaultDelay)
 		leader, err := b.Leader(ctx)
 		if err != nil {
 			t.Error(err)
--- a/internal/proof/trial.go
+++ b/internal/proof/trial.go
@@ -22,11 +22,11 @@
 
 // Names from the deployment's declaration.
 const (
-	ServiceUrgent = "statement-line"
-	ServiceBulk   = "reconciliation"
-	ServicePlain  = "members"
-	PathOnce      = "/balances"
-	PathRepeat    = "/payouts"
+	ServiceUrgent  = "statement-line"
+	ServiceBulk    = "reconciliation"
+	ServicePlain   = "members"
+	PathOnce       = "/balances"
+	PathRepeatable = "/payouts"
 )
 
 // Members of the deployment.
@@ -36,11 +36,11 @@
 type Load struct {
 	Seed     uint64
 	Duration time.Duration
-	// Streams, Bulk, Once and Lookups are requests a second.
-	Streams float64
-	Bulk    float64
-	Once    float64
-	Lookups float64
+	// The rates are in requests per second.
+	StreamRate float64
+	BulkRate   float64
+	OnceRate   float64
+	LookupRate float64
 }
 
 // longTokens makes streams last long enough for a fault to meet them.
@@ -61,15 +61,15 @@
 	}
 	for _, c := range []workload.Class{
 		{
-			Name: "question", Service: ServiceUrgent, Rate: l.Streams,
+			Name: "question", Service: ServiceUrgent, Rate: l.StreamRate,
 			PromptTokens: workload.Range{Min: 50, Max: 800}, OutputTokens: workload.Range{Min: 100, Max: longTokens},
 		},
 		{
-			Name: "statement", Service: ServiceBulk, Rate: l.Bulk, SharedTokens: 600,
+			Name: "statement", Service: ServiceBulk, Rate: l.BulkRate, SharedTokens: 600,
 			PromptTokens: workload.Range{Min: 1000, Max: 4000}, OutputTokens: workload.Range{Min: longTokens, Max: longTokens * 3 / 2},
 		},
-		{Name: "balance", Service: ServicePlain, Rate: l.Once, Method: "GET", Path: PathOnce, Once: true},
-		{Name: "payouts", Service: ServicePlain, Rate: l.Lookups, Method: "GET", Path: PathRepeat},
+		{Name: "balance", Service: ServicePlain, Rate: l.OnceRate, Method: "GET", Path: PathOnce, Once: true},
+		{Name: "payouts", Service: ServicePlain, Rate: l.LookupRate, Method: "GET", Path: PathRepeatable},
 	} {
 		if c.Rate > 0 {
 			w.Classes = append(w.Classes, c)
@@ -85,10 +85,13 @@
 }
 
 // NewTrial gives each member a caller, spread over the data centres.
-func NewTrial(bed *testbed.Bed, seed uint64) *Trial { return NewBusyTrial(bed, seed, patience) }
+func NewTrial(bed *testbed.Bed, seed uint64) *Trial {
+	return NewTrialWithRetryLimit(bed, seed, patience)
+}
 
-// NewBusyTrial is NewTrial with callers that give up on refusals after a while.
-func NewBusyTrial(bed *testbed.Bed, seed uint64, retryFor time.Duration) *Trial {
+// NewTrialWithRetryLimit is NewTrial with callers that retry refused requests for
+// at most retryFor.
+func NewTrialWithRetryLimit(bed *testbed.Bed, seed uint64, retryFor time.Duration) *Trial {
 	t := &Trial{Bed: bed, Callers: make(map[string]*caller.Client)}
 	for i, member := range Members {
 		t.Callers[member] = caller.New(caller.Config{
@@ -103,31 +106,33 @@
 // runs numbers the trials of this process, so that their marks differ.
 var runs atomic.Uint64
 
-// RunName gives a name that no other trial of this process has.
-func RunName() string {
+// UniqueName returns a name that no other trial or call has, in this process or
+// in another.
+func UniqueName() string {
 	return "t" + strconv.FormatInt(time.Now().UnixNano(), 36) + "n" + strconv.FormatUint(runs.Add(1), 10)
 }
 
 // Outcome is what a trial found.
 type Outcome struct {
 	Counts  *audit.Counts
-	Done    []audit.Done
+	Results []audit.Done
 	Records []journal.Record
 }
 
 // Resumes sums the resumes of all callers.
 func (o *Outcome) Resumes() int {
 	sum := 0
-	for _, d := range o.Done {
+	for _, d := range o.Results {
 		sum += d.Result.Resumes
 	}
 	return sum
 }
 
-// Stall sums up the longest silence that each stream's caller saw.
-func (o *Outcome) Stall() string {
+// GapSummary describes the distribution over all streams of the longest gap
+// between two tokens.
+func (o *Outcome) GapSummary() string {
 	h := workload.NewHistogram()
-	for _, d := range o.Done {
+	for _, d := range o.Results {
 		if d.Result.Whole && d.Result.FirstToken > 0 {
 			h.Add(d.Result.LongestGap)
 		}
@@ -141,19 +146,19 @@
 func (t *Trial) Run(ctx context.Context, l Load, faults func(context.Context)) (*Outcome, error) {
 	var wg conc.WaitGroup
 	wg.Go(func() { faults(ctx) })
-	arrivals := l.workload().Schedule(RunName())
+	arrivals := l.workload().Schedule(UniqueName())
 	done := (&workload.Player{Callers: t.Callers}).Play(ctx, arrivals)
 	wg.Wait()
-	return t.Judge(done)
+	return t.Audit(done)
 }
 
-// Judge compares results with the journals. Errors: of the journals.
-func (t *Trial) Judge(done []audit.Done) (*Outcome, error) {
+// Audit compares results with the journals. Errors: of the journals.
+func (t *Trial) Audit(done []audit.Done) (*Outcome, error) {
 	records, err := t.Bed.Journals()
 	if err != nil {
 		return nil, err
 	}
-	return &Outcome{Counts: audit.Check(done, records), Done: done, Records: records}, nil
+	return &Outcome{Counts: audit.Check(done, records), Results: done, Records: records}, nil
 }
 
 // Busiest gives the process among those given whose stand-in has started the
