--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -7,77 +7,77 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// inject waits until streams are under way and lets the fault happen.
-func inject(t *testing.T, tr *Trial, name string) func(context.Context) {
+// injectFault returns a function that waits until streams are in progress and then
+// injects the fault.
+func injectFault(t *testing.T, tr *Trial, name string) func(context.Context) {
 	return func(ctx context.Context) {
-		pause(ctx, FaultDelay)
+		sleep(ctx, FaultDelay)
 		if err := FaultByName(name).Inject(ctx, tr); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-func busiest(t *testing.T, tr *Trial, among []*testbed.Process) *testbed.Process {
-	p, err := tr.Busiest(among)
+func busiestProcess(t *testing.T, tr *Trial, candidates []*testbed.Process) *testbed.Process {
+	p, err := tr.Busiest(candidates)
 	if err != nil {
 		t.Error(err)
-		return among[0]
+		return candidates[0]
 	}
 	return p
 }
 
-// A songwriter reads an answer as it comes. The engine that makes it is killed
-// in the middle. The caller sees a pause and then the rest, byte for byte what
-// the engine would have given.
+// The engine that produces a stream is killed in the middle. The caller must see
+// only a pause and then the rest, byte for byte what the engine would have sent.
 func TestEngineKilledMidStream(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "engine killed"))
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "engine killed"))
 	})
 }
 
-// An accountant's connection ends in the middle of an answer: the entry was
-// killed. The caller asks another entry of its list to go on and gets the rest.
+// An entry is killed while it relays a stream, which closes the caller's connection.
+// The caller resumes the stream at another entry and must get the rest.
 func TestEntryKilledMidStream(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		out := run(t, ctx, tr, MixedLoad(seed), inject(t, tr, "entry killed"))
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		out := runTrial(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "entry killed"))
 		if out.Resumes() == 0 {
-			t.Error("no stream was resumed: the fault met none")
+			t.Error("no stream was resumed: the killed entry relayed none")
 		}
 	})
 }
 
-// A data centre's power fails for one rack: the entry that relays an answer and
-// the engine that makes it go at the same moment. The caller resumes at another
-// entry, which must find another engine too.
+// A rack loses power: the entry that relays a stream and the engine that produces it
+// die at the same moment. The caller resumes at another entry, which must also move
+// the stream to another engine.
 func TestEngineAndEntryKilledAtOnce(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		run(t, ctx, tr, MixedLoad(seed), inject(t, tr, "engine and entry killed"))
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		runTrial(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "engine and entry killed"))
 	})
 }
 
-// An engine's VM freezes: its connections stay open and nothing comes any more.
-// The streams go on elsewhere; when it thaws, its late tokens go nowhere.
+// An engine's VM freezes: its connections stay open but carry no more data. The
+// streams must continue on other engines, and tokens that the engine sends when it
+// resumes must not reach callers.
 func TestEngineFrozenAndThawed(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "engine frozen"))
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "engine frozen"))
 	})
 }
 
-// A device on the path loses track of the open connections to every engine.
-// They stay open and silent for good, new ones work. No stream may wait for
-// them: the entry opens fresh ones and goes on there.
+// A network device drops its state of the open connections to every engine: they
+// stay open but silent forever, while new ones work. No stream may wait for them:
+// the entry must continue the streams over new connections.
 func TestOpenConnectionsGoSilent(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, _ *Trial, seed uint64) {
-		tr := NewTrial(forwardedBed(t, ctx), seed)
-		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "open connections silent"))
+	forEachSeed(t, func(t *testing.T, ctx context.Context, _ *Trial, seed uint64) {
+		tr := NewTrial(newForwardedBed(t, ctx), seed)
+		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "open connections silent"))
 	})
 }
 
-// The control replica that leads is killed in the middle of load, and comes
-// back. Streams and lookups don't notice; once-only calls wait for the next
-// leader and still run once.
+// The control leader is killed under load and restarted. Streams and lookups must
+// not be affected; once-only calls wait for the next leader and still run once.
 func TestControlLeaderKilled(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runUnnoticed(t, ctx, tr, MixedLoad(seed), inject(t, tr, "control leader killed"))
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "control leader killed"))
 	})
 }
--- a/internal/proof/credentials_test.go
+++ b/internal/proof/credentials_test.go
@@ -10,17 +10,17 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// checkNoCredentialWritten fails the test where a member's token stands in a log, a journal, a settings file or the
-// data of any process.
+// checkNoCredentialWritten fails the test if a log, a journal, a settings file or the
+// data of any process contains a member's token.
 func checkNoCredentialWritten(t *testing.T, b *testbed.Bed) {
 	t.Helper()
-	if leaks := writtenCredentials(t, b.Dir()); len(leaks) > 0 {
-		t.Errorf("credentials stand in %v", leaks)
+	if leaks := filesWithCredentials(t, b.Dir()); len(leaks) > 0 {
+		t.Errorf("files with credentials: %v", leaks)
 	}
 }
 
-// writtenCredentials lists the files below a folder that hold a member's token.
-func writtenCredentials(t *testing.T, dir string) []string {
+// filesWithCredentials lists the files below dir that contain a member's token.
+func filesWithCredentials(t *testing.T, dir string) []string {
 	t.Helper()
 	var leaks []string
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -44,7 +44,7 @@
 	return leaks
 }
 
-// Guards against a check of written credentials that finds none wherever they stand.
+// Guards against a check that misses a credential in a written file.
 func TestWrittenCredentialIsFound(t *testing.T) {
 	dir := t.TempDir()
 	line := `{"msg":"call","header":"Bearer ` + testbed.Token(Deployment, Members[1]) + `"}`
@@ -54,7 +54,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "logs", "entry"), []byte(line), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if leaks := writtenCredentials(t, dir); len(leaks) != 1 {
-		t.Errorf("found in %v", leaks)
+	if leaks := filesWithCredentials(t, dir); len(leaks) != 1 {
+		t.Errorf("files with credentials: %v", leaks)
 	}
 }
--- a/internal/proof/doc.go
+++ b/internal/proof/doc.go
@@ -1,8 +1,8 @@
-// Package proof proves the promises of the system on real processes: a whole
-// deployment on loopback, callers that behave well, faults in the middle of
-// load, and the comparison of what callers got with what the stand-in backend
-// servers wrote down.
+// Package proof tests the guarantees of the system end to end on real processes:
+// it runs a complete deployment on loopback with well-behaved callers, injects
+// faults under load, and compares what callers received with what the stand-in
+// backend servers recorded in their journals.
 //
-// Its tests hold one story each. docs/PROOFS.md lists them with what they
-// assume and what they don't prove.
+// Each test covers one failure scenario. docs/PROOFS.md lists them with their
+// assumptions and with what they don't prove.
 package proof
--- a/internal/proof/faults.go
+++ b/internal/proof/faults.go
@@ -14,30 +14,30 @@
 	// FaultDelay is the time from the start of a trial's load to the fault: streams
 	// are in progress by then.
 	FaultDelay = 1200 * time.Millisecond
-	// frozenFor is how long a frozen engine stays so: longer than an entry
-	// waits for a silent stream.
-	frozenFor = 4 * time.Second
-	// leaderGone is how long a killed control replica stays away.
-	leaderGone = 2 * time.Second
+	// freezeDuration is how long a frozen engine stays stopped: longer than an
+	// entry waits for the next token of a stream.
+	freezeDuration = 4 * time.Second
+	// leaderDowntime is the time from the kill of a control leader to its restart.
+	leaderDowntime = 2 * time.Second
 )
 
-// Fault is something that goes wrong in the middle of load.
+// Fault is a failure that is injected under load.
 type Fault struct {
 	Name string
 	// NeedsForwarders says that the fault needs forwarders in front of the engines.
 	NeedsForwarders bool
-	// Inject does it. Errors: testbed.Failed, of the journals.
+	// Inject causes the fault. Errors: testbed.Failed, errors of reading journals.
 	Inject func(context.Context, *Trial) error
 }
 
-// Faults are those that are measured and proved.
+// Faults lists the faults that are measured and tested.
 var Faults = []Fault{
 	{Name: "none", Inject: func(context.Context, *Trial) error { return nil }},
 	{Name: "engine killed", Inject: killEngine},
 	{Name: "entry killed", Inject: killEntry},
-	{Name: "engine and entry killed", Inject: killBoth},
+	{Name: "engine and entry killed", Inject: killEngineAndEntry},
 	{Name: "engine frozen", Inject: freezeEngine},
-	{Name: "open connections silent", NeedsForwarders: true, Inject: silenceConnections},
+	{Name: "open connections silent", NeedsForwarders: true, Inject: blackholeOpenConnections},
 	{Name: "control leader killed", Inject: killLeader},
 }
 
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func killBoth(_ context.Context, t *Trial) error {
+func killEngineAndEntry(_ context.Context, t *Trial) error {
 	engine, err := t.Busiest(t.Bed.Engines)
 	if err != nil {
 		return err
@@ -82,11 +82,11 @@
 	}
 	engine.Signal(syscall.SIGSTOP)
 	defer engine.Signal(syscall.SIGCONT)
-	pause(ctx, frozenFor)
+	sleep(ctx, freezeDuration)
 	return nil
 }
 
-func silenceConnections(_ context.Context, t *Trial) error {
+func blackholeOpenConnections(_ context.Context, t *Trial) error {
 	for _, f := range t.Bed.Forwarders {
 		f.SilenceOpen()
 	}
@@ -99,27 +99,30 @@
 		return err
 	}
 	leader.Kill()
-	pause(ctx, leaderGone)
+	sleep(ctx, leaderDowntime)
 	return leader.Start()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// FaultReport is what callers saw of one fault over several seeds.
+// FaultReport is what callers observed under one fault, over several seeds.
 type FaultReport struct {
 	Fault string `json:"fault"`
 	Seeds int    `json:"seeds"`
-	// Accepted requests are those that were not refused as not run.
+	// Accepted counts all requests except those refused with outcome "not run";
+	// Complete counts answers that were complete and byte for byte correct.
 	Accepted      int     `json:"accepted"`
 	Complete      int     `json:"whole"`
 	CompleteShare float64 `json:"share_whole"`
-	Doubled       int     `json:"doubled"`
-	Resumes       int     `json:"resumes"`
+	// Doubled counts once-only calls that ran more than once.
+	Doubled int `json:"doubled"`
+	// Resumes counts how often callers resumed a stream.
+	Resumes int `json:"resumes"`
 	// Migrated streams ran on more than one engine or were resumed by their
 	// callers. MigratedStall has the longest silence that each of these callers
 	// saw, Stall that of all streams, both in milliseconds.
@@ -129,18 +132,18 @@
 	Findings      []string          `json:"findings,omitempty"`
 }
 
-// faultSums adds trials up.
-type faultSums struct {
-	report FaultReport
-	all    *workload.Histogram
-	moved  *workload.Histogram
+// faultTotals accumulates the trials of one fault.
+type faultTotals struct {
+	report         FaultReport
+	allStalls      *workload.Histogram
+	migratedStalls *workload.Histogram
 }
 
-func newFaultSums(name string) *faultSums {
-	return &faultSums{report: FaultReport{Fault: name}, all: workload.NewHistogram(), moved: workload.NewHistogram()}
+func newFaultTotals(name string) *faultTotals {
+	return &faultTotals{report: FaultReport{Fault: name}, allStalls: workload.NewHistogram(), migratedStalls: workload.NewHistogram()}
 }
 
-func (s *faultSums) add(out *Outcome) {
+func (s *faultTotals) add(out *Outcome) {
 	r, c := &s.report, out.Counts
 	r.Seeds++
 	r.Accepted += c.Requests - c.RefusedNotRun
@@ -148,36 +151,36 @@
 	r.Doubled += c.Doubled
 	r.Resumes += out.Resumes()
 	r.Findings = append(r.Findings, c.Findings...)
-	runs := startsByMark(out.Records)
+	runCounts := startsByMark(out.Records)
 	for _, d := range out.Results {
 		if d.Path != "" || !d.Result.Whole {
 			continue
 		}
-		s.all.Add(longest(d))
-		if runs[d.Mark] > 1 || d.Result.Resumes > 0 {
+		s.allStalls.Add(longestStall(d))
+		if runCounts[d.Mark] > 1 || d.Result.Resumes > 0 {
 			r.Migrated++
-			s.moved.Add(longest(d))
+			s.migratedStalls.Add(longestStall(d))
 		}
 	}
 }
 
-// longest is the longest silence of a stream, the wait for its first token
-// included.
-func longest(d audit.Done) time.Duration { return max(d.Result.FirstToken, d.Result.LongestGap) }
+// longestStall returns the longest time a stream's caller waited for a token,
+// the first one included.
+func longestStall(d audit.Done) time.Duration { return max(d.Result.FirstToken, d.Result.LongestGap) }
 
-func (s *faultSums) sum() FaultReport {
+func (s *faultTotals) result() FaultReport {
 	r := s.report
 	r.CompleteShare = float64(r.Complete) / float64(max(r.Accepted, 1))
-	r.Stall, r.MigratedStall = s.all.Quantile(), s.moved.Quantile()
+	r.Stall, r.MigratedStall = s.allStalls.Quantile(), s.migratedStalls.Quantile()
 	return r
 }
 
 func startsByMark(records []journal.Record) map[string]int {
-	runs := make(map[string]int)
+	counts := make(map[string]int)
 	for _, r := range records {
 		if r.Event == journal.Started {
-			runs[r.Mark]++
+			counts[r.Mark]++
 		}
 	}
-	return runs
+	return counts
 }
--- a/internal/proof/fixture.go
+++ b/internal/proof/fixture.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// timeScale makes the stand-ins' engines four times as quick as real ones:
-	// a long answer takes about two seconds, time enough for a fault.
+	// timeScale makes the stand-in engines four times as fast as real ones: a long
+	// answer takes about two seconds, long enough to inject a fault.
 	timeScale = 4
-	// leaveTime keeps a leaving server answering for longer than the two
-	// seconds after which nobody may send it new work.
+	// leaveTime is how long a leaving server keeps answering: longer than the two
+	// seconds after which no entry may send it new work.
 	leaveTime = 3 * time.Second
-	// changeTime is how long an order takes an engine away, before timeScale.
-	changeTime = 4 * time.Second
-	// restoreTimeout bounds bringing a bed back after a trial.
+	// roleChangeTime is how long a role change keeps an engine out of service,
+	// before division by timeScale.
+	roleChangeTime = 4 * time.Second
+	// restoreTimeout bounds starting a test bed and restoring it after a trial.
 	restoreTimeout = 60 * time.Second
 )
 
-// NewBed gives a bed of smaller size than a deployment's, so that many proofs
-// fit into a test run: 3 control, 6 entries, 6 engines, 3 plain servers. With
-// forward there are forwarders before the engines: a dead engine's address then
-// accepts connections and closes them, where without it it refuses them.
+// NewBed returns a test bed smaller than a full deployment, so that many tests
+// fit into a run: 3 control replicas, 6 entries, 6 engines, 3 plain servers. With
+// forward, forwarders stand in front of the engines: the address of a dead engine
+// then accepts connections and closes them; without, it refuses them.
 func NewBed(root, bin, dir string, forward bool) (*testbed.Bed, error) {
 	return testbed.New(testbed.Options{
 		Bin: bin, Dir: dir, Deployment: Deployment, Deploy: root + "/deploy",
 		Engines: 2, Entries: 2, Forward: forward,
 		Tune: func(c *server.Config) {
-			c.TimeScale, c.LeaveTime, c.ChangeTime = timeScale, leaveTime, changeTime
+			c.TimeScale, c.LeaveTime, c.ChangeTime = timeScale, leaveTime, roleChangeTime
 		},
 	})
 }
 
-// Restore brings a bed back after a trial: everything runs, nothing is stopped
-// or silent, every entry serves. Errors: testbed.Failed.
+// Restore repairs a test bed after a trial: it resumes stopped processes, starts
+// dead ones, clears the faults of forwarders and waits until every entry serves.
+// Errors: testbed.Failed.
 func Restore(ctx context.Context, bed *testbed.Bed) error {
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
--- a/internal/proof/fixture_test.go
+++ b/internal/proof/fixture_test.go
@@ -12,13 +12,13 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// trialTimeout is generous: it ends a test that hangs, it judges nothing.
+// trialTimeout only ends a test that hangs; no test depends on its value.
 const trialTimeout = 3 * time.Minute
 
 var (
 	root, bin string
-	shared    *testbed.Bed
-	beds      int
+	sharedBed *testbed.Bed
+	bedCount  int
 )
 
 func TestMain(m *testing.M) {
@@ -35,8 +35,8 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	if shared != nil {
-		shared.Close()
+	if sharedBed != nil {
+		sharedBed.Close()
 	}
 	if code == 0 || os.Getenv("GOLDCREST_KEEP") == "" {
 		_ = os.RemoveAll(dir)
@@ -44,25 +44,25 @@
 	os.Exit(code)
 }
 
-// bed gives the bed that the tests share, all of it running. A test that fails
-// leaves it behind and the next one starts another.
-func bed(t *testing.T) *testbed.Bed {
+// runningBed returns the test bed that the tests share, with all processes running.
+// A test that fails closes it, and the next one starts another.
+func runningBed(t *testing.T) *testbed.Bed {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	defer cancel()
-	if shared != nil {
-		if err := Restore(ctx, shared); err != nil {
+	if sharedBed != nil {
+		if err := Restore(ctx, sharedBed); err != nil {
 			t.Fatal(err)
 		}
 	} else {
-		shared = newBed(t, ctx, false)
+		sharedBed = newBed(t, ctx, false)
 	}
-	b := shared
+	b := sharedBed
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("logs and journals: %s", b.Dir())
 			b.Close()
-			shared = nil
+			sharedBed = nil
 		}
 	})
 	return b
@@ -70,8 +70,8 @@
 
 func newBed(t *testing.T, ctx context.Context, forward bool) *testbed.Bed {
 	t.Helper()
-	beds++
-	dir := filepath.Join(filepath.Dir(bin), "bed"+strconv.Itoa(beds))
+	bedCount++
+	dir := filepath.Join(filepath.Dir(bin), "bed"+strconv.Itoa(bedCount))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -86,15 +86,16 @@
 	return b
 }
 
-// forwardedBed gives a bed of its own with forwarders before the engines.
-func forwardedBed(t *testing.T, ctx context.Context) *testbed.Bed {
+// newForwardedBed returns a test bed for one test only, with forwarders in front of
+// the engines.
+func newForwardedBed(t *testing.T, ctx context.Context) *testbed.Bed {
 	t.Helper()
 	b := newBed(t, ctx, true)
 	t.Cleanup(b.Close)
 	return b
 }
 
-// seeds gives the seeds to run: one, or GOLDCREST_SEEDS of them.
+// seeds returns the seeds to run, from 1 up: one, or GOLDCREST_SEEDS of them.
 func seeds(t *testing.T) []uint64 {
 	t.Helper()
 	n := 1
@@ -111,12 +112,12 @@
 	return list
 }
 
-// each runs the trial for each seed on a bed that is whole again.
-func each(t *testing.T, trial func(t *testing.T, ctx context.Context, tr *Trial, seed uint64)) {
+// forEachSeed runs the trial for each seed on the restored shared test bed.
+func forEachSeed(t *testing.T, trial func(t *testing.T, ctx context.Context, tr *Trial, seed uint64)) {
 	t.Helper()
 	for _, seed := range seeds(t) {
 		t.Run("seed="+strconv.FormatUint(seed, 10), func(t *testing.T) {
-			b := bed(t)
+			b := runningBed(t)
 			ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 			defer cancel()
 			trial(t, ctx, NewTrial(b, seed), seed)
@@ -124,27 +125,28 @@
 	}
 }
 
-// run plays the load with the faults and checks what must hold in every trial.
-func run(t *testing.T, ctx context.Context, tr *Trial, l Load, faults func(context.Context)) *Outcome {
+// runTrial plays the load with the faults and checks the guarantees that hold in
+// every trial.
+func runTrial(t *testing.T, ctx context.Context, tr *Trial, l Load, injectFaults func(context.Context)) *Outcome {
 	t.Helper()
-	before := len(tr.Bed.Unmeant())
-	out, err := tr.Run(ctx, l, faults)
+	exitsBefore := len(tr.Bed.Unmeant())
+	out, err := tr.Run(ctx, l, injectFaults)
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, out)
+	checkAudit(t, out)
 	checkNoCredentialWritten(t, tr.Bed)
-	if died := tr.Bed.Unmeant(); len(died) > before {
-		t.Errorf("processes ended by themselves: %v", died)
+	if unexpectedExits := tr.Bed.Unmeant(); len(unexpectedExits) > exitsBefore {
+		t.Errorf("processes ended by themselves: %v", unexpectedExits)
 	}
 	return out
 }
 
-// runUnnoticed is run for faults that callers may see as a pause only: none has
-// to resume its stream.
-func runUnnoticed(t *testing.T, ctx context.Context, tr *Trial, l Load, faults func(context.Context)) *Outcome {
+// runWithoutResumes is runTrial for faults that callers may observe only as a pause:
+// no caller may have to resume its stream.
+func runWithoutResumes(t *testing.T, ctx context.Context, tr *Trial, l Load, injectFaults func(context.Context)) *Outcome {
 	t.Helper()
-	out := run(t, ctx, tr, l, faults)
+	out := runTrial(t, ctx, tr, l, injectFaults)
 	for _, d := range out.Results {
 		if d.Result.Resumes > 0 {
 			t.Errorf("%s %s: its caller had to resume it %d times: %v", d.Class, d.Mark, d.Result.Resumes, d.Result.Err)
@@ -153,8 +155,8 @@
 	return out
 }
 
-// check fails the test on every broken promise.
-func check(t *testing.T, out *Outcome) {
+// checkAudit fails the test on every broken guarantee.
+func checkAudit(t *testing.T, out *Outcome) {
 	t.Helper()
 	c := out.Counts
 	t.Logf("requests %d, whole %d, refused not run %d, unknown %d, resumes %d, %s",
--- a/internal/proof/member_test.go
+++ b/internal/proof/member_test.go
@@ -16,82 +16,83 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/workload"
 )
 
-// question makes a completion with its audit record.
-func question(member, extra string, tokens int, rng *rand.Rand) (caller.Completion, audit.Done) {
+// newQuestion returns a completion request with its audit record.
+func newQuestion(member, suffix string, tokens int, rng *rand.Rand) (caller.Completion, audit.Done) {
 	mark := UniqueName()
-	prompt := workload.Prompt(member, "question", mark, 50, 100, rng) + extra
+	prompt := workload.Prompt(member, "question", mark, 50, 100, rng) + suffix
 	req := caller.Completion{
 		ID: uuid.NewString(), Service: ServiceUrgent, Prompt: prompt, MaxTokens: tokens, Seed: rng.Uint64() >> 12,
 	}
 	return req, audit.Done{Class: "question", Member: member, Mark: mark, Prompt: prompt, Seed: req.Seed, Tokens: tokens}
 }
 
-// A rival label learns the id of another's request and asks every entry to
-// resume it. It is told that there is no such request, while it runs and after.
-// Using the same id for a request of its own gives it its own answer only.
+// A member learns the id of another member's request and asks every entry to
+// resume it. Each must answer "not found", while the request runs and afterwards.
+// Two members that use the same request id must each get their own answer only.
 func TestAnotherMembersRequestIsNotFound(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		req, own := question(Members[0], "", longTokens, rng)
-		theirs, foreign := question(Members[1], "", longTokens, rng)
-		theirs.ID = req.ID
-		thief := tr.Callers[Members[2]]
+		req, ownerResult := newQuestion(Members[0], "", longAnswerTokens, rng)
+		sameIDReq, sameIDResult := newQuestion(Members[1], "", longAnswerTokens, rng)
+		sameIDReq.ID = req.ID
+		intruder := tr.Callers[Members[2]]
 		var wg conc.WaitGroup
-		wg.Go(func() { own.Result = tr.Callers[Members[0]].Complete(ctx, req) })
-		wg.Go(func() { foreign.Result = tr.Callers[Members[1]].Complete(ctx, theirs) })
-		pause(ctx, 500*time.Millisecond)
-		ask := func() {
+		wg.Go(func() { ownerResult.Result = tr.Callers[Members[0]].Complete(ctx, req) })
+		wg.Go(func() { sameIDResult.Result = tr.Callers[Members[1]].Complete(ctx, sameIDReq) })
+		sleep(ctx, 500*time.Millisecond)
+		checkNotFound := func() {
 			for _, entry := range tr.Bed.EntryAddresses() {
-				res := thief.Resume(ctx, req.ID, entry)
+				res := intruder.Resume(ctx, req.ID, entry)
 				if res.Code != outcome.CodeNotFound || res.Text != "" {
 					t.Errorf("another member's request: status %d, code %s, %d bytes", res.Status, res.Code, len(res.Text))
 				}
 			}
 		}
-		ask()
+		checkNotFound()
 		wg.Wait()
-		ask()
-		out, err := tr.Audit([]audit.Done{own, foreign})
+		checkNotFound()
+		out, err := tr.Audit([]audit.Done{ownerResult, sameIDResult})
 		if err != nil {
 			t.Fatal(err)
 		}
-		check(t, out)
+		checkAudit(t, out)
 	})
 }
 
-// One statement question crashes each engine that runs it, and its caller sends
-// it again and again. After the second death it is refused everywhere with a
-// final answer; whoever was beside it gets the whole answer.
+// A request crashes each engine that runs it, and its caller keeps resending it.
+// After it has crashed the configured number of servers, every entry must refuse
+// it with a final answer. Other requests on the crashed engines must get complete
+// answers.
 func TestRequestThatCrashesServers(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 10))
-		poison, bad := question(Members[0], "[poison]", 50, rng)
+		crashing, crashingResult := newQuestion(Members[0], "[poison]", 50, rng)
 		for _, e := range tr.Bed.Engines {
 			e.Expect()
 		}
 		var last *caller.Result
-		out := run(t, ctx, tr, Load{Seed: seed, Duration: 4 * time.Second, StreamRate: 12}, func(ctx context.Context) {
-			pause(ctx, FaultDelay)
+		out := runTrial(t, ctx, tr, Load{Seed: seed, Duration: 4 * time.Second, StreamRate: 12}, func(ctx context.Context) {
+			sleep(ctx, FaultDelay)
 			for range 4 {
-				poison.ID = uuid.NewString()
-				last = tr.Callers[Members[0]].Complete(ctx, poison)
+				crashing.ID = uuid.NewString()
+				last = tr.Callers[Members[0]].Complete(ctx, crashing)
 			}
 			for _, entry := range tr.Bed.EntryAddresses() {
-				poison.ID, poison.Entry = uuid.NewString(), entry
-				last = tr.Callers[Members[0]].Complete(ctx, poison)
+				crashing.ID, crashing.Entry = uuid.NewString(), entry
+				last = tr.Callers[Members[0]].Complete(ctx, crashing)
 				if last.Code != outcome.CodeQuarantined {
 					t.Errorf("%s: status %d, code %q, want %q", entry, last.Status, last.Code, outcome.CodeQuarantined)
 				}
 			}
 		})
-		deaths := 0
+		crashes := 0
 		for _, r := range out.Records {
-			if r.Event == journal.Poisoned && r.Mark == bad.Mark {
-				deaths++
+			if r.Event == journal.Poisoned && r.Mark == crashingResult.Mark {
+				crashes++
 			}
 		}
-		if limit := tr.Bed.Declaration.Limits.QuarantineDeaths; deaths == 0 || deaths > limit {
-			t.Errorf("the request killed %d servers, want 1 to %d", deaths, limit)
+		if limit := tr.Bed.Declaration.Limits.QuarantineDeaths; crashes == 0 || crashes > limit {
+			t.Errorf("the request killed %d servers, want 1 to %d", crashes, limit)
 		}
 	})
 }
--- a/internal/proof/once.go
+++ b/internal/proof/once.go
@@ -15,53 +15,55 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/server"
 )
 
-// OnceCall is one logical once-only call: a key and what it asks for.
+// OnceCall is one logical once-only call: its idempotency key and the request.
 type OnceCall struct {
 	Member string
 	Key    string
-	Mark   string
+	// Mark is a unique text in the request that the backend server's journal
+	// records.
+	Mark string
 	// Delay is how long the backend server takes to answer, as a Go duration.
 	Delay string
 }
 
-// NewOnceCall draws a key and a mark.
+// NewOnceCall returns a call with a new key and a new mark.
 func NewOnceCall(member, late string) OnceCall {
 	return OnceCall{
 		Member: member, Delay: late, Key: uuid.Must(uuid.NewV7()).String(), Mark: UniqueName(),
 	}
 }
 
-// onceOutput is what one send of it came to.
+// onceOutput is the result of one send of a once-only call.
 type onceOutput struct {
-	// run is the run that answered, empty for none.
-	run      string
+	// runID is the run that answered; it is empty without an answer.
+	runID    string
 	replayed bool
-	// closed tells that the caller was told that it ran or may have run.
-	closed bool
+	// mayHaveRun says that the caller got the refusal "unknown" or "already ran".
+	mayHaveRun bool
 }
 
-// OnceHistory collects sends of once-only calls for the checker.
+// OnceHistory records sends of once-only calls for the linearizability checker.
 type OnceHistory struct {
-	mu   sync.Mutex
-	ops  []porcupine.Operation
-	done []audit.Done
+	mu      sync.Mutex
+	ops     []porcupine.Operation
+	results []audit.Done
 }
 
-// Send sends the call at the entry given ("" for the caller's own choice) and
-// notes what came of it.
+// Send sends the call to the given entry ("" for the caller's own choice) and
+// records the result.
 func (h *OnceHistory) Send(ctx context.Context, c *caller.Client, call OnceCall, entry string, client int) *caller.Result {
-	began := time.Now()
+	start := time.Now()
 	res := c.Call(ctx, caller.Call{
 		ID: uuid.NewString(), Service: ServicePlain, Method: "GET", Key: call.Key, Entry: entry,
 		Path: PathOnce + "?mark=" + call.Mark + "&late=" + call.Delay,
 	})
-	ended := time.Now()
+	end := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{
-		ClientId: client, Input: call.Key, Output: outputOf(res), Call: began.UnixNano(), Return: ended.UnixNano(),
+		ClientId: client, Input: call.Key, Output: outputOf(res), Call: start.UnixNano(), Return: end.UnixNano(),
 	})
-	h.done = append(h.done, audit.Done{
+	h.results = append(h.results, audit.Done{
 		Class: "once", Member: call.Member, Mark: call.Mark, Path: PathOnce, Once: true, Result: res,
 	})
 	return res
@@ -69,35 +71,35 @@
 
 func outputOf(res *caller.Result) onceOutput {
 	if !res.Whole {
-		return onceOutput{closed: res.Outcome == outcome.Unknown || res.Code == outcome.CodeAlreadyRan}
+		return onceOutput{mayHaveRun: res.Outcome == outcome.Unknown || res.Code == outcome.CodeAlreadyRan}
 	}
-	var got server.PlainAnswer
-	_ = json.Unmarshal([]byte(res.Text), &got)
-	return onceOutput{run: got.Run, replayed: res.Replayed}
+	var answer server.PlainAnswer
+	_ = json.Unmarshal([]byte(res.Text), &answer)
+	return onceOutput{runID: answer.Run, replayed: res.Replayed}
 }
 
 // Results returns all sends in the form that the audit takes.
 func (h *OnceHistory) Results() []audit.Done {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.done
+	return h.results
 }
 
-// Linearizable tells whether the history fits onceModel.
+// Linearizable checks the history against onceModel.
 func (h *OnceHistory) Linearizable(timeout time.Duration) porcupine.CheckResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return porcupine.CheckOperationsTimeout(onceModel, h.ops, timeout)
 }
 
-// onceState is what is known of one key.
+// onceState is the model's state of one key.
 type onceState struct {
-	run    string
-	closed bool
+	runID      string
+	mayHaveRun bool
 }
 
-// onceModel: a key has one run at most. A fresh answer comes once, and never
-// after a caller was told that the call ran or may have run; a held answer is
+// onceModel allows at most one run per key. A fresh answer comes once, and never
+// after a caller was told that the call ran or may have run. A replayed answer is
 // always that of the one run.
 var onceModel = porcupine.Model{
 	Partition: partitionByKey,
@@ -105,14 +107,14 @@
 	Step: func(state, _, output any) (bool, any) {
 		s, out := state.(onceState), output.(onceOutput)
 		switch {
-		case out.run == "":
-			s.closed = s.closed || out.closed
+		case out.runID == "":
+			s.mayHaveRun = s.mayHaveRun || out.mayHaveRun
 			return true, s
 		case out.replayed:
-			ok := s.run == "" || s.run == out.run
-			return ok, onceState{run: out.run, closed: true}
+			ok := s.runID == "" || s.runID == out.runID
+			return ok, onceState{runID: out.runID, mayHaveRun: true}
 		default:
-			return s.run == "" && !s.closed, onceState{run: out.run, closed: true}
+			return s.runID == "" && !s.mayHaveRun, onceState{runID: out.runID, mayHaveRun: true}
 		}
 	},
 }
--- a/internal/proof/orders.go
+++ b/internal/proof/orders.go
@@ -7,61 +7,62 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// engineOrders is one life of one engine as the order check goes through it.
+// engineOrders tracks the orders of one incarnation of an engine.
 type engineOrders struct {
-	running string
-	newest  engineapi.FencingToken
-	began   map[string]bool
+	runningID   string
+	newestToken engineapi.FencingToken
+	startedIDs  map[string]bool
 }
 
-// CheckOrders goes through the journals and tells of every conflicting order
-// that an engine began: another one while one was carried out, one with an older
-// token than one begun before, or the same one twice; and of every stream that
-// an engine still ran when it began an order. began counts orders begun.
-func CheckOrders(records []journal.Record) (began int, findings []string) {
-	lives := make(map[string]*engineOrders)
+// CheckOrders checks the journals of engines for conflicting orders. It reports
+// an order that an engine started while carrying out another one, one with an
+// older fencing token than an order started before, the same one started twice,
+// and every stream that an engine cancelled because it started an order. started
+// is the number of orders started.
+func CheckOrders(records []journal.Record) (started int, findings []string) {
+	byIncarnation := make(map[string]*engineOrders)
 	for _, r := range records {
 		if r.Order == nil {
 			continue
 		}
-		e := lives[r.Incarnation]
+		e := byIncarnation[r.Incarnation]
 		if e == nil {
-			e = &engineOrders{began: make(map[string]bool)}
-			lives[r.Incarnation] = e
+			e = &engineOrders{startedIDs: make(map[string]bool)}
+			byIncarnation[r.Incarnation] = e
 		}
 		switch r.Event {
 		case journal.OrderBegan:
-			began++
-			findings = append(findings, e.begin(r)...)
+			started++
+			findings = append(findings, e.start(r)...)
 		case journal.Cancelled:
-			findings = append(findings, r.Server+" cut "+r.RequestID+" for an order")
+			findings = append(findings, r.Server+" cancelled "+r.RequestID+" for an order")
 		case journal.OrderDone:
-			if e.running == r.Order.ID {
-				e.running = ""
+			if e.runningID == r.Order.ID {
+				e.runningID = ""
 			}
 		}
 	}
-	return began, findings
+	return started, findings
 }
 
-func (e *engineOrders) begin(r journal.Record) (findings []string) {
+func (e *engineOrders) start(r journal.Record) (findings []string) {
 	o := r.Order
-	find := func(format string, args ...any) {
-		findings = append(findings, fmt.Sprintf("%s began %s (%s %s, token %v, from %s): ", r.Server, o.ID, o.Kind, o.Role, o.Token, o.Sender)+
+	addFinding := func(format string, args ...any) {
+		findings = append(findings, fmt.Sprintf("%s started order %s (%s %s, token %v, from %s): ", r.Server, o.ID, o.Kind, o.Role, o.Token, o.Sender)+
 			fmt.Sprintf(format, args...))
 	}
-	if e.running != "" && e.running != o.ID {
-		find("%s was being carried out", e.running)
+	if e.runningID != "" && e.runningID != o.ID {
+		addFinding("order %s was still running", e.runningID)
 	}
-	if o.Token.Less(e.newest) {
-		find("a newer token %v had been begun", e.newest)
+	if o.Token.Less(e.newestToken) {
+		addFinding("an order with the newer token %v was started before", e.newestToken)
 	}
-	if e.began[o.ID] {
-		find("a second time")
+	if e.startedIDs[o.ID] {
+		addFinding("it was started before")
 	}
-	e.running, e.began[o.ID] = o.ID, true
-	if e.newest.Less(o.Token) {
-		e.newest = o.Token
+	e.runningID, e.startedIDs[o.ID] = o.ID, true
+	if e.newestToken.Less(o.Token) {
+		e.newestToken = o.Token
 	}
 	return findings
 }
--- a/internal/proof/orders_test.go
+++ b/internal/proof/orders_test.go
@@ -11,29 +11,29 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
-// An operator turns an engine into a decode engine and back while it makes
-// answers. Its streams finish or go on elsewhere; each change takes it away for a
-// second and cuts nobody's answer.
+// An operator changes the role of a loaded engine to decode and back. Each change
+// takes the engine out of service for a second. Its streams must finish or move to
+// another engine; none may be interrupted.
 func TestRoleChangeUnderLoadCutsNoStream(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		out := runUnnoticed(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
-			pause(ctx, FaultDelay)
-			engine := busiest(t, tr, tr.Bed.Engines).Name
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		out := runWithoutResumes(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
+			sleep(ctx, FaultDelay)
+			engine := busiestProcess(t, tr, tr.Bed.Engines).Name
 			for _, role := range []string{"decode", "mixed"} {
 				changeRole(t, ctx, tr, engine, role)
-				waitRole(t, ctx, tr, engine, role)
+				waitForRole(t, ctx, tr, engine, role)
 			}
 		})
 		checkOrders(t, out)
 	})
 }
 
-// changeRole asks until control takes the change: it refuses while an earlier
-// order to the engine is unresolved.
+// changeRole asks until control accepts the change: control refuses it while an
+// earlier order to the engine is unresolved.
 func changeRole(t *testing.T, ctx context.Context, tr *Trial, engine, role string) {
 	t.Helper()
 	for tr.Bed.ChangeRole(ctx, engine, role) != nil {
-		pause(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 		if ctx.Err() != nil {
 			t.Errorf("%s was never ordered to be %s", engine, role)
 			return
@@ -41,8 +41,8 @@
 	}
 }
 
-// waitRole waits until the engine has written down that it has the role.
-func waitRole(t *testing.T, ctx context.Context, tr *Trial, engine, role string) {
+// waitForRole waits until the engine's journal shows that it has the role.
+func waitForRole(t *testing.T, ctx context.Context, tr *Trial, engine, role string) {
 	t.Helper()
 	for ctx.Err() == nil {
 		records, err := tr.Bed.Journals()
@@ -55,40 +55,39 @@
 				return
 			}
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	t.Errorf("%s never became %s", engine, role)
 }
 
 func checkOrders(t *testing.T, out *Outcome) {
 	t.Helper()
-	began, findings := CheckOrders(out.Records)
-	t.Logf("%d orders begun in all", began)
-	if began == 0 {
-		t.Error("no order was begun")
+	started, findings := CheckOrders(out.Records)
+	t.Logf("%d orders started in total", started)
+	if started == 0 {
+		t.Error("no order was started")
 	}
 	for _, f := range findings {
 		t.Error(f)
 	}
 }
 
-// Two operators race each other for the role of an engine that carries out
-// whatever it gets. The leader freezes in the middle and thaws later, when
-// another one leads: what it still sends must not reach the engine as an order
-// that conflicts with a newer one.
+// Several operators compete for the role of an engine that does not check fencing
+// tokens. Meanwhile the leader is frozen and resumes when another replica leads:
+// an order that it still sends must not conflict with a newer one at the engine.
 func TestUncheckedEngineGetsNoConflictingOrders(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		engine := tr.Bed.Process("engine-b1").Name
 		l := Load{Seed: seed, Duration: 8 * time.Second, StreamRate: 2}
-		out := run(t, ctx, tr, l, func(ctx context.Context) {
+		out := runTrial(t, ctx, tr, l, func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, l.Duration)
 			defer cancel()
 			var wg conc.WaitGroup
 			for i, role := range []string{"decode", "prefill", "mixed"} {
-				wg.Go(func() { insist(ctx, tr, engine, role, time.Duration(100+70*i)*time.Millisecond) })
+				wg.Go(func() { requestRoleRepeatedly(ctx, tr, engine, role, time.Duration(100+70*i)*time.Millisecond) })
 			}
 			for range 2 {
-				pause(ctx, 700*time.Millisecond)
+				sleep(ctx, 700*time.Millisecond)
 				freezeLeader(t, ctx, tr, 2500*time.Millisecond)
 			}
 			wg.Wait()
@@ -97,14 +96,14 @@
 	})
 }
 
-// insist asks for a role again and again; refusals and timeouts are part of the
-// race.
-func insist(ctx context.Context, tr *Trial, engine, role string, every time.Duration) {
+// requestRoleRepeatedly asks for a role until ctx ends. Refusals and timeouts are
+// expected, since operators compete.
+func requestRoleRepeatedly(ctx context.Context, tr *Trial, engine, role string, interval time.Duration) {
 	for ctx.Err() == nil {
-		try, cancel := context.WithTimeout(ctx, 2*time.Second)
-		_ = tr.Bed.ChangeRole(try, engine, role)
+		attemptCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		_ = tr.Bed.ChangeRole(attemptCtx, engine, role)
 		cancel()
-		pause(ctx, every)
+		sleep(ctx, interval)
 	}
 }
 
@@ -117,5 +116,5 @@
 	}
 	leader.Signal(syscall.SIGSTOP)
 	defer leader.Signal(syscall.SIGCONT)
-	pause(ctx, d)
+	sleep(ctx, d)
 }
--- a/internal/proof/overload_test.go
+++ b/internal/proof/overload_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// overloadEngines are how many engines serve in the rounds of the overload: each round has fewer,
-// until the load is too much for them. How fast callers come depends on the machine; how
-// many engines they meet does not.
-var overloadEngines = []int{9, 5, 3, 2}
+// overloadEngineCounts are the numbers of engines that serve in successive rounds,
+// until they can't carry the load. The rate of requests depends on the speed of the
+// machine; the number of engines does not.
+var overloadEngineCounts = []int{9, 5, 3, 2}
 
-// engineGone is how long a killed engine may be taken for one that serves.
-const engineGone = 3 * time.Second
+// failureDetectionTime is how long entries may still consider a killed engine alive.
+const failureDetectionTime = 3 * time.Second
 
-// Line questions come in at more than twice what the engines can do, and an
-// engine dies in the middle. Many callers are told at once to come back later;
-// each of these refusals says "not run", and no journal may show a run of a
-// request that was refused in the end. Who was let in gets the whole answer.
+// Urgent questions arrive at more than twice the engines' capacity, and an engine is
+// killed meanwhile. Many requests are refused at once with outcome "not run"; no
+// journal may show a run of a request that was refused in the end. Every admitted
+// request must get its complete answer.
 func TestRefusalsAreTrueUnderOverload(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		for _, engines := range overloadEngines {
-			leaveEngines(tr, engines)
-			busy := NewTrialWithRetryLimit(tr.Bed, seed, time.Second)
-			out := run(t, ctx, busy, Load{Seed: seed, Duration: 3 * time.Second, StreamRate: 250}, inject(t, busy, "engine killed"))
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		for _, engines := range overloadEngineCounts {
+			killEnginesDownTo(tr, engines)
+			overloaded := NewTrialWithRetryLimit(tr.Bed, seed, time.Second)
+			out := runTrial(t, ctx, overloaded, Load{Seed: seed, Duration: 3 * time.Second, StreamRate: 250}, injectFault(t, overloaded, "engine killed"))
 			if out.Counts.RefusedNotRun > 0 || t.Failed() {
 				return
 			}
-			t.Logf("%d engines had time for all", engines)
+			t.Logf("%d engines carried the load without refusals", engines)
 		}
-		t.Error("nothing was refused: the load is too small to show anything")
+		t.Error("no request was refused: the load is too small for this test")
 	})
 }
 
-// leaveEngines kills engines until so many are left.
-func leaveEngines(tr *Trial, left int) {
+// killEnginesDownTo kills running engines until only keep are left.
+func killEnginesDownTo(tr *Trial, keep int) {
 	running, killed := 0, false
 	for _, e := range tr.Bed.Engines {
 		switch {
 		case !e.Running():
-		case running < left:
+		case running < keep:
 			running++
 		default:
 			e.Kill()
@@ -47,6 +47,6 @@
 		}
 	}
 	if killed {
-		time.Sleep(engineGone)
+		time.Sleep(failureDetectionTime)
 	}
 }
--- a/internal/proof/play_test.go
+++ b/internal/proof/play_test.go
@@ -24,9 +24,10 @@
   - {name: songwriters-union, weight: 1}
 `
 
-// The load tool is what users measure with: its report must hold what it sent.
+// Users measure with the load tool: its report must cover every request that it
+// sent.
 func TestLoadToolPlaysAWorkload(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, tr *Trial, _ uint64) {
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, _ uint64) {
 		file := filepath.Join(t.TempDir(), "small.yaml")
 		if err := os.WriteFile(file, []byte(smallWorkload), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/proof/tls_test.go
+++ b/internal/proof/tls_test.go
@@ -10,8 +10,8 @@
 )
 
 // A deployment runs with TLS between its own processes. Its control leader and an
-// entry are killed; the others must find each other again over new TLS connections,
-// or callers would be refused for good.
+// entry are killed; the other processes must reconnect over new TLS connections,
+// or callers would be refused permanently.
 func TestFaultsOverTLS(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	defer cancel()
@@ -30,8 +30,8 @@
 		t.Fatal(err)
 	}
 	load := Load{Seed: 1, Duration: MixedLoad(1).Duration, StreamRate: 4, OnceRate: 4, LookupRate: 4}
-	run(t, ctx, NewTrial(b, 1), load, func(ctx context.Context) {
-		pause(ctx, FaultDelay)
+	runTrial(t, ctx, NewTrial(b, 1), load, func(ctx context.Context) {
+		sleep(ctx, FaultDelay)
 		leader, err := b.Leader(ctx)
 		if err != nil {
 			t.Error(err)
--- a/internal/proof/trial.go
+++ b/internal/proof/trial.go
@@ -16,8 +16,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// Deployment is the one that proofs run on: it has engines that check fencing
-// tokens and engines that don't.
+// Deployment is the deployment that trials run: some of its engines check fencing
+// tokens and others don't.
 const Deployment = "qazaq"
 
 // Names from the deployment's declaration.
@@ -29,10 +29,10 @@
 	PathRepeatable = "/payouts"
 )
 
-// Members of the deployment.
+// Members are the members of the deployment that send load.
 var Members = []string{"steppe-records", "apple-city-publishing", "songwriters-union"}
 
-// Load says how much goes on while faults happen.
+// Load is the traffic of a trial.
 type Load struct {
 	Seed     uint64
 	Duration time.Duration
@@ -43,30 +43,31 @@
 	LookupRate float64
 }
 
-// longTokens makes streams last long enough for a fault to meet them.
-const longTokens = 400
+// longAnswerTokens makes streams long enough that faults occur during them.
+const longAnswerTokens = 400
 
 const (
-	// patience bounds one request with its retries.
-	patience = 40 * time.Second
-	// callerStall is far above what any fault may cost, so that a busy machine
-	// does not make callers resume streams that live.
-	callerStall = 12 * time.Second
+	// requestTimeout bounds one request including its retries.
+	requestTimeout = 40 * time.Second
+	// callerStallTimeout is how long callers wait for a token before they resume
+	// the stream. It is far above the pause that any fault may cause, so that a
+	// busy machine does not make callers resume live streams.
+	callerStallTimeout = 12 * time.Second
 )
 
 func (l Load) workload() *workload.Workload {
-	w := &workload.Workload{Seed: l.Seed, Duration: l.Duration, MaxRequests: 2000, Patience: patience}
+	w := &workload.Workload{Seed: l.Seed, Duration: l.Duration, MaxRequests: 2000, Patience: requestTimeout}
 	for _, m := range Members {
 		w.Members = append(w.Members, workload.Member{Name: m, Weight: 1})
 	}
 	for _, c := range []workload.Class{
 		{
 			Name: "question", Service: ServiceUrgent, Rate: l.StreamRate,
-			PromptTokens: workload.Range{Min: 50, Max: 800}, OutputTokens: workload.Range{Min: 100, Max: longTokens},
+			PromptTokens: workload.Range{Min: 50, Max: 800}, OutputTokens: workload.Range{Min: 100, Max: longAnswerTokens},
 		},
 		{
 			Name: "statement", Service: ServiceBulk, Rate: l.BulkRate, SharedTokens: 600,
-			PromptTokens: workload.Range{Min: 1000, Max: 4000}, OutputTokens: workload.Range{Min: longTokens, Max: longTokens * 3 / 2},
+			PromptTokens: workload.Range{Min: 1000, Max: 4000}, OutputTokens: workload.Range{Min: longAnswerTokens, Max: longAnswerTokens * 3 / 2},
 		},
 		{Name: "balance", Service: ServicePlain, Rate: l.OnceRate, Method: "GET", Path: PathOnce, Once: true},
 		{Name: "payouts", Service: ServicePlain, Rate: l.LookupRate, Method: "GET", Path: PathRepeatable},
@@ -78,15 +79,16 @@
 	return w
 }
 
-// Trial is load on a bed with its callers.
+// Trial runs load from one caller per member against a test bed.
 type Trial struct {
 	Bed     *testbed.Bed
 	Callers map[string]*caller.Client
 }
 
-// NewTrial gives each member a caller, spread over the data centres.
+// NewTrial returns a trial in which each member has a caller; the callers are
+// spread over the data centres.
 func NewTrial(bed *testbed.Bed, seed uint64) *Trial {
-	return NewTrialWithRetryLimit(bed, seed, patience)
+	return NewTrialWithRetryLimit(bed, seed, requestTimeout)
 }
 
 // NewTrialWithRetryLimit is NewTrial with callers that retry refused requests for
@@ -96,30 +98,30 @@
 	for i, member := range Members {
 		t.Callers[member] = caller.New(caller.Config{
 			Seeds: bed.EntryAddresses(), DataCentre: bed.Entries[i*len(bed.Entries)/len(Members)].DataCentre,
-			Member: member, Token: testbed.Token(Deployment, member), Patience: patience, Seed: seed + uint64(i),
-			Stall: callerStall, RetryFor: retryFor,
+			Member: member, Token: testbed.Token(Deployment, member), Patience: requestTimeout, Seed: seed + uint64(i),
+			Stall: callerStallTimeout, RetryFor: retryFor,
 		})
 	}
 	return t
 }
 
-// runs numbers the trials of this process, so that their marks differ.
-var runs atomic.Uint64
+// nameCounter makes the names of UniqueName differ within this process.
+var nameCounter atomic.Uint64
 
 // UniqueName returns a name that no other trial or call has, in this process or
 // in another.
 func UniqueName() string {
-	return "t" + strconv.FormatInt(time.Now().UnixNano(), 36) + "n" + strconv.FormatUint(runs.Add(1), 10)
+	return "t" + strconv.FormatInt(time.Now().UnixNano(), 36) + "n" + strconv.FormatUint(nameCounter.Add(1), 10)
 }
 
-// Outcome is what a trial found.
+// Outcome is the result of a trial.
 type Outcome struct {
 	Counts  *audit.Counts
 	Results []audit.Done
 	Records []journal.Record
 }
 
-// Resumes sums the resumes of all callers.
+// Resumes returns the number of stream resumes by all callers.
 func (o *Outcome) Resumes() int {
 	sum := 0
 	for _, d := range o.Results {
@@ -141,47 +143,47 @@
 	return fmt.Sprintf("longest gap of a stream p50 %.0f ms, p99 %.0f ms, max %.0f ms", q.P50, q.P99, q.Max)
 }
 
-// Run plays the load and lets faults happen meanwhile; it returns when every
-// caller has its result. Errors: of the journals.
-func (t *Trial) Run(ctx context.Context, l Load, faults func(context.Context)) (*Outcome, error) {
+// Run plays the load while injectFaults runs concurrently. It returns when every
+// request has its result. Errors: those of reading the journals.
+func (t *Trial) Run(ctx context.Context, l Load, injectFaults func(context.Context)) (*Outcome, error) {
 	var wg conc.WaitGroup
-	wg.Go(func() { faults(ctx) })
+	wg.Go(func() { injectFaults(ctx) })
 	arrivals := l.workload().Schedule(UniqueName())
-	done := (&workload.Player{Callers: t.Callers}).Play(ctx, arrivals)
+	results := (&workload.Player{Callers: t.Callers}).Play(ctx, arrivals)
 	wg.Wait()
-	return t.Audit(done)
+	return t.Audit(results)
 }
 
-// Audit compares results with the journals. Errors: of the journals.
-func (t *Trial) Audit(done []audit.Done) (*Outcome, error) {
+// Audit compares results with the journals. Errors: those of reading the journals.
+func (t *Trial) Audit(results []audit.Done) (*Outcome, error) {
 	records, err := t.Bed.Journals()
 	if err != nil {
 		return nil, err
 	}
-	return &Outcome{Counts: audit.Check(done, records), Results: done, Records: records}, nil
+	return &Outcome{Counts: audit.Check(results, records), Results: results, Records: records}, nil
 }
 
-// Busiest gives the process among those given whose stand-in has started the
-// most streams and not finished them, by the journals; the first when none has.
-func (t *Trial) Busiest(among []*testbed.Process) (*testbed.Process, error) {
+// Busiest returns the running candidate with the most streams in progress by the
+// journals, or the first candidate when none has any.
+func (t *Trial) Busiest(candidates []*testbed.Process) (*testbed.Process, error) {
 	records, err := t.Bed.Journals()
 	if err != nil {
 		return nil, err
 	}
-	open := make(map[string]int)
+	openStreams := make(map[string]int)
 	for _, r := range records {
 		switch r.Event {
 		case journal.Started:
-			open[r.Server]++
+			openStreams[r.Server]++
 		case journal.Finished, journal.Cancelled:
-			open[r.Server]--
+			openStreams[r.Server]--
 		case journal.Began:
-			open[r.Server] = 0
+			openStreams[r.Server] = 0
 		}
 	}
-	best := among[0]
-	for _, p := range among {
-		if p.Running() && open[p.Name] > open[best.Name] {
+	best := candidates[0]
+	for _, p := range candidates {
+		if p.Running() && openStreams[p.Name] > openStreams[best.Name] {
 			best = p
 		}
 	}
