--- a/internal/proof/control/claims.go
+++ b/internal/proof/control/claims.go
@@ -20,27 +20,29 @@
 	notRun  = pb.ClaimStatus_CLAIM_STATUS_NOT_RUN
 )
 
-// claimInput is a Claim, or a Settle when settle is not zero.
+// claimInput is the input of a Claim, or of a Settle when settledAs is not zero.
 type claimInput struct {
-	key, request string
-	settle       pb.ClaimStatus
+	key, requestID string
+	settledAs      pb.ClaimStatus
 }
 
-// claimOutput is its answer; known is false when none came.
+// claimOutput is the answer; answered is false when none came.
 type claimOutput struct {
-	known  bool
-	status pb.ClaimStatus
+	answered bool
+	status   pb.ClaimStatus
 }
 
-// claimState is one key's state: who holds or held it, and how it ended.
+// claimState is the state of one key: which request claimed it last, and the
+// status of that claim.
 type claimState struct {
-	request string
-	status  pb.ClaimStatus
+	requestID string
+	status    pb.ClaimStatus
 }
 
-// claims is one once-only key: a claim is granted when nobody holds the key and
-// nobody has run it; the same request is granted its claim again.
-var claims = porcupine.Model{
+// claimModel is the model of one once-only key. A claim is granted when no request
+// holds the key and none has run it. A request that holds the key is granted its
+// claim again.
+var claimModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return claimState{} },
 	Step:      stepClaims,
@@ -67,62 +69,62 @@
 
 func stepClaims(state, input, output any) (bool, any) {
 	s, in, out := state.(claimState), input.(claimInput), output.(claimOutput)
-	if in.settle != 0 {
-		if s.status == running && s.request == in.request {
-			return true, claimState{request: s.request, status: in.settle}
+	if in.settledAs != 0 {
+		if s.status == running && s.requestID == in.requestID {
+			return true, claimState{requestID: s.requestID, status: in.settledAs}
 		}
 		return true, s
 	}
-	want, next := s.status, s
+	expected, next := s.status, s
 	switch {
-	case s.status == 0, s.status == notRun && s.request != in.request:
-		want, next = granted, claimState{request: in.request, status: running}
-	case s.status == running && s.request == in.request:
-		want = granted
+	case s.status == 0, s.status == notRun && s.requestID != in.requestID:
+		expected, next = granted, claimState{requestID: in.requestID, status: running}
+	case s.status == running && s.requestID == in.requestID:
+		expected = granted
 	}
-	return !out.known || out.status == want, next
+	return !out.answered || out.status == expected, next
 }
 
-// claimant is an entry that claims keys which others claim too, and settles what
-// it was granted.
+// claimant acts as an entry that competes with others for keys and settles the
+// claims that it is granted.
 type claimant struct {
 	id      int
 	client  *ctl.Client
 	cluster string
-	random  *rand.Rand
-	log     *history
+	rng     *rand.Rand
+	history *history
 	keys    []string
 	seq     int
 }
 
 func (c *claimant) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		claim := c.next()
+		claim := c.newClaim()
 		if c.claim(ctx, claim) == granted {
-			end := notRun
-			if c.random.IntN(4) == 0 {
-				end = done
+			status := notRun
+			if c.rng.IntN(4) == 0 {
+				status = done
 			}
-			c.settle(ctx, claim, end)
+			c.settle(ctx, claim, status)
 		}
 	}
 }
 
-// next gives a claim of any of the keys under a request id of its own.
-func (c *claimant) next() *pb.Claim {
+// newClaim returns a claim of a random key under a new request id.
+func (c *claimant) newClaim() *pb.Claim {
 	c.seq++
 	return &pb.Claim{
-		Member: "m", Service: "s", Key: c.keys[c.random.IntN(len(c.keys))], Fingerprint: 1,
+		Member: "m", Service: "s", Key: c.keys[c.rng.IntN(len(c.keys))], Fingerprint: 1,
 		RequestId: strconv.Itoa(c.id) + "-" + strconv.Itoa(c.seq),
 		Owner:     &pb.EntryIdentity{Name: "entry-" + strconv.Itoa(c.id), Incarnation: "1"},
 	}
 }
 
 func (c *claimant) claim(ctx context.Context, claim *pb.Claim) (status pb.ClaimStatus) {
-	ctx, cancel := withTimeout(ctx)
+	ctx, cancel := withOpTimeout(ctx)
 	defer cancel()
-	in := claimInput{key: claim.GetKey(), request: claim.GetRequestId()}
-	c.log.do(c.id, in, func() (any, bool) {
+	in := claimInput{key: claim.GetKey(), requestID: claim.GetRequestId()}
+	c.history.record(c.id, in, func() (any, bool) {
 		var resp *pb.ClaimResponse
 		err := c.client.CallControl(ctx, func(ctx context.Context, control pb.Control) (err error) {
 			resp, err = control.Claim(ctx, &pb.ClaimRequest{ClusterId: c.cluster, Claims: []*pb.Claim{claim}})
@@ -132,27 +134,27 @@
 			return claimOutput{}, false
 		}
 		status = resp.GetResults()[0].GetStatus()
-		return claimOutput{known: true, status: status}, true
+		return claimOutput{answered: true, status: status}, true
 	})
 	return status
 }
 
-func (c *claimant) settle(ctx context.Context, claim *pb.Claim, end pb.ClaimStatus) {
-	ctx, cancel := withTimeout(ctx)
+func (c *claimant) settle(ctx context.Context, claim *pb.Claim, status pb.ClaimStatus) {
+	ctx, cancel := withOpTimeout(ctx)
 	defer cancel()
-	in := claimInput{key: claim.GetKey(), request: claim.GetRequestId(), settle: end}
-	c.log.do(c.id, in, func() (any, bool) {
+	in := claimInput{key: claim.GetKey(), requestID: claim.GetRequestId(), settledAs: status}
+	c.history.record(c.id, in, func() (any, bool) {
 		err := c.client.CallControl(ctx, func(ctx context.Context, control pb.Control) error {
 			_, err := control.Settle(ctx, &pb.SettleRequest{
-				ClusterId: c.cluster, Settlements: []*pb.Settlement{{Claim: claim, Status: end}},
+				ClusterId: c.cluster, Settlements: []*pb.Settlement{{Claim: claim, Status: status}},
 			})
 			return err
 		})
-		return claimOutput{known: err == nil}, err == nil
+		return claimOutput{answered: err == nil}, err == nil
 	})
 }
 
-// newKeys gives keys of now.
+// newKeys returns n new keys; a key (UUIDv7) contains the time of its creation.
 func newKeys(n int) []string {
 	keys := make([]string, n)
 	for i := range keys {
--- a/internal/proof/control/control_test.go
+++ b/internal/proof/control/control_test.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	operators  = 4
-	claimants  = 4
-	chaosTime  = 6 * time.Second
-	checkTime  = time.Minute
-	trialLimit = 2 * time.Minute
+	operatorCount = 4
+	claimantCount = 4
+	faultPhase    = 6 * time.Second
+	checkTimeout  = time.Minute
+	trialTimeout  = 2 * time.Minute
 )
 
 var root, bin string
@@ -53,9 +53,10 @@
 	os.Exit(code)
 }
 
-// each runs the trial for each seed, one unless GOLDCREST_SEEDS says more, on
-// three fresh control replicas.
-func each(t *testing.T, links bool, trial func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64)) {
+// forEachSeed runs the trial for each seed, one unless GOLDCREST_SEEDS sets the
+// number, on three new control replicas. With forwardLinks, forwarders stand between
+// the replicas.
+func forEachSeed(t *testing.T, forwardLinks bool, trial func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64)) {
 	t.Helper()
 	n, err := strconv.Atoi(os.Getenv("GOLDCREST_SEEDS"))
 	if err != nil || n < 1 {
@@ -63,10 +64,10 @@
 	}
 	for seed := uint64(1); seed <= uint64(n); seed++ {
 		t.Run("seed="+strconv.FormatUint(seed, 10), func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(context.Background(), trialLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 			defer cancel()
-			bed := newBed(t, links)
-			if _, err := waitLeader(ctx, bed); err != nil {
+			bed := newBed(t, forwardLinks)
+			if _, err := waitForLeader(ctx, bed); err != nil {
 				t.Fatal(err)
 			}
 			trial(t, ctx, bed, seed)
@@ -74,14 +75,14 @@
 	}
 }
 
-func newBed(t *testing.T, links bool) *testbed.Bed {
+func newBed(t *testing.T, forwardLinks bool) *testbed.Bed {
 	t.Helper()
 	dir, err := os.MkdirTemp(filepath.Dir(bin), "bed")
 	if err != nil {
 		t.Fatal(err)
 	}
 	bed, err := testbed.New(testbed.Options{
-		Bin: bin, Dir: dir, Deployment: proof.Deployment, Deploy: root + "/deploy", ForwardControl: links,
+		Bin: bin, Dir: dir, Deployment: proof.Deployment, Deploy: root + "/deploy", ForwardControl: forwardLinks,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +101,7 @@
 	return bed
 }
 
-func waitLeader(ctx context.Context, bed *testbed.Bed) (*testbed.Process, error) {
+func waitForLeader(ctx context.Context, bed *testbed.Bed) (*testbed.Process, error) {
 	for {
 		leader, err := bed.Leader(ctx)
 		if err == nil || ctx.Err() != nil {
@@ -122,92 +123,94 @@
 	return ctl.NewClient(proof.Deployment, addresses, auth)
 }
 
-// traffic runs operators and claimants while fault does its work, and checks
-// what they saw.
-func traffic(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64, fault func(context.Context)) {
+// runClients runs operators and claimants while injectFaults runs, and then checks
+// their histories.
+func runClients(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64, injectFaults func(context.Context)) {
 	t.Helper()
-	applied, claimed := newHistory(), newHistory()
+	applyHistory, claimHistory := newHistory(), newHistory()
 	keys := newKeys(12)
-	work, cancel := context.WithCancel(ctx)
+	clientCtx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
-	for i := range operators {
-		o := &operator{id: i, client: newClient(t, bed), random: rand.New(rand.NewPCG(seed, uint64(10+i))), log: applied}
-		wg.Go(func() { o.run(work) })
+	for i := range operatorCount {
+		o := &operator{id: i, client: newClient(t, bed), rng: rand.New(rand.NewPCG(seed, uint64(10+i))), history: applyHistory}
+		wg.Go(func() { o.run(clientCtx) })
 	}
-	for i := range claimants {
+	for i := range claimantCount {
 		c := &claimant{
 			id: i, client: newClient(t, bed), cluster: proof.Deployment,
-			random: rand.New(rand.NewPCG(seed, uint64(20+i))), log: claimed, keys: keys,
+			rng: rand.New(rand.NewPCG(seed, uint64(20+i))), history: claimHistory, keys: keys,
 		}
-		wg.Go(func() { c.run(work) })
+		wg.Go(func() { c.run(clientCtx) })
 	}
-	fault(ctx)
+	injectFaults(ctx)
 	cancel()
 	wg.Wait()
-	// A last read sees whatever was accepted before.
-	(&operator{id: operators, client: newClient(t, bed), log: applied}).read(ctx)
-	judge(t, "declarations", declarations, applied)
-	judge(t, "claims", claims, claimed)
+	// A final read checks that no accepted declaration was lost.
+	(&operator{id: operatorCount, client: newClient(t, bed), history: applyHistory}).read(ctx)
+	checkHistory(t, "declarations", declarationModel, applyHistory)
+	checkHistory(t, "claims", claimModel, claimHistory)
 }
 
-func judge(t *testing.T, name string, model porcupine.Model, h *history) {
+func checkHistory(t *testing.T, name string, model porcupine.Model, h *history) {
 	t.Helper()
 	ops := h.operations()
 	t.Logf("%s: %d operations, %d answered", name, len(ops), h.answered())
 	if h.answered() == 0 {
-		t.Errorf("%s: nothing was answered", name)
+		t.Errorf("%s: no operation was answered", name)
 	}
-	result, info := porcupine.CheckOperationsVerbose(model, ops, checkTime)
+	result, info := porcupine.CheckOperationsVerbose(model, ops, checkTimeout)
 	if result == porcupine.Ok {
 		return
 	}
-	t.Errorf("%s: the history is %v", name, result)
+	t.Errorf("%s: linearizability check: %v", name, result)
 	if path := os.Getenv("GOLDCREST_HISTORY"); path != "" {
 		_ = porcupine.VisualizePath(model, info, path)
 	}
 }
 
-// Operators race under equal numbers and resend, entries claim the same keys,
-// while replicas are killed, frozen and cut off. What was accepted stays, nobody
-// wins twice, no key is granted twice.
+// Operators apply competing declarations under equal revisions and resend them, and
+// entries claim the same keys, while replicas are killed, frozen and partitioned. No
+// accepted declaration may be lost, only one per revision may be accepted, and no key
+// may be granted to two requests at once or after a run.
 func TestHistoriesUnderFaults(t *testing.T) {
-	each(t, true, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
-		c := newChaos(bed, seed)
-		traffic(t, ctx, bed, seed, func(ctx context.Context) {
-			faults, cancel := context.WithTimeout(ctx, chaosTime)
+	forEachSeed(t, true, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
+		injector := newFaultInjector(bed, seed)
+		runClients(t, ctx, bed, seed, func(ctx context.Context) {
+			faultCtx, cancel := context.WithTimeout(ctx, faultPhase)
 			defer cancel()
-			c.run(faults)
-			sleep(ctx, calm)
+			injector.run(faultCtx)
+			sleep(ctx, recoveryTime)
 		})
-		t.Logf("faults: %v", c.told)
+		t.Logf("faults: %v", injector.counts)
 	})
 }
 
-// A control VM loses its disk, later another one's is torn. Each is replaced
-// under load, and a second VM is killed right after a repair. Nothing that was
-// accepted is lost.
+// A control VM loses its disk, and later another one's files are truncated. Each
+// replica is replaced under load, and another replica is killed right after each
+// replacement. Nothing that was accepted may be lost.
 func TestHistoriesUnderLostDisks(t *testing.T) {
-	each(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
-		c := newChaos(bed, seed)
-		traffic(t, ctx, bed, seed, func(ctx context.Context) {
+	forEachSeed(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
+		injector := newFaultInjector(bed, seed)
+		runClients(t, ctx, bed, seed, func(ctx context.Context) {
 			for n := range 2 {
-				sleep(ctx, calm)
-				victim := c.victim(ctx)
-				before := incarnation(t, ctx, bed, victim)
-				if err := c.loseDisk(ctx, victim, n == 0); err != nil {
+				sleep(ctx, recoveryTime)
+				target := injector.pickReplica(ctx)
+				before := voterIncarnation(t, ctx, bed, target)
+				if err := injector.loseDisk(ctx, target, n == 0); err != nil {
 					list, _ := bed.Ctl(ctx, "replica", "list")
 					t.Errorf("%v\n%s", err, list)
 					return
 				}
-				checkReplaced(t, ctx, bed, victim, before)
-				c.kill(ctx, (victim+1+c.random.IntN(2))%len(bed.Control))
+				checkReplaced(t, ctx, bed, target, before)
+				injector.kill(ctx, (target+1+injector.rng.IntN(2))%len(bed.Control))
 			}
 		})
 	})
 }
 
-// incarnation gives the life of a replica that the member list names.
-func incarnation(t *testing.T, ctx context.Context, bed *testbed.Bed, victim int) string {
+// voterIncarnation returns the incarnation of a replica that the membership lists as
+// a voter, or "".
+func voterIncarnation(t *testing.T, ctx context.Context, bed *testbed.Bed, target int) string {
 	t.Helper()
 	resp, err := newClient(t, bed).Replicas(ctx)
 	if err != nil {
@@ -215,50 +218,51 @@
 	}
 	for _, r := range resp.GetReplicas() {
 		id := r.GetMember().GetIdentity()
-		if id.GetId() == uint64(victim+1) && r.GetMember().GetRole() == pb.ReplicaRole_REPLICA_ROLE_VOTER {
+		if id.GetId() == uint64(target+1) && r.GetMember().GetRole() == pb.ReplicaRole_REPLICA_ROLE_VOTER {
 			return id.GetIncarnation()
 		}
 	}
 	return ""
 }
 
-// checkReplaced expects the replica that lost its disk to vote under a new life.
-func checkReplaced(t *testing.T, ctx context.Context, bed *testbed.Bed, victim int, before string) {
+// checkReplaced expects the replica that lost its disk to be a voter under a new
+// incarnation.
+func checkReplaced(t *testing.T, ctx context.Context, bed *testbed.Bed, target int, before string) {
 	t.Helper()
-	if now := incarnation(t, ctx, bed, victim); now == "" || now == before {
-		t.Errorf("replica %d was said to be replaced, and its life is %q after %q", victim+1, now, before)
+	if after := voterIncarnation(t, ctx, bed, target); after == "" || after == before {
+		t.Errorf("replica %d was reported as replaced, but its incarnation is %q after %q", target+1, after, before)
 	}
 }
 
 // A follower's VM comes back with an empty disk, and the operator replaces it at
-// once, while the leader still counts its old life as active. The command must
-// not report success before the new life votes.
+// once, while the leader still considers the old incarnation active. The command must
+// not report success before the new incarnation is a voter.
 func TestReplaceRightAfterTheLoss(t *testing.T) {
-	each(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
-		leader, err := waitLeader(ctx, bed)
+	forEachSeed(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
+		leader, err := waitForLeader(ctx, bed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		victim := 0
-		if bed.Control[victim] == leader {
-			victim = 1
+		target := 0
+		if bed.Control[target] == leader {
+			target = 1
 		}
-		before := incarnation(t, ctx, bed, victim)
-		if err := newChaos(bed, seed).loseDisk(ctx, victim, true); err != nil {
+		before := voterIncarnation(t, ctx, bed, target)
+		if err := newFaultInjector(bed, seed).loseDisk(ctx, target, true); err != nil {
 			t.Fatal(err)
 		}
-		checkReplaced(t, ctx, bed, victim, before)
+		checkReplaced(t, ctx, bed, target, before)
 	})
 }
 
-// A process of another deployment, the old life of a replica that was replaced,
-// one that nobody knows and garbage talk to the replicas. All are refused, and
-// nothing changes.
+// Replicas receive messages of a process of another cluster, of the old incarnation
+// of a replaced replica and of an unknown incarnation, and malformed calls. All must
+// be refused, and the status must not change.
 func TestBadInputIsRefused(t *testing.T) {
-	each(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
-		const victim = 1
-		old := incarnation(t, ctx, bed, victim)
-		if err := newChaos(bed, seed).loseDisk(ctx, victim, true); err != nil {
+	forEachSeed(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64) {
+		const target = 1
+		removedIncarnation := voterIncarnation(t, ctx, bed, target)
+		if err := newFaultInjector(bed, seed).loseDisk(ctx, target, true); err != nil {
 			t.Fatal(err)
 		}
 		before, err := newClient(t, bed).Status(ctx)
@@ -271,16 +275,16 @@
 		}
 		for i, p := range bed.Control {
 			replica := pb.NewReplicaProtobufClient(auth.URL(p.Address), auth.Client())
-			for _, req := range badSteps(uint64(i+1), victim+1, old) {
+			for _, req := range rejectedSteps(uint64(i+1), target+1, removedIncarnation) {
 				if resp, err := replica.Step(ctx, req); err == nil && !resp.GetRemoved() {
-					t.Errorf("%s took %v", p.Name, req)
+					t.Errorf("%s accepted %v", p.Name, req)
 				}
 			}
 			operator := pb.NewOperatorProtobufClient(auth.URL(p.Address), auth.Client())
 			if _, err := operator.Drain(ctx, &pb.DrainRequest{ClusterId: "other", Server: "x", Drained: true}); err == nil {
-				t.Errorf("%s took a call of another cluster", p.Name)
+				t.Errorf("%s accepted a call for another cluster", p.Name)
 			}
-			checkRaw(t, auth, p.Address)
+			checkInvalidCalls(t, auth, p.Address)
 		}
 		after, err := newClient(t, bed).Status(ctx)
 		if err != nil || !proto.Equal(before, after) {
@@ -289,70 +293,71 @@
 	})
 }
 
-// badSteps would make the replica follow a leader that there is not, or vote for
-// one. A leader's message of a life that the replica has not heard of is not
-// among them: consensus takes it, since the replica may have missed that life's
-// joining (see docs of internal/consensus).
-func badSteps(id, from uint64, old string) []*pb.StepRequest {
-	lead := []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_HEARTBEAT, From: from, To: id, Term: 1 << 40}}
+// rejectedSteps returns messages that would make the replica follow or vote for a
+// leader that does not exist. A leader's message from an unknown incarnation is not
+// among them: consensus accepts it, since the replica may not yet know that this
+// incarnation has joined (see the documentation of internal/consensus).
+func rejectedSteps(id, from uint64, removedIncarnation string) []*pb.StepRequest {
+	heartbeat := []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_HEARTBEAT, From: from, To: id, Term: 1 << 40}}
 	vote := []*pb.Message{{Kind: pb.MessageKind_MESSAGE_KIND_VOTE, From: from, To: id, Term: 1 << 40, Index: 1 << 40, LogTerm: 1 << 40, Force: true}}
 	to := &pb.ReplicaIdentity{Id: id}
-	removed := &pb.ReplicaIdentity{Id: from, Incarnation: old, Boot: 9, BootNonce: 9}
+	removed := &pb.ReplicaIdentity{Id: from, Incarnation: removedIncarnation, Boot: 9, BootNonce: 9}
 	unknown := &pb.ReplicaIdentity{Id: from, Incarnation: "unknown", Boot: 9, BootNonce: 9}
 	return []*pb.StepRequest{
-		{ClusterId: "other", From: removed, To: to, Messages: lead},
-		{ClusterId: proof.Deployment, From: removed, To: to, Messages: lead},
+		{ClusterId: "other", From: removed, To: to, Messages: heartbeat},
+		{ClusterId: proof.Deployment, From: removed, To: to, Messages: heartbeat},
 		{ClusterId: proof.Deployment, From: removed, To: to, Messages: vote},
 		{ClusterId: proof.Deployment, From: unknown, To: to, Messages: vote},
-		{ClusterId: proof.Deployment, To: to, Messages: lead},
-		{ClusterId: proof.Deployment, From: unknown, To: &pb.ReplicaIdentity{Id: id, Incarnation: old}, Messages: lead},
+		{ClusterId: proof.Deployment, To: to, Messages: heartbeat},
+		{ClusterId: proof.Deployment, From: unknown, To: &pb.ReplicaIdentity{Id: id, Incarnation: removedIncarnation}, Messages: heartbeat},
 	}
 }
 
-// checkRaw sends garbage with the key and a good call without it.
-func checkRaw(t *testing.T, auth *rpc.Auth, address string) {
+// checkInvalidCalls sends a malformed body with the shared key and a valid call
+// without it.
+func checkInvalidCalls(t *testing.T, auth *rpc.Auth, address string) {
 	t.Helper()
-	for _, try := range []struct {
+	for _, attempt := range []struct {
 		client *http.Client
 		body   string
 	}{{auth.Client(), "\xff\xff garbage"}, {&http.Client{}, ""}} {
-		resp, err := try.client.Post(auth.URL(address)+"/twirp/goldcrest.v1.Operator/Status",
-			"application/protobuf", strings.NewReader(try.body))
+		resp, err := attempt.client.Post(auth.URL(address)+"/twirp/goldcrest.v1.Operator/Status",
+			"application/protobuf", strings.NewReader(attempt.body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode < 400 {
-			t.Errorf("status %d for %q", resp.StatusCode, try.body)
+			t.Errorf("status %d for %q", resp.StatusCode, attempt.body)
 		}
 	}
 }
 
-// The leader's VM is to be rebooted: the replica gets SIGTERM while changes are
-// applied one after the other. It hands leadership on and ends by itself, and
-// every change is accepted in the end.
+// The leader gets SIGTERM before a reboot of its VM while changes are applied one
+// after the other. It must transfer leadership and exit, and every change must be
+// accepted.
 func TestPlannedStopHandsOver(t *testing.T) {
-	each(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, _ uint64) {
+	forEachSeed(t, false, func(t *testing.T, ctx context.Context, bed *testbed.Bed, _ uint64) {
 		w := newWriter(t, ctx, bed)
 		var wg conc.WaitGroup
 		wg.Go(func() {
 			for range 100 {
-				if err := w.next(ctx); err != nil {
+				if err := w.applyNext(ctx); err != nil {
 					t.Error(err)
 					return
 				}
 				sleep(ctx, 10*time.Millisecond)
 			}
 		})
-		leader, err := waitLeader(ctx, bed)
+		leader, err := waitForLeader(ctx, bed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !leader.Stop(10 * time.Second) {
-			t.Error("it did not end by itself")
+			t.Error("the leader did not exit after SIGTERM")
 		}
 		wg.Wait()
-		next, err := waitLeader(ctx, bed)
+		next, err := waitForLeader(ctx, bed)
 		if err != nil || next == leader {
 			t.Errorf("the leader is %v, error %v", next, err)
 		}
--- a/internal/proof/control/doc.go
+++ b/internal/proof/control/doc.go
@@ -1,4 +1,5 @@
-// Package control proves what control promises on real replicas: concurrent
-// operators and claimants under kills, freezes, cuts and lost disks, with the
-// histories of what they saw checked by porcupine against small models.
+// Package control tests the guarantees of control on real replicas. Concurrent
+// operators and claimants run while replicas are killed, frozen, partitioned and
+// lose their disks. The porcupine linearizability checker then compares the recorded
+// histories with small models.
 package control
--- a/internal/proof/control/faults.go
+++ b/internal/proof/control/faults.go
@@ -11,121 +11,124 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// Faults hit one replica at a time and end before the next, since two of three
-// can't be in force at once and still be a quorum.
+// A fault affects one replica at a time and ends before the next one starts: with
+// two of three replicas faulty there is no quorum.
 const (
-	// faultTime is how long a fault lasts: several election timeouts.
-	faultTime = 900 * time.Millisecond
-	// calm is the time between two faults, for a leader to come up.
-	calm = 700 * time.Millisecond
+	// faultDuration is the length of a fault: several election timeouts.
+	faultDuration = 900 * time.Millisecond
+	// recoveryTime is the pause between two faults, in which a leader is elected.
+	recoveryTime = 700 * time.Millisecond
 )
 
-// chaos injects faults into the replicas until ctx ends and heals them.
-type chaos struct {
-	bed    *testbed.Bed
-	random *rand.Rand
-	// told counts the faults by name.
-	told map[string]int
+// faultInjector injects faults into control replicas and ends them again.
+type faultInjector struct {
+	bed *testbed.Bed
+	rng *rand.Rand
+	// counts has the number of injected faults by name.
+	counts map[string]int
 }
 
-func newChaos(bed *testbed.Bed, seed uint64) *chaos {
-	return &chaos{bed: bed, random: rand.New(rand.NewPCG(seed, 2)), told: make(map[string]int)}
+func newFaultInjector(bed *testbed.Bed, seed uint64) *faultInjector {
+	return &faultInjector{bed: bed, rng: rand.New(rand.NewPCG(seed, 2)), counts: make(map[string]int)}
 }
 
-// run injects the faults named by turns, one after the other, in random order.
-func (c *chaos) run(ctx context.Context) {
+// run injects faults in random order, one after the other, until ctx ends.
+func (f *faultInjector) run(ctx context.Context) {
 	faults := []struct {
 		name   string
-		inject func(ctx context.Context, victim int)
+		inject func(ctx context.Context, target int)
 	}{
-		{"kill", c.kill}, {"freeze", c.freeze}, {"cut", c.cut},
-		{"cut one way", c.cutOneWay}, {"silent connections", c.silence},
+		{"kill", f.kill}, {"freeze", f.freeze}, {"cut", f.partition},
+		{"cut one way", f.partitionOneWay}, {"silent connections", f.blackholeOpenConnections},
 	}
 	for ctx.Err() == nil {
-		f := faults[c.random.IntN(len(faults))]
-		c.told[f.name]++
-		f.inject(ctx, c.victim(ctx))
-		sleep(ctx, calm)
+		fault := faults[f.rng.IntN(len(faults))]
+		f.counts[fault.name]++
+		fault.inject(ctx, f.pickReplica(ctx))
+		sleep(ctx, recoveryTime)
 	}
 }
 
-// victim is the leader in two of three cases, else any replica.
-func (c *chaos) victim(ctx context.Context) int {
-	if c.random.IntN(3) > 0 {
-		if leader, err := c.bed.Leader(ctx); err == nil {
-			for i, p := range c.bed.Control {
+// pickReplica returns the index of the leader in two of three cases, otherwise that
+// of a random replica.
+func (f *faultInjector) pickReplica(ctx context.Context) int {
+	if f.rng.IntN(3) > 0 {
+		if leader, err := f.bed.Leader(ctx); err == nil {
+			for i, p := range f.bed.Control {
 				if p == leader {
 					return i
 				}
 			}
 		}
 	}
-	return c.random.IntN(len(c.bed.Control))
+	return f.rng.IntN(len(f.bed.Control))
 }
 
-func (c *chaos) kill(ctx context.Context, victim int) {
-	p := c.bed.Control[victim]
+func (f *faultInjector) kill(ctx context.Context, target int) {
+	p := f.bed.Control[target]
 	p.Kill()
-	sleep(ctx, faultTime)
+	sleep(ctx, faultDuration)
 	_ = p.Start()
 }
 
-func (c *chaos) freeze(ctx context.Context, victim int) {
-	p := c.bed.Control[victim]
+func (f *faultInjector) freeze(ctx context.Context, target int) {
+	p := f.bed.Control[target]
 	p.Signal(syscall.SIGSTOP)
-	sleep(ctx, faultTime)
+	sleep(ctx, faultDuration)
 	p.Signal(syscall.SIGCONT)
 }
 
-func (c *chaos) cut(ctx context.Context, victim int) {
-	silent := forwarder.Mode{SilentToServer: true, SilentToClient: true}
-	c.links(victim, silent, silent)
-	sleep(ctx, faultTime)
-	c.links(victim, forwarder.Mode{}, forwarder.Mode{})
+func (f *faultInjector) partition(ctx context.Context, target int) {
+	blackhole := forwarder.Mode{SilentToServer: true, SilentToClient: true}
+	f.setLinks(target, blackhole, blackhole)
+	sleep(ctx, faultDuration)
+	f.setLinks(target, forwarder.Mode{}, forwarder.Mode{})
 }
 
-// cutOneWay lets the victim speak but not hear, or hear but not speak.
-func (c *chaos) cutOneWay(ctx context.Context, victim int) {
-	silent := forwarder.Mode{SilentToServer: true}
-	if c.random.IntN(2) == 0 {
-		c.links(victim, silent, forwarder.Mode{})
+// partitionOneWay drops either all messages that the replica sends to other replicas
+// or all that they send to it.
+func (f *faultInjector) partitionOneWay(ctx context.Context, target int) {
+	blackhole := forwarder.Mode{SilentToServer: true}
+	if f.rng.IntN(2) == 0 {
+		f.setLinks(target, blackhole, forwarder.Mode{})
 	} else {
-		c.links(victim, forwarder.Mode{}, silent)
+		f.setLinks(target, forwarder.Mode{}, blackhole)
 	}
-	sleep(ctx, faultTime)
-	c.links(victim, forwarder.Mode{}, forwarder.Mode{})
+	sleep(ctx, faultDuration)
+	f.setLinks(target, forwarder.Mode{}, forwarder.Mode{})
 }
 
-// silence makes the open connections silent for good; new ones work.
-func (c *chaos) silence(ctx context.Context, victim int) {
-	own := uint64(victim + 1)
-	for id := uint64(1); id <= uint64(len(c.bed.Control)); id++ {
-		if id != own {
-			c.bed.Link(own, id).SilenceOpen()
-			c.bed.Link(id, own).SilenceOpen()
+// blackholeOpenConnections permanently drops all data on the replica's open
+// connections to and from other replicas; new connections work.
+func (f *faultInjector) blackholeOpenConnections(ctx context.Context, target int) {
+	ownID := uint64(target + 1)
+	for peerID := uint64(1); peerID <= uint64(len(f.bed.Control)); peerID++ {
+		if peerID != ownID {
+			f.bed.Link(ownID, peerID).SilenceOpen()
+			f.bed.Link(peerID, ownID).SilenceOpen()
 		}
 	}
-	sleep(ctx, faultTime)
+	sleep(ctx, faultDuration)
 }
 
-// links sets the ways from and to the victim.
-func (c *chaos) links(victim int, from, to forwarder.Mode) {
-	own := uint64(victim + 1)
-	for id := uint64(1); id <= uint64(len(c.bed.Control)); id++ {
-		if id != own {
-			c.bed.Link(own, id).Set(from)
-			c.bed.Link(id, own).Set(to)
+// setLinks sets the modes of the forwarders from and to the replica.
+func (f *faultInjector) setLinks(target int, from, to forwarder.Mode) {
+	ownID := uint64(target + 1)
+	for peerID := uint64(1); peerID <= uint64(len(f.bed.Control)); peerID++ {
+		if peerID != ownID {
+			f.bed.Link(ownID, peerID).Set(from)
+			f.bed.Link(peerID, ownID).Set(to)
 		}
 	}
 }
 
-// loseDisk takes a replica's data away, whole or in part, and brings it back as
-// operators do: the program is started again and the replica replaced.
-func (c *chaos) loseDisk(ctx context.Context, victim int, whole bool) error {
-	p := c.bed.Control[victim]
+// loseDisk wipes or truncates a replica's data and then recovers the replica as
+// operators do: it restarts the program and replaces the replica.
+func (f *faultInjector) loseDisk(ctx context.Context, target int, wipe bool) error {
+	p := f.bed.Control[target]
 	p.Kill()
 	damage := p.WipeData
-	if !whole {
+	if !wipe {
 		damage = func() error { return p.TruncateData(0.5) }
 	}
 	if err := damage(); err != nil {
@@ -134,8 +137,8 @@
 	if err := p.Start(); err != nil {
 		return err
 	}
-	id := strconv.Itoa(victim + 1)
-	_, err := c.bed.Ctl(ctx, "replica", "replace", id, id, "--address", p.Address, "--data-centre", p.DataCentre)
+	id := strconv.Itoa(target + 1)
+	_, err := f.bed.Ctl(ctx, "replica", "replace", id, id, "--address", p.Address, "--data-centre", p.DataCentre)
 	return err
 }
 
--- a/internal/proof/control/history.go
+++ b/internal/proof/control/history.go
@@ -9,27 +9,27 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// history collects operations of many clients.
+// history records the operations of concurrent clients.
 type history struct {
-	began time.Time
+	start time.Time
 	mu    sync.Mutex
 	ops   []porcupine.Operation
 }
 
-func newHistory() *history { return &history{began: time.Now()} }
+func newHistory() *history { return &history{start: time.Now()} }
 
-// do runs one operation and records it. One whose answer never came may take
-// effect at any time after its call, or never.
-func (h *history) do(client int, input any, run func() (output any, answered bool)) {
-	call := time.Since(h.began).Nanoseconds()
-	output, answered := run()
-	back := time.Since(h.began).Nanoseconds()
+// record runs one operation and records it. An operation without an answer gets no
+// end time, since it may take effect at any time after its call, or never.
+func (h *history) record(client int, input any, operation func() (output any, answered bool)) {
+	called := time.Since(h.start).Nanoseconds()
+	output, answered := operation()
+	returned := time.Since(h.start).Nanoseconds()
 	if !answered {
-		back = math.MaxInt64
+		returned = math.MaxInt64
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: input, Call: call, Output: output, Return: back})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: input, Call: called, Output: output, Return: returned})
 }
 
 func (h *history) operations() []porcupine.Operation {
@@ -38,7 +38,7 @@
 	return append([]porcupine.Operation(nil), h.ops...)
 }
 
-// answered counts the operations that got an answer.
+// answered returns the number of operations that got an answer.
 func (h *history) answered() int {
 	n := 0
 	for _, op := range h.operations() {
@@ -49,9 +49,10 @@
 	return n
 }
 
-// opTimeout bounds one operation with its retries: an election and a hand-over.
+// opTimeout bounds one operation with its retries. It allows for an election and a
+// leadership transfer.
 const opTimeout = 3 * time.Second
 
-func withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+func withOpTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, opTimeout)
 }
--- a/internal/proof/control/measure_test.go
+++ b/internal/proof/control/measure_test.go
@@ -20,11 +20,11 @@
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
-// The measurements print figures and judge nothing but that they could be taken.
-// They run when GOLDCREST_MEASURE is set:
+// The measurements log figures and fail only if a figure could not be measured. They
+// run when GOLDCREST_MEASURE is set:
 //
 //	GOLDCREST_MEASURE=1 go test -count=1 -run Measure -v ./internal/proof/control
-func measuring(t *testing.T) context.Context {
+func measurementContext(t *testing.T) context.Context {
 	t.Helper()
 	if os.Getenv("GOLDCREST_MEASURE") == "" {
 		t.Skip("set GOLDCREST_MEASURE to measure")
@@ -34,16 +34,16 @@
 	return ctx
 }
 
-// writer applies one declaration after the other.
+// writer applies declarations one after the other.
 type writer struct {
 	client   *ctl.Client
-	whole    *declaration.Declaration
+	template *declaration.Declaration
 	revision uint64
 }
 
 func newWriter(t *testing.T, ctx context.Context, bed *testbed.Bed) *writer {
 	t.Helper()
-	w := &writer{client: newClient(t, bed), whole: bed.Declaration}
+	w := &writer{client: newClient(t, bed), template: bed.Declaration}
 	d, err := w.client.Declaration(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -52,24 +52,24 @@
 	return w
 }
 
-// until applies changes until over says so after one, and gives how long the
-// longest took.
-func (w *writer) until(ctx context.Context, over func() bool) (longest time.Duration, err error) {
+// applyUntil applies changes until stop returns true after one. It returns the time
+// of the slowest change.
+func (w *writer) applyUntil(ctx context.Context, stop func() bool) (longest time.Duration, err error) {
 	for {
-		began := time.Now()
-		if err := w.next(ctx); err != nil {
+		start := time.Now()
+		if err := w.applyNext(ctx); err != nil {
 			return 0, err
 		}
-		longest = max(longest, time.Since(began))
-		if over() {
+		longest = max(longest, time.Since(start))
+		if stop() {
 			return longest, nil
 		}
 	}
 }
 
-// next applies the deployment's declaration with one profile changed.
-func (w *writer) next(ctx context.Context) error {
-	d := *w.whole
+// applyNext applies the deployment's declaration with one profile changed.
+func (w *writer) applyNext(ctx context.Context) error {
+	d := *w.template
 	d.Base, d.Revision = w.revision, w.revision+1
 	d.Profiles = slices.Clone(d.Profiles)
 	d.Profiles[0].Deadline += time.Duration(d.Revision%100) * time.Second
@@ -84,25 +84,25 @@
 	return nil
 }
 
-func quantiles(list []time.Duration) (p50, p99, most time.Duration) {
-	slices.Sort(list)
-	at := func(q float64) time.Duration { return list[int(q*float64(len(list)-1)+0.5)] }
-	return at(0.5), at(0.99), list[len(list)-1]
+func quantiles(durations []time.Duration) (p50, p99, highest time.Duration) {
+	slices.Sort(durations)
+	at := func(q float64) time.Duration { return durations[int(q*float64(len(durations)-1)+0.5)] }
+	return at(0.5), at(0.99), durations[len(durations)-1]
 }
 
-func tell(t *testing.T, what string, list []time.Duration) {
+func logQuantiles(t *testing.T, label string, durations []time.Duration) {
 	t.Helper()
-	p50, p99, most := quantiles(list)
-	t.Logf("%s: n=%d p50=%v p99=%v max=%v", what, len(list),
-		p50.Round(100*time.Microsecond), p99.Round(100*time.Microsecond), most.Round(100*time.Microsecond))
+	p50, p99, highest := quantiles(durations)
+	t.Logf("%s: n=%d p50=%v p99=%v max=%v", label, len(durations),
+		p50.Round(100*time.Microsecond), p99.Round(100*time.Microsecond), highest.Round(100*time.Microsecond))
 }
 
-// How long after the leader's kill or freeze is the next change accepted, and how
-// long does one wait while the leader stops as planned?
+// Measures how long a change waits for acceptance when the leader is killed, is
+// frozen or stops as planned.
 func TestMeasureTakeover(t *testing.T) {
-	ctx := measuring(t)
+	ctx := measurementContext(t)
 	bed := newBed(t, false)
-	if _, err := waitLeader(ctx, bed); err != nil {
+	if _, err := waitForLeader(ctx, bed); err != nil {
 		t.Fatal(err)
 	}
 	w := newWriter(t, ctx, bed)
@@ -120,31 +120,31 @@
 			func(p *testbed.Process) { <-p.Done(); _ = p.Start() },
 		},
 	} {
-		var took []time.Duration
+		var durations []time.Duration
 		for range 25 {
-			leader, err := waitLeader(ctx, bed)
+			leader, err := waitForLeader(ctx, bed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := w.next(ctx); err != nil {
+			if err := w.applyNext(ctx); err != nil {
 				t.Fatal(err)
 			}
 			fault.hit(leader)
-			longest, err := w.until(ctx, func() bool { return !leader.Running() || fault.name == "freeze" })
+			longest, err := w.applyUntil(ctx, func() bool { return !leader.Running() || fault.name == "freeze" })
 			if err != nil {
 				t.Fatal(err)
 			}
-			took = append(took, longest)
+			durations = append(durations, longest)
 			fault.end(leader)
-			sleep(ctx, calm)
+			sleep(ctx, recoveryTime)
 		}
-		tell(t, "leader "+fault.name+", longest wait for a change", took)
+		logQuantiles(t, "leader "+fault.name+", longest wait for a change", durations)
 	}
 }
 
-// How long after it is accepted is a change in force at all nine entries?
+// Measures the time from the acceptance of a change until all nine entries apply it.
 func TestMeasureInForce(t *testing.T) {
-	ctx := measuring(t)
+	ctx := measurementContext(t)
 	dir, err := os.MkdirTemp("", "goldcrest-measure")
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 	}
 	w := newWriter(t, ctx, bed)
 	measureInForce(t, ctx, w, "accepted to in force at all entries")
-	leader, err := waitLeader(ctx, bed)
+	leader, err := waitForLeader(ctx, bed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,28 +175,28 @@
 	measureInForce(t, ctx, w, "the same with one control VM down")
 }
 
-func measureInForce(t *testing.T, ctx context.Context, w *writer, what string) {
+func measureInForce(t *testing.T, ctx context.Context, w *writer, label string) {
 	t.Helper()
-	var took []time.Duration
+	var durations []time.Duration
 	for range 200 {
-		if err := w.next(ctx); err != nil {
+		if err := w.applyNext(ctx); err != nil {
 			t.Fatal(err)
 		}
-		began := time.Now()
-		entries, err := waitEverywhere(ctx, w.client, w.revision)
+		start := time.Now()
+		entries, err := waitForRevision(ctx, w.client, w.revision)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if entries != 9 {
 			t.Fatalf("%d entries", entries)
 		}
-		took = append(took, time.Since(began))
+		durations = append(durations, time.Since(start))
 	}
-	tell(t, what, took)
+	logQuantiles(t, label, durations)
 }
 
-// waitEverywhere returns the count of entries once all have the revision.
-func waitEverywhere(ctx context.Context, c *ctl.Client, revision uint64) (int, error) {
+// waitForRevision waits until all entries have the revision and returns their number.
+func waitForRevision(ctx context.Context, c *ctl.Client, revision uint64) (int, error) {
 	for {
 		st, err := c.Status(ctx)
 		if err != nil {
@@ -210,48 +210,48 @@
 	}
 }
 
-// How many changes a second are accepted, and how long does a replica take to
-// come back after many of them?
+// Measures how many changes per second are accepted, and how long a replica takes to
+// restart and catch up after many of them.
 func TestMeasureRestart(t *testing.T) {
-	ctx := measuring(t)
+	ctx := measurementContext(t)
 	bed := newBed(t, false)
-	if _, err := waitLeader(ctx, bed); err != nil {
+	if _, err := waitForLeader(ctx, bed); err != nil {
 		t.Fatal(err)
 	}
 	w := newWriter(t, ctx, bed)
 	for _, changes := range []uint64{1000, 10000} {
-		began, first := time.Now(), w.revision
+		start, first := time.Now(), w.revision
 		for w.revision < changes {
-			if err := w.next(ctx); err != nil {
+			if err := w.applyNext(ctx); err != nil {
 				t.Fatal(err)
 			}
 		}
-		rate := float64(changes-first) / time.Since(began).Seconds()
+		rate := float64(changes-first) / time.Since(start).Seconds()
 		t.Logf("one operator, one change after the other: %.0f accepted changes/s", rate)
-		var took []time.Duration
+		var durations []time.Duration
 		for range 10 {
-			leader, err := waitLeader(ctx, bed)
+			leader, err := waitForLeader(ctx, bed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			took = append(took, restart(t, ctx, bed, w.client, leader))
+			durations = append(durations, restartFollower(t, ctx, bed, w.client, leader))
 		}
-		tell(t, "restart of a replica after "+strconv.FormatUint(changes, 10)+" changes until it has caught up", took)
+		logQuantiles(t, "restart of a replica after "+strconv.FormatUint(changes, 10)+" changes until it has caught up", durations)
 	}
 }
 
-// restart kills a follower and measures from its start until it has synced all
-// that is committed.
-func restart(t *testing.T, ctx context.Context, bed *testbed.Bed, c *ctl.Client, leader *testbed.Process) time.Duration {
+// restartFollower kills a follower and returns the time from its restart until its
+// match index reaches the commit index.
+func restartFollower(t *testing.T, ctx context.Context, bed *testbed.Bed, c *ctl.Client, leader *testbed.Process) time.Duration {
 	t.Helper()
-	victim := 0
-	if bed.Control[victim] == leader {
-		victim = 1
+	target := 0
+	if bed.Control[target] == leader {
+		target = 1
 	}
-	bed.Control[victim].Kill()
-	sleep(ctx, calm)
-	began := time.Now()
-	if err := bed.Control[victim].Start(); err != nil {
+	bed.Control[target].Kill()
+	sleep(ctx, recoveryTime)
+	start := time.Now()
+	if err := bed.Control[target].Start(); err != nil {
 		t.Fatal(err)
 	}
 	for {
@@ -260,48 +260,48 @@
 			t.Fatal(err)
 		}
 		for _, r := range resp.GetReplicas() {
-			same := r.GetMember().GetIdentity().GetId() == uint64(victim+1)
-			if same && r.GetRecentlyActive() && r.GetMatchIndex() >= resp.GetCommitIndex() {
-				return time.Since(began)
+			isReplica := r.GetMember().GetIdentity().GetId() == uint64(target+1)
+			if isReplica && r.GetRecentlyActive() && r.GetMatchIndex() >= resp.GetCommitIndex() {
+				return time.Since(start)
 			}
 		}
 		sleep(ctx, 2*time.Millisecond)
 	}
 }
 
-// How many once-only claims a second are granted and settled, and how long does
-// each take?
+// Measures how many once-only claims per second are granted and settled, and how long
+// each takes.
 func TestMeasureClaims(t *testing.T) {
-	ctx := measuring(t)
+	ctx := measurementContext(t)
 	bed := newBed(t, false)
-	if _, err := waitLeader(ctx, bed); err != nil {
+	if _, err := waitForLeader(ctx, bed); err != nil {
 		t.Fatal(err)
 	}
 	for _, clients := range []int{1, 8, 64} {
-		work, cancel := context.WithTimeout(ctx, 5*time.Second)
+		workCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		var mu sync.Mutex
-		var took []time.Duration
+		var durations []time.Duration
 		var wg conc.WaitGroup
 		for i := range clients {
-			c := &claimant{id: i, client: newClient(t, bed), cluster: proof.Deployment, random: rand.New(rand.NewPCG(1, uint64(i))), log: newHistory()}
+			c := &claimant{id: i, client: newClient(t, bed), cluster: proof.Deployment, rng: rand.New(rand.NewPCG(1, uint64(i))), history: newHistory()}
 			wg.Go(func() {
-				for work.Err() == nil {
+				for workCtx.Err() == nil {
 					c.keys = newKeys(1)
-					began := time.Now()
-					claim := c.next()
-					if c.claim(work, claim) != granted {
+					start := time.Now()
+					claim := c.newClaim()
+					if c.claim(workCtx, claim) != granted {
 						continue
 					}
 					mu.Lock()
-					took = append(took, time.Since(began))
+					durations = append(durations, time.Since(start))
 					mu.Unlock()
-					c.settle(work, claim, done)
+					c.settle(workCtx, claim, done)
 				}
 			})
 		}
 		wg.Wait()
 		cancel()
-		t.Logf("%d claimants: %.0f claims/s granted and settled", clients, float64(len(took))/5)
-		tell(t, "claim", took)
+		t.Logf("%d claimants: %.0f claims/s granted and settled", clients, float64(len(durations))/5)
+		logQuantiles(t, "claim", durations)
 	}
 }
--- a/internal/proof/fixture_test.go
+++ b/internal/proof/fixture_test.go
@@ -137,7 +137,7 @@
 	checkAudit(t, out)
 	checkNoCredentialWritten(t, tr.Bed)
 	if unexpectedExits := tr.Bed.Unmeant(); len(unexpectedExits) > exitsBefore {
-		t.Errorf("processes ended by themselves: %v", unexpectedExits)
+		t.Errorf("unexpected process exits: %v", unexpectedExits)
 	}
 	return out
 }
@@ -159,13 +159,13 @@
 func checkAudit(t *testing.T, out *Outcome) {
 	t.Helper()
 	c := out.Counts
-	t.Logf("requests %d, whole %d, refused not run %d, unknown %d, resumes %d, %s",
+	t.Logf("requests %d, complete %d, refused not run %d, unknown %d, resumes %d, %s",
 		c.Requests, c.Whole, c.RefusedNotRun, c.Unknown, out.Resumes(), out.GapSummary())
 	for _, f := range c.Findings {
 		t.Error(f)
 	}
 	if c.Bad() {
-		t.Errorf("cut %d, doubled %d, wrong member %d, not run but ran %d, whole %d",
+		t.Errorf("interrupted %d, duplicate runs %d, wrong member %d, refused as not run but ran %d, complete %d",
 			c.Cut, c.Doubled, c.WrongMember, c.NotRunRan, c.Whole)
 	}
 }
--- a/internal/proof/member_test.go
+++ b/internal/proof/member_test.go
@@ -70,18 +70,18 @@
 		for _, e := range tr.Bed.Engines {
 			e.Expect()
 		}
-		var last *caller.Result
+		var result *caller.Result
 		out := runTrial(t, ctx, tr, Load{Seed: seed, Duration: 4 * time.Second, StreamRate: 12}, func(ctx context.Context) {
 			sleep(ctx, FaultDelay)
 			for range 4 {
 				crashing.ID = uuid.NewString()
-				last = tr.Callers[Members[0]].Complete(ctx, crashing)
+				result = tr.Callers[Members[0]].Complete(ctx, crashing)
 			}
 			for _, entry := range tr.Bed.EntryAddresses() {
 				crashing.ID, crashing.Entry = uuid.NewString(), entry
-				last = tr.Callers[Members[0]].Complete(ctx, crashing)
-				if last.Code != outcome.CodeQuarantined {
-					t.Errorf("%s: status %d, code %q, want %q", entry, last.Status, last.Code, outcome.CodeQuarantined)
+				result = tr.Callers[Members[0]].Complete(ctx, crashing)
+				if result.Code != outcome.CodeQuarantined {
+					t.Errorf("%s: status %d, code %q, want %q", entry, result.Status, result.Code, outcome.CodeQuarantined)
 				}
 			}
 		})
--- a/internal/proof/once.go
+++ b/internal/proof/once.go
@@ -27,9 +27,9 @@
 }
 
 // NewOnceCall returns a call with a new key and a new mark.
-func NewOnceCall(member, late string) OnceCall {
+func NewOnceCall(member, delay string) OnceCall {
 	return OnceCall{
-		Member: member, Delay: late, Key: uuid.Must(uuid.NewV7()).String(), Mark: UniqueName(),
+		Member: member, Delay: delay, Key: uuid.Must(uuid.NewV7()).String(), Mark: UniqueName(),
 	}
 }
 
--- a/internal/proof/once_test.go
+++ b/internal/proof/once_test.go
@@ -48,7 +48,7 @@
 	}
 	checkAudit(t, out)
 	if got := h.Linearizable(linearizabilityTimeout); got != porcupine.Ok {
-		t.Errorf("the history of the once-only calls is %s", got)
+		t.Errorf("linearizability check of the once-only calls: %s", got)
 	}
 }
 
@@ -102,18 +102,18 @@
 	op := func(out onceOutput, at int64) porcupine.Operation {
 		return porcupine.Operation{Input: "k", Output: out, Call: at, Return: at + 1}
 	}
-	bad := [][]porcupine.Operation{
+	invalid := [][]porcupine.Operation{
 		{op(onceOutput{runID: "1"}, 0), op(onceOutput{runID: "2"}, 2)},
 		{op(onceOutput{mayHaveRun: true}, 0), op(onceOutput{runID: "1"}, 2)},
 		{op(onceOutput{runID: "1"}, 0), op(onceOutput{runID: "2", replayed: true}, 2)},
 	}
-	for i, history := range bad {
+	for i, history := range invalid {
 		if porcupine.CheckOperations(onceModel, history) {
-			t.Errorf("history %d passes", i)
+			t.Errorf("invalid history %d was accepted", i)
 		}
 	}
-	good := []porcupine.Operation{op(onceOutput{runID: "1"}, 0), op(onceOutput{runID: "1", replayed: true}, 2), op(onceOutput{mayHaveRun: true}, 4)}
-	if !porcupine.CheckOperations(onceModel, good) {
-		t.Error("a right history fails")
+	valid := []porcupine.Operation{op(onceOutput{runID: "1"}, 0), op(onceOutput{runID: "1", replayed: true}, 2), op(onceOutput{mayHaveRun: true}, 4)}
+	if !porcupine.CheckOperations(onceModel, valid) {
+		t.Error("a valid history was rejected")
 	}
 }
--- a/internal/proof/trial.go
+++ b/internal/proof/trial.go
@@ -181,11 +181,11 @@
 			openStreams[r.Server] = 0
 		}
 	}
-	best := candidates[0]
+	busiest := candidates[0]
 	for _, p := range candidates {
-		if p.Running() && openStreams[p.Name] > openStreams[best.Name] {
-			best = p
+		if p.Running() && openStreams[p.Name] > openStreams[busiest.Name] {
+			busiest = p
 		}
 	}
-	return best, nil
+	return busiest, nil
 }
