--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -12,8 +12,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// controlBench is a control replica that leads a group of one: each proposal
-// is committed in the step that appends it, as if the disk took no time.
+// controlBench is a control replica that leads a group of one: each proposal is
+// committed in the step that appends it, as if writes to disk took no time.
 type controlBench struct {
 	reducer *control.Reducer
 	now     time.Duration
@@ -34,7 +34,7 @@
 		reducer: control.NewReducer(control.Config{
 			Cluster: sampleCluster, ID: 1, Sender: "control-1", OrderPause: 10 * time.Second,
 		}, node, control.NewState()),
-		now: viewTime, wallMS: time.Now().UnixMilli(), replies: make(map[uint64]control.Reply),
+		now: benchStart, wallMS: time.Now().UnixMilli(), replies: make(map[uint64]control.Reply),
 	}
 	for range 1000 {
 		b.tick(10 * time.Millisecond)
@@ -45,9 +45,9 @@
 	return nil, Failed.New("the replica does not lead")
 }
 
-// step gives an event to the reducer and carries out what it asks for.
+// step passes an event to the reducer and carries out the resulting effects.
 func (b *controlBench) step(ev control.Event) {
-	b.now += step
+	b.now += eventInterval
 	for _, eff := range b.reducer.Step(b.now, ev) {
 		switch eff := eff.(type) {
 		case control.Reply:
@@ -68,7 +68,7 @@
 	b.step(control.Tick{WallMS: b.wallMS})
 }
 
-// call makes a call and gives its answer. A call that is held gives nil.
+// call makes a call and returns its response, or nil if the reducer holds the call.
 func (b *controlBench) call(req proto.Message) (proto.Message, error) {
 	b.calls++
 	b.step(control.Call{ID: b.calls, Request: req})
@@ -80,8 +80,9 @@
 	return reply.Response, nil
 }
 
-// must is call for measured loops, in which a refusal is a fault of the bench.
-func (b *controlBench) must(req proto.Message) proto.Message {
+// mustCall is call for measured loops. It panics on an error, since a refused call in
+// such a loop is a bug in the benchmark.
+func (b *controlBench) mustCall(req proto.Message) proto.Message {
 	resp, err := b.call(req)
 	if err != nil {
 		panic(err)
@@ -89,27 +90,28 @@
 	return resp
 }
 
-// fill brings servers, entries and members into the state.
+// fill adds the given numbers of servers, entries and members to the state.
 func (b *controlBench) fill(servers, entries, members int) error {
 	d := sampleDeclaration(members).ToProto()
 	if _, err := b.call(&pb.ApplyRequest{ClusterId: sampleCluster, Declaration: d}); err != nil {
 		return err
 	}
 	for i := range entries {
-		if _, err := b.call(watch(i, 0)); err != nil {
+		if _, err := b.call(watchRequest(i, 0)); err != nil {
 			return err
 		}
 	}
 	for i := range servers {
-		if _, err := b.call(report(0, sampleServer(i))); err != nil {
+		if _, err := b.call(reportRequest(0, sampleServer(i))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// filledControl gives a leader whose state has that many of each.
-func filledControl(servers, entries, members int) (*controlBench, error) {
+// newFilledControl returns a leader whose state has the given numbers of servers,
+// entries and members.
+func newFilledControl(servers, entries, members int) (*controlBench, error) {
 	b, err := newControlBench()
 	if err != nil {
 		return nil, err
@@ -117,13 +119,13 @@
 	return b, b.fill(servers, entries, members)
 }
 
-func watch(entry int, known uint64) *pb.WatchRequest {
+func watchRequest(entry int, knownVersion uint64) *pb.WatchRequest {
 	return &pb.WatchRequest{
-		ClusterId: sampleCluster, Entry: sampleIdentity(entry), KnownVersion: known, HoldMs: 600, Load: 0.4,
+		ClusterId: sampleCluster, Entry: sampleIdentity(entry), KnownVersion: knownVersion, HoldMs: 600, Load: 0.4,
 	}
 }
 
-func report(entry int, servers ...*pb.BackendServer) *pb.ReportRequest {
+func reportRequest(entry int, servers ...*pb.BackendServer) *pb.ReportRequest {
 	req := &pb.ReportRequest{ClusterId: sampleCluster, Entry: sampleIdentity(entry)}
 	for _, s := range servers {
 		req.Announcements = append(req.Announcements, &pb.Announcement{Server: s, Load: sampleLoad()})
@@ -131,32 +133,33 @@
 	return req
 }
 
-func claim(i int) *pb.Claim {
+func newClaim(i int) *pb.Claim {
 	return &pb.Claim{
 		Member: fmt.Sprintf("team-%04d", i%1300), Service: "receipts", Key: uuid.Must(uuid.NewV7()).String(),
 		RequestId: uuid.NewString(), Owner: sampleIdentity(0), Fingerprint: uint64(i),
 	}
 }
 
-// claimOnce claims a call and settles it with a receipt-sized answer.
-func (b *controlBench) claimOnce(i int) {
-	c := claim(i)
-	b.must(&pb.ClaimRequest{ClusterId: sampleCluster, Claims: []*pb.Claim{c}})
-	b.must(&pb.SettleRequest{ClusterId: sampleCluster, Settlements: []*pb.Settlement{{
+// claimAndSettle claims a once-only call and settles it with an answer of
+// receiptBytes.
+func (b *controlBench) claimAndSettle(i int) {
+	c := newClaim(i)
+	b.mustCall(&pb.ClaimRequest{ClusterId: sampleCluster, Claims: []*pb.Claim{c}})
+	b.mustCall(&pb.SettleRequest{ClusterId: sampleCluster, Settlements: []*pb.Settlement{{
 		Claim: c, Status: pb.ClaimStatus_CLAIM_STATUS_DONE,
 		Answer: &pb.StoredAnswer{Status: 200, ContentType: "application/json", Body: make([]byte, receiptBytes)},
 	}}})
 }
 
-// watchRound is one change of the view that all n entries wait for: their held
-// calls are answered with the delta and they call again.
-func (b *controlBench) watchRound(n, change int) {
+// publishViewChange has n entries wait in held Watch calls and makes one change of the
+// view, so that all the calls are answered with the delta.
+func (b *controlBench) publishViewChange(n, change int) {
 	version := b.reducer.State().ViewVersion()
 	for i := range n {
-		b.must(watch(i, version))
+		b.mustCall(watchRequest(i, version))
 	}
 	s := sampleServer(change % 2)
 	s.Slots = uint32(change)
-	b.must(report(0, s))
+	b.mustCall(reportRequest(0, s))
 	clear(b.replies)
 }
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// viewTime is the time since boot at which measured reducers got their view.
-	viewTime = time.Hour
-	// step is how far the clock moves between measured events: short, so that
-	// the view's lease holds while thousands are played.
-	step = time.Microsecond
-	// smallPrompt and smallAnswer are an urgent question's tokens.
-	smallPrompt = 500
-	smallAnswer = 100
-	// openStreams is an entry's bound on streams while measuring.
-	openStreams = 1 << 20
+	// benchStart is the time since boot at which measured reducers receive their view.
+	benchStart = time.Hour
+	// eventInterval is how far the clock advances between measured events: so little
+	// that the view's lease does not expire over thousands of events.
+	eventInterval = time.Microsecond
+	// urgentPromptTokens and urgentOutputTokens are the size of an urgent request.
+	urgentPromptTokens = 500
+	urgentOutputTokens = 100
+	// maxStreams is the measured entry's limit on open streams, too high to be
+	// reached.
+	maxStreams = 1 << 20
 )
 
-// entryBench is an entry's reducer that has a view of some size.
+// entryBench is an entry's reducer with a view of a given size.
 type entryBench struct {
 	reducer *entry.Reducer
 	now     time.Duration
@@ -34,13 +35,13 @@
 	seq     int
 }
 
-// newEntryBench gives a reducer whose view has that many servers and members.
-// All servers serve one model and have announced themselves.
+// newEntryBench returns a reducer whose view has the given numbers of servers and
+// members. All servers serve the same model and have announced themselves.
 func newEntryBench(servers, members int) *entryBench {
 	identity := sampleEntry(0).Identity
 	b := &entryBench{
-		reducer: entry.New(entry.Config{Cluster: sampleCluster, Identity: identity, MaxStreams: openStreams}),
-		now:     viewTime, version: 1,
+		reducer: entry.New(entry.Config{Cluster: sampleCluster, Identity: identity, MaxStreams: maxStreams}),
+		now:     benchStart, version: 1,
 	}
 	list := sampleServers(servers)
 	for _, s := range list {
@@ -54,62 +55,63 @@
 	return b
 }
 
-// delta plays one delta that carries the servers and objects.
-func (b *entryBench) delta(servers []*pb.BackendServer, objects []*pb.Object) {
-	b.now += step
-	known := b.version
+// applyDelta delivers a view delta with the servers and objects.
+func (b *entryBench) applyDelta(servers []*pb.BackendServer, objects []*pb.Object) {
+	b.now += eventInterval
+	knownVersion := b.version
 	b.version++
 	b.reducer.Step(b.now, entry.ViewReceived{SentAt: b.now, Response: &pb.WatchResponse{
-		Version: b.version, KnownVersion: known, Revision: 1, LeaseMs: leaseMillis,
+		Version: b.version, KnownVersion: knownVersion, Revision: 1, LeaseMs: leaseMillis,
 		Servers: servers, Objects: objects,
 	}})
 }
 
-// renew plays a Watch answer without news.
-func (b *entryBench) renew() {
-	b.now += step
+// renewLease delivers a Watch response without changes, which extends the lease.
+func (b *entryBench) renewLease() {
+	b.now += eventInterval
 	b.reducer.Step(b.now, entry.ViewReceived{SentAt: b.now, Response: &pb.WatchResponse{
 		Version: b.version, KnownVersion: b.version, Revision: 1, LeaseMs: leaseMillis,
 	}})
 }
 
-func (b *entryBench) work() entry.RequestArrived {
+func (b *entryBench) newRequest() entry.RequestArrived {
 	b.seq++
 	id := fmt.Sprintf("request-%d", b.seq)
 	return entry.RequestArrived{Fingerprint: uint64(b.seq), RetryBudget: 0.1, Work: decision.Work{
 		RequestID: id, Member: fmt.Sprintf("team-%04d", b.seq%16), MemberWeight: 1,
 		Service: sampleModel + "-urgent", Profile: "urgent", ProfileShare: 1,
 		Class: declaration.ClassUrgent, Kind: declaration.KindModel, Model: sampleModel,
-		PromptTokens: smallPrompt, OutputTokens: smallAnswer,
+		PromptTokens: urgentPromptTokens, OutputTokens: urgentOutputTokens,
 		Arrived: b.now, FirstTokenBy: b.now + time.Hour, FinishBy: b.now + time.Hour,
 	}}
 }
 
-// request plays one request that is placed and answered.
-func (b *entryBench) request() {
-	b.now += step
-	arrived := b.work()
+// completeRequest plays one request from its arrival through dispatch to its answer.
+func (b *entryBench) completeRequest() {
+	b.now += eventInterval
+	arrived := b.newRequest()
 	for _, eff := range b.reducer.Step(b.now, arrived) {
 		if d, ok := eff.(entry.Dispatch); ok {
 			b.reducer.Step(b.now, entry.AttemptEnded{
 				RequestID: d.RequestID, Attempt: d.Attempt, Complete: true, Outcome: outcome.Ran,
-				Tokens: smallAnswer, FirstToken: 100 * time.Millisecond,
+				Tokens: urgentOutputTokens, FirstToken: 100 * time.Millisecond,
 				Decode: time.Second, Elapsed: 1100 * time.Millisecond,
 			})
 		}
 	}
 }
 
-// open plays n requests that stay: placed while a server has room, then queued.
-func (b *entryBench) open(n int) {
+// addOpenRequests adds n requests that never end: they are placed while a server has
+// capacity and queued after that.
+func (b *entryBench) addOpenRequests(n int) {
 	for range n {
-		b.now += step
-		b.reducer.Step(b.now, b.work())
+		b.now += eventInterval
+		b.reducer.Step(b.now, b.newRequest())
 	}
 }
 
 func (b *entryBench) announce(i int) {
-	b.now += step
+	b.now += eventInterval
 	s := sampleServer(i)
 	b.reducer.Step(b.now, entry.Announced{Announcement: engineapi.Announcement{
 		Cluster: sampleCluster, ID: s.Id, Incarnation: s.Incarnation, Address: s.Address,
@@ -119,21 +121,21 @@
 }
 
 func entrySlopes() []Slope {
-	return slices.Concat(entryMemory(), entryControlTimes(), entryDecisionTimes())
+	return slices.Concat(entryMemorySlopes(), entryViewCPUSlopes(), entryRequestCPUSlopes())
 }
 
-func entryMemory() []Slope {
+func entryMemorySlopes() []Slope {
 	return []Slope{
 		{
 			Name: "entry-memory-per-server", Role: "entry", Description: "heap of the reducer's view",
-			SizeName: "backend servers", Unit: Bytes, Sizes: fleetSizes(),
+			SizeName: "backend servers", Unit: Bytes, Sizes: serverCounts(),
 			Measure: func(n int) (float64, error) {
 				return HeapBytes(func() any { return newEntryBench(n, 1) }), nil
 			},
 		},
 		{
 			Name: "entry-memory-per-member", Role: "entry", Description: "heap of the reducer's declaration",
-			SizeName: "members", Unit: Bytes, Sizes: memberSizes(),
+			SizeName: "members", Unit: Bytes, Sizes: memberCounts(),
 			Measure: func(n int) (float64, error) {
 				return HeapBytes(func() any { return newEntryBench(1, n) }), nil
 			},
@@ -142,45 +144,45 @@
 			Name: "entry-memory-per-request", Role: "entry", Description: "heap of the reducer per open request",
 			SizeName: "open requests", Unit: Bytes, Sizes: []int{100, 400, 1600, 3200},
 			Measure: func(n int) (float64, error) {
-				b := newEntryBench(fleetToday, 1)
-				return HeapBytes(func() any { b.open(n); return b }), nil
+				b := newEntryBench(baseFleetSize, 1)
+				return HeapBytes(func() any { b.addOpenRequests(n); return b }), nil
 			},
 		},
 	}
 }
 
-// entryControlTimes are what control costs an entry.
-func entryControlTimes() []Slope {
+// entryViewCPUSlopes measure an entry's cost of keeping its view up to date.
+func entryViewCPUSlopes() []Slope {
 	return []Slope{
 		{
 			Name: "entry-renew-cpu", Role: "entry", Description: "taking in a Watch answer without news",
-			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			SizeName: "backend servers", Unit: Microseconds, Sizes: serverCounts(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
-				return CPUMicros(b.renew), nil
+				return CPUMicros(b.renewLease), nil
 			},
 		},
 		{
 			Name: "entry-server-delta-cpu", Role: "entry", Description: "taking in a delta with one changed server",
-			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			SizeName: "backend servers", Unit: Microseconds, Sizes: serverCounts(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
 				changed := sampleServers(1)
-				return CPUMicros(func() { b.delta(changed, nil) }), nil
+				return CPUMicros(func() { b.applyDelta(changed, nil) }), nil
 			},
 		},
 		{
 			Name: "entry-object-delta-cpu", Role: "entry", Description: "taking in a delta with one changed member",
-			SizeName: "members", Unit: Microseconds, Sizes: memberSizes(),
+			SizeName: "members", Unit: Microseconds, Sizes: memberCounts(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(1, n)
 				changed := memberDelta(1).Objects
-				return CPUMicros(func() { b.delta(nil, changed) }), nil
+				return CPUMicros(func() { b.applyDelta(nil, changed) }), nil
 			},
 		},
 		{
 			Name: "entry-announcement-cpu", Role: "entry", Description: "taking in one announcement",
-			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			SizeName: "backend servers", Unit: Microseconds, Sizes: serverCounts(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
 				i := 0
@@ -190,26 +192,26 @@
 	}
 }
 
-// entryDecisionTimes are what callers' requests cost its reducer.
-func entryDecisionTimes() []Slope {
+// entryRequestCPUSlopes measure the cost of callers' requests in an entry's reducer.
+func entryRequestCPUSlopes() []Slope {
 	return []Slope{
 		{
 			Name: "entry-request-cpu", Role: "entry", Description: "all decisions of one request that is placed and answered",
-			SizeName: "backend servers", Unit: Microseconds, Sizes: fleetSizes(),
+			SizeName: "backend servers", Unit: Microseconds, Sizes: serverCounts(),
 			Measure: func(n int) (float64, error) {
 				b := newEntryBench(n, 1)
-				return CPUMicros(b.request), nil
+				return CPUMicros(b.completeRequest), nil
 			},
 		},
 		{
 			Name: "entry-arrival-cpu-queued", Role: "entry", Description: "deciding on one arrival behind a queue",
 			SizeName: "requests waiting", Unit: Microseconds, Sizes: []int{100, 400, 1600, 3200},
 			Measure: func(n int) (float64, error) {
-				b := newEntryBench(fleetToday, 1)
-				b.open(n)
+				b := newEntryBench(baseFleetSize, 1)
+				b.addOpenRequests(n)
 				return CPUMicros(func() {
-					b.now += step
-					arrived := b.work()
+					b.now += eventInterval
+					arrived := b.newRequest()
 					b.reducer.Step(b.now, arrived)
 					b.reducer.Step(b.now, entry.CallerDisconnected{RequestID: arrived.Work.RequestID})
 				}), nil
--- a/internal/capacity/meter.go
+++ b/internal/capacity/meter.go
@@ -11,35 +11,35 @@
 // Namespace holds the error types of this package.
 var Namespace = errorx.NewNamespace("capacity")
 
-// Failed is the type of errors of measurements.
+// Failed is the type of errors of failed measurements.
 var Failed = Namespace.NewType("failed")
 
 const (
-	// runs is how often a time is measured; the least counts.
-	runs = 5
-	// runTime is how long one run lasts at least: long against the clock's
-	// grain of a microsecond.
-	runTime = 40 * time.Millisecond
+	// runCount is how often a time is measured; the minimum counts.
+	runCount = 5
+	// minRunTime is the minimum duration of one run: long compared with the clock's
+	// resolution of a microsecond.
+	minRunTime = 40 * time.Millisecond
 )
 
-// CPUMicros gives the processor time of one call of f in microseconds.
+// CPUMicros returns the processor time of one call of f in microseconds.
 func CPUMicros(f func()) float64 {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	f()
-	best := 0.0
-	for range runs {
-		if v := oneRun(f); best == 0 || v < best {
-			best = v
+	least := 0.0
+	for range runCount {
+		if v := measureRun(f); least == 0 || v < least {
+			least = v
 		}
 	}
-	return best
+	return least
 }
 
-func oneRun(f func()) float64 {
+func measureRun(f func()) float64 {
 	calls := 0
 	start := threadTime()
-	for threadTime()-start < runTime {
+	for threadTime()-start < minRunTime {
 		f()
 		calls++
 	}
@@ -55,7 +55,7 @@
 	return time.Duration(ts.Nano())
 }
 
-// HeapBytes gives how much heap build's result keeps alive.
+// HeapBytes returns how many bytes of heap the result of build keeps reachable.
 func HeapBytes(build func() any) float64 {
 	before := heapInUse()
 	kept := build()
@@ -65,7 +65,8 @@
 }
 
 func heapInUse() uint64 {
-	// Twice: the first collection runs finalizers, the second frees what they held.
+	// The first collection queues finalizers, the second frees the objects that these
+	// kept reachable.
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -13,7 +13,8 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot writes dir/NAME.svg: the measurements and the fitted line.
+// Plot writes the measurements and the fitted line to dir/NAME.svg, where NAME is the
+// slope's name.
 func (f Fit) Plot(dir string) error {
 	p := plot.New()
 	p.Title.Text = f.Name
--- a/internal/capacity/processes.go
+++ b/internal/capacity/processes.go
@@ -15,129 +15,130 @@
 
 // ProcessOptions says how to start real processes for the slopes that need them.
 type ProcessOptions struct {
-	// Bin holds the programs, Deploy the deployments.
+	// Bin is the directory of the programs, Deploy that of the deployments.
 	Bin    string
 	Deploy string
 	// ObservationTime is how long a deployment without callers is measured.
 	ObservationTime time.Duration
 }
 
-// startTimeout bounds how long a deployment may take to serve.
+// startTimeout bounds the time until a started deployment serves.
 const startTimeout = 60 * time.Second
 
-// settleTime lets the burst of the start pass: metrics are written down once a
-// second, so that what was sent just before would count as idle.
+// settleTime is the wait between the start of a deployment and its measurement.
+// Metrics are updated once a second, so that without it bytes sent during the start
+// would count as idle traffic.
 const settleTime = 3 * time.Second
 
-// metricsTimeout bounds one look at a process's metrics.
+// metricsTimeout bounds one request for a process's metrics.
 const metricsTimeout = 5 * time.Second
 
-// idleCost is what one process spends while no caller comes.
+// idleCost is what one process uses without requests of callers.
 type idleCost struct {
 	// cpu is the share of a core, in percent.
 	cpu float64
-	// memory is resident, in MB.
+	// memory is the resident memory in MB.
 	memory float64
-	// bytes are sent and received between our own processes, per second.
+	// bytes are sent to and received from the deployment's own processes, per second.
 	bytes float64
 }
 
-// idleFleet is what the processes of one deployment spend.
-type idleFleet struct {
-	// entry is the mean of all entries, leader the control replica that
-	// spends most, follower the mean of the others.
+// idleDeployment is what the processes of one deployment use without callers.
+type idleDeployment struct {
+	// entry is the mean of all entries, leader the control replica with the most
+	// bytes, follower the mean of the other replicas.
 	entry    idleCost
 	leader   idleCost
 	follower idleCost
 }
 
-// idle starts a deployment with that many entries and engines in each data
-// centre and watches it.
-func (p ProcessOptions) idle(entries, engines int) (idleFleet, error) {
+// measureIdle starts a deployment with the given numbers of entries and engines in
+// each data centre and measures it.
+func (p ProcessOptions) measureIdle(entries, engines int) (idleDeployment, error) {
 	dir, err := os.MkdirTemp("", "goldcrest-capacity-")
 	if err != nil {
-		return idleFleet{}, Failed.Wrap(err, "folder")
+		return idleDeployment{}, Failed.Wrap(err, "folder")
 	}
 	defer os.RemoveAll(dir)
 	bed, err := testbed.New(testbed.Options{
 		Bin: p.Bin, Dir: dir, Deploy: p.Deploy, Deployment: "qalhat", Entries: entries, Engines: engines,
 	})
 	if err != nil {
-		return idleFleet{}, err
+		return idleDeployment{}, err
 	}
 	defer bed.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := bed.Start(ctx); err != nil {
-		return idleFleet{}, err
+		return idleDeployment{}, err
 	}
 	time.Sleep(settleTime)
-	return p.watch(bed)
+	return p.measureRunning(bed)
 }
 
-func (p ProcessOptions) watch(bed *testbed.Bed) (idleFleet, error) {
-	entries, err := p.costs(bed.Entries)
+func (p ProcessOptions) measureRunning(bed *testbed.Bed) (idleDeployment, error) {
+	entries, err := p.measureCosts(bed.Entries)
 	if err != nil {
-		return idleFleet{}, err
+		return idleDeployment{}, err
 	}
-	control, err := p.costs(bed.Control)
+	control, err := p.measureCosts(bed.Control)
 	if err != nil {
-		return idleFleet{}, err
+		return idleDeployment{}, err
 	}
-	fleet := idleFleet{entry: mean(entries)}
+	deployment := idleDeployment{entry: mean(entries)}
 	busiest := 0
 	for i, c := range control {
 		if c.bytes > control[busiest].bytes {
 			busiest = i
 		}
 	}
-	fleet.leader = control[busiest]
-	fleet.follower = mean(append(control[:busiest:busiest], control[busiest+1:]...))
-	return fleet, nil
+	deployment.leader = control[busiest]
+	deployment.follower = mean(append(control[:busiest:busiest], control[busiest+1:]...))
+	return deployment, nil
 }
 
-// costs measures the processes for ObservationTime.
-func (p ProcessOptions) costs(list []*testbed.Process) ([]idleCost, error) {
-	before, err := readings(list)
+// measureCosts measures the processes for ObservationTime.
+func (p ProcessOptions) measureCosts(list []*testbed.Process) ([]idleCost, error) {
+	before, err := takeReadings(list)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(p.ObservationTime)
-	after, err := readings(list)
+	after, err := takeReadings(list)
 	if err != nil {
 		return nil, err
 	}
-	seconds := time.Since(began).Seconds()
-	out := make([]idleCost, len(list))
+	seconds := time.Since(start).Seconds()
+	costs := make([]idleCost, len(list))
 	for i := range list {
-		out[i] = idleCost{
+		costs[i] = idleCost{
 			cpu:    100 * (after[i].cpu - before[i].cpu).Seconds() / seconds,
 			memory: after[i].residentKB / 1000,
-			bytes:  (after[i].bytes - before[i].bytes - before[i].page) / seconds,
+			bytes:  (after[i].bytes - before[i].bytes - before[i].pageBytes) / seconds,
 		}
 	}
-	return out, nil
+	return costs, nil
 }
 
-// reading is one look at a process.
+// reading is one sample of a process's counters.
 type reading struct {
 	cpu        time.Duration
 	residentKB float64
 	bytes      float64
-	// page is the size of the metrics page that told bytes. The process sent
-	// it after it counted them, so that the next reading's bytes hold it.
-	page float64
+	// pageBytes is the size of the metrics page that bytes was read from. The process
+	// sends the page after counting, so that the bytes of the next reading include it.
+	pageBytes float64
 }
 
-func readings(list []*testbed.Process) ([]reading, error) {
-	out := make([]reading, len(list))
+func takeReadings(list []*testbed.Process) ([]reading, error) {
+	result := make([]reading, len(list))
 	for i, proc := range list {
 		cpu, err := testbed.CPUTime(proc.PID())
 		if err != nil {
 			return nil, err
 		}
-		kb, err := testbed.ResidentKB(proc.PID())
+		residentKB, err := testbed.ResidentKB(proc.PID())
 		if err != nil {
 			return nil, err
 		}
@@ -149,14 +150,14 @@
 		if err != nil {
 			return nil, err
 		}
-		out[i] = reading{cpu: cpu, residentKB: kb, bytes: bytes, page: float64(len(page))}
+		result[i] = reading{cpu: cpu, residentKB: residentKB, bytes: bytes, pageBytes: float64(len(page))}
 	}
-	return out, nil
+	return result, nil
 }
 
 // metricsPage fetches a process's metrics.
 func metricsPage(address string) (string, error) {
-	// Without compression, so that its length is what went over the wire.
+	// Without compression the length of the page is the number of bytes sent.
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	client := http.Client{Timeout: metricsTimeout, Transport: transport}
 	resp, err := client.Get("http://" + address + "/metrics")
@@ -199,57 +200,57 @@
 	return idleCost{cpu: sum.cpu / n, memory: sum.memory / n, bytes: sum.bytes / n}
 }
 
-// processSlopes watch real deployments; each is started once for all of its
-// slopes.
+// slopes measures real deployments. Each deployment is started only once for all of
+// its slopes.
 func (p ProcessOptions) slopes() []Slope {
-	byEntries := memoize(func(n int) (idleFleet, error) { return p.idle(n/dataCentres, 1) })
-	byEngines := memoize(func(n int) (idleFleet, error) { return p.idle(1, n/dataCentres) })
+	byEntries := memoize(func(n int) (idleDeployment, error) { return p.measureIdle(n/dataCentres, 1) })
+	byEngines := memoize(func(n int) (idleDeployment, error) { return p.measureIdle(1, n/dataCentres) })
 	var list []Slope
 	for _, s := range []struct {
 		name, what string
 		unit       Unit
 		role       string
-		value      func(idleFleet) float64
+		value      func(idleDeployment) float64
 	}{
-		{"idle-entry-cpu", "an entry's processor time without callers", Percent, "entry", func(f idleFleet) float64 { return f.entry.cpu }},
-		{"idle-entry-memory", "an entry's resident memory", Megabytes, "entry", func(f idleFleet) float64 { return f.entry.memory }},
-		{"idle-entry-bytes", "an entry's bytes to and from our own processes", BytesPerSecond, "entry", func(f idleFleet) float64 { return f.entry.bytes }},
-		{"idle-leader-cpu", "the leader's processor time without callers", Percent, controlRole, func(f idleFleet) float64 { return f.leader.cpu }},
-		{"idle-leader-memory", "the leader's resident memory", Megabytes, controlRole, func(f idleFleet) float64 { return f.leader.memory }},
-		{"idle-leader-bytes", "the leader's bytes to and from our own processes", BytesPerSecond, controlRole, func(f idleFleet) float64 { return f.leader.bytes }},
-		{"idle-follower-cpu", "a follower's processor time", Percent, controlRole, func(f idleFleet) float64 { return f.follower.cpu }},
-		{"idle-follower-bytes", "a follower's bytes", BytesPerSecond, controlRole, func(f idleFleet) float64 { return f.follower.bytes }},
+		{"idle-entry-cpu", "an entry's processor time without callers", Percent, "entry", func(f idleDeployment) float64 { return f.entry.cpu }},
+		{"idle-entry-memory", "an entry's resident memory", Megabytes, "entry", func(f idleDeployment) float64 { return f.entry.memory }},
+		{"idle-entry-bytes", "an entry's bytes to and from our own processes", BytesPerSecond, "entry", func(f idleDeployment) float64 { return f.entry.bytes }},
+		{"idle-leader-cpu", "the leader's processor time without callers", Percent, controlRole, func(f idleDeployment) float64 { return f.leader.cpu }},
+		{"idle-leader-memory", "the leader's resident memory", Megabytes, controlRole, func(f idleDeployment) float64 { return f.leader.memory }},
+		{"idle-leader-bytes", "the leader's bytes to and from our own processes", BytesPerSecond, controlRole, func(f idleDeployment) float64 { return f.leader.bytes }},
+		{"idle-follower-cpu", "a follower's processor time", Percent, controlRole, func(f idleDeployment) float64 { return f.follower.cpu }},
+		{"idle-follower-bytes", "a follower's bytes", BytesPerSecond, controlRole, func(f idleDeployment) float64 { return f.follower.bytes }},
 	} {
 		list = append(list,
 			Slope{Name: s.name + "-per-entry", Role: s.role, Description: s.what + ", 3 engines", SizeName: "entries", Unit: s.unit,
-				Sizes: []int{3, 9, 18, 36}, Measure: of(byEntries, s.value)},
+				Sizes: []int{3, 9, 18, 36}, Measure: measureWith(byEntries, s.value)},
 			Slope{Name: s.name + "-per-engine", Role: s.role, Description: s.what + ", 3 entries", SizeName: "engines", Unit: s.unit,
-				Sizes: []int{3, 9, 18, 36}, Measure: of(byEngines, s.value)})
+				Sizes: []int{3, 9, 18, 36}, Measure: measureWith(byEngines, s.value)})
 	}
 	return list
 }
 
-// dataCentres is how many a bed has.
+// dataCentres is the number of data centres of a test bed.
 const dataCentres = 3
 
-func of(fleet func(int) (idleFleet, error), value func(idleFleet) float64) func(int) (float64, error) {
+func measureWith(deployment func(int) (idleDeployment, error), value func(idleDeployment) float64) func(int) (float64, error) {
 	return func(n int) (float64, error) {
-		f, err := fleet(n)
+		f, err := deployment(n)
 		return value(f), err
 	}
 }
 
-// memoize remembers what f gave for each size.
-func memoize(f func(int) (idleFleet, error)) func(int) (idleFleet, error) {
-	known := make(map[int]idleFleet)
-	return func(n int) (idleFleet, error) {
-		if fleet, ok := known[n]; ok {
-			return fleet, nil
+// memoize caches the results of f by size.
+func memoize(f func(int) (idleDeployment, error)) func(int) (idleDeployment, error) {
+	cache := make(map[int]idleDeployment)
+	return func(n int) (idleDeployment, error) {
+		if deployment, ok := cache[n]; ok {
+			return deployment, nil
 		}
-		fleet, err := f(n)
+		deployment, err := f(n)
 		if err == nil {
-			known[n] = fleet
+			cache[n] = deployment
 		}
-		return fleet, err
+		return deployment, err
 	}
 }
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Names within the docs folder.
+// Names within the docs directory.
 const (
-	pageName  = "CAPACITY.md"
-	plotsName = "capacity"
-	fitsName  = "slopes.json"
+	pageFile = "CAPACITY.md"
+	plotsDir = "capacity"
+	fitsFile = "slopes.json"
 )
 
-// Markers between which the page is generated.
+// Markers around the generated parts of the page.
 const (
 	slopesBegin    = "<!-- slopes:begin -->"
 	slopesEnd      = "<!-- slopes:end -->"
@@ -23,10 +23,10 @@
 	estimatesEnd   = "<!-- estimates:end -->"
 )
 
-// Progress is told of each slope when it is measured.
+// Progress is called with each slope once it is measured.
 type Progress func(Fit)
 
-// Measure runs all slopes.
+// Measure measures all slopes.
 func Measure(p ProcessOptions, progress Progress) (Fits, error) {
 	var fits Fits
 	for _, s := range slopes(p) {
@@ -43,8 +43,8 @@
 // Fits are the measured slopes.
 type Fits []Fit
 
-// Get gives the fit with that name; a name that no slope has is a fault of the
-// program and panics.
+// Get returns the fit with that name. It panics if there is none, which is a bug in
+// the calling code.
 func (f Fits) Get(name string) Fit {
 	for _, fit := range f {
 		if fit.Name == name {
@@ -54,9 +54,9 @@
 	panic("capacity: no slope " + name)
 }
 
-// Write renews plots, slopes.json and the generated parts of CAPACITY.md.
+// Write rewrites the plots, slopes.json and the generated parts of CAPACITY.md.
 func (f Fits) Write(docs string) error {
-	dir := filepath.Join(docs, plotsName)
+	dir := filepath.Join(docs, plotsDir)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return Failed.Wrap(err, "plots")
 	}
@@ -69,10 +69,10 @@
 	if err != nil {
 		return Failed.Wrap(err, "slopes")
 	}
-	if err := os.WriteFile(filepath.Join(dir, fitsName), append(data, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fitsFile), append(data, '\n'), 0o644); err != nil {
 		return Failed.Wrap(err, "slopes")
 	}
-	return f.writePage(filepath.Join(docs, pageName))
+	return f.writePage(filepath.Join(docs, pageFile))
 }
 
 func (f Fits) writePage(path string) error {
@@ -112,13 +112,13 @@
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, fit := range f {
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s %s | %s per %s | %.3f | [plot](%s/%s.svg) |\n",
-			fit.Name, fit.Role, fit.Description, sizesOf(fit), number(fit.Intercept), fit.Unit,
-			number(fit.PerUnit), fit.SizeName, fit.RSquared, plotsName, fit.Name)
+			fit.Name, fit.Role, fit.Description, formatSizes(fit), formatNumber(fit.Intercept), fit.Unit,
+			formatNumber(fit.PerUnit), fit.SizeName, fit.RSquared, plotsDir, fit.Name)
 	}
 	return b.String()
 }
 
-func sizesOf(fit Fit) string {
+func formatSizes(fit Fit) string {
 	var parts []string
 	for _, p := range fit.Points {
 		parts = append(parts, fmt.Sprint(p.Size))
@@ -126,8 +126,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// number prints three significant digits without an exponent.
-func number(v float64) string {
+// formatNumber formats v with about three significant digits and no exponent.
+func formatNumber(v float64) string {
 	switch abs := max(v, -v); {
 	case abs >= 100:
 		return fmt.Sprintf("%.0f", v)
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -14,17 +14,17 @@
 const (
 	sampleCluster = "sample"
 	sampleModel   = "model-0"
-	// leaseMillis is the view lease that control gives.
+	// leaseMillis is the view lease that control grants.
 	leaseMillis = 1500
-	// fleetToday is one user's engines.
-	fleetToday = 9
-	// receiptBytes is an ordinary once-only answer.
+	// baseFleetSize is the number of engines of one user's deployment.
+	baseFleetSize = 9
+	// receiptBytes is the size of a typical answer to a once-only call.
 	receiptBytes = 600
-	// sweepEvery is the leader's sweep interval.
-	sweepEvery = 100 * time.Millisecond
+	// sweepInterval is the interval of the leader's periodic check of its state.
+	sweepInterval = 100 * time.Millisecond
 )
 
-// sampleServer is an engine with names of ordinary length.
+// sampleServer returns an engine with names of typical length.
 func sampleServer(i int) *pb.BackendServer {
 	return &pb.BackendServer{
 		Id:           fmt.Sprintf("engine-%04d", i),
@@ -83,8 +83,8 @@
 	return list
 }
 
-// sampleDeclaration has n members, each with its own credential, over four
-// models with two services each.
+// sampleDeclaration returns a declaration of four models with two services each and
+// n members that may use all of them, each with its own credential.
 func sampleDeclaration(n int) *declaration.Declaration {
 	d := &declaration.Declaration{Revision: 1, Author: "operations"}
 	d.Profiles = []declaration.Profile{
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -4,43 +4,43 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Unit is what a slope's values are in.
+// Unit is the unit of a slope's values.
 type Unit string
 
 // Units of slopes.
 const (
 	Bytes        Unit = "bytes"
 	Microseconds Unit = "µs"
-	// Percent is of one core.
+	// Percent is relative to one core.
 	Percent        Unit = "% of a core"
 	Megabytes      Unit = "MB"
 	BytesPerSecond Unit = "bytes/s"
 )
 
-// Slope is one cost that is measured at several sizes.
+// Slope is one cost that is measured at several sizes to see how it grows.
 type Slope struct {
-	// Name is short and stable; plots and the table use it.
+	// Name is short and stable; it names the plot and the row of the table.
 	Name string
-	// Role is whose cost it is: entry, control replica, operator tool.
+	// Role is the program that has the cost: entry, control replica, operator tool.
 	Role string
 	// Description says in words what one value is.
 	Description string
 	// SizeName names the quantity that grows; Unit is the unit of the cost.
 	SizeName string
 	Unit     Unit
-	// Sizes are at least four.
+	// Sizes are the measured sizes, at least four.
 	Sizes []int
-	// Measure gives the cost at a size.
+	// Measure returns the cost at a size.
 	Measure func(size int) (float64, error)
 }
 
-// Point is one measurement.
+// Point is the measured value at one size.
 type Point struct {
 	Size  int     `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Fit is a slope with its measurements and the line through them.
+// Fit is a slope with its measurements and the line fitted to them.
 type Fit struct {
 	Name        string  `json:"name"`
 	Role        string  `json:"role"`
@@ -48,16 +48,17 @@
 	SizeName    string  `json:"size"`
 	Unit        Unit    `json:"unit"`
 	Points      []Point `json:"points"`
-	// Intercept and PerUnit are the line's; RSquared tells how well it fits.
+	// Intercept and PerUnit (the gradient) define the line; RSquared is its coefficient
+	// of determination.
 	Intercept float64 `json:"intercept"`
 	PerUnit   float64 `json:"per_unit"`
 	RSquared  float64 `json:"r_squared"`
 }
 
-// At gives the line's value at a size, which may lie beyond the measured ones.
+// At returns the line's value at a size, which may be larger than the measured ones.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.PerUnit*size }
 
-// Run measures a slope at all its sizes and fits the line.
+// Run measures the slope at all its sizes and fits a line to the values.
 func (s Slope) Run() (Fit, error) {
 	fit := Fit{Name: s.Name, Role: s.Role, Description: s.Description, SizeName: s.SizeName, Unit: s.Unit}
 	xs := make([]float64, 0, len(s.Sizes))
