--- a/cmd/goldcrest-control/main.go
+++ b/cmd/goldcrest-control/main.go
@@ -1,5 +1,5 @@
-// Command goldcrest-control is one replica of the control group. It runs on the
-// few VMs that have a disk.
+// Command goldcrest-control runs one replica of the control group. It runs on the few
+// VMs that have a disk.
 package main
 
 import (
@@ -20,8 +20,8 @@
 )
 
 // gcPercent trades memory, of which a replica has 64 MB, for processor time, of
-// which it has little: a heap of a few MB is collected a fourth as often as by
-// default. GOGC in the environment still counts.
+// which it has little: a heap of a few MB is collected a quarter as often as by
+// default. The environment variable GOGC takes precedence.
 const gcPercent = 400
 
 func main() {
@@ -37,7 +37,7 @@
 func newRun() *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
-		Use: "run", Short: "Run the replica until it is told to stop (SIGTERM, SIGINT)", Args: cobra.NoArgs,
+		Use: "run", Short: "Run the replica until SIGTERM or SIGINT", Args: cobra.NoArgs,
 		Example: "  goldcrest-control run --settings /etc/goldcrest/control.yaml",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return run(cmd, file) },
 	}
@@ -57,7 +57,7 @@
 	log := obs.NewLogger(out, s.Name, s.Log)
 	ctx := cli.Stopped(cmd.Context())
 	go cli.WatchFile(ctx, file, log, func() {
-		log.Info("settings changed; they count from the next start on", "settings", file)
+		log.Info("settings file changed; changes take effect at the next start", "settings", file)
 	})
 	for {
 		r, err := runner.New(s, log, drivers(s, log))
@@ -68,12 +68,12 @@
 		if !errorx.IsOfType(err, runner.Removed) || !s.GroupFromControl {
 			return err
 		}
-		// The group took another replica in this one's place while it was away. It
-		// comes back as a new one, from an empty folder.
+		// The group replaced this replica while it was down. It rejoins as a new replica
+		// with an empty data directory.
 		if err := store.Discard(s.DataDir); err != nil {
 			return err
 		}
-		log.Warn("removed from the group; asking to join anew", "cause", err.Error())
+		log.Warn("removed from the group; rejoining as a new replica", "cause", err.Error())
 		s.Join, s.ReplicaID, s.Bootstrap = true, 0, nil
 	}
 }
--- a/cmd/goldcrest-engine/main.go
+++ b/cmd/goldcrest-engine/main.go
@@ -1,6 +1,5 @@
-// Command goldcrest-engine is the stand-in backend server: a model engine or a
-// plain service with a journal and scripted faults. It runs on test machines
-// only.
+// Command goldcrest-engine is a stand-in for a backend server: a model engine or a
+// plain service with a journal and scripted faults. It runs on test machines only.
 package main
 
 import (
@@ -16,7 +15,7 @@
 
 func main() {
 	root := cli.NewRoot("goldcrest-engine", "Stand-in backend server for tests",
-		"goldcrest-engine stands in for a model engine or a plain service on test machines.\nIt announces itself to entries, keeps a journal of what it received and ran, and\nleaves on SIGTERM: it takes no new work, finishes what runs and stops.")
+		"goldcrest-engine stands in for a model engine or a plain service on test machines.\nIt announces itself to entries and keeps a journal of what it received and ran. On\nSIGTERM it takes no new work, finishes running requests and exits.")
 	root.AddCommand(newRun(), newCheck())
 	cli.Main(root)
 }
--- a/cmd/goldcrest-entry/main.go
+++ b/cmd/goldcrest-entry/main.go
@@ -1,4 +1,5 @@
-// Command goldcrest-entry stands between callers and backend servers.
+// Command goldcrest-entry accepts callers' requests and forwards them to backend
+// servers.
 package main
 
 import (
@@ -18,7 +19,7 @@
 
 func main() {
 	root := cli.NewRoot("goldcrest-entry", "Serve callers at one entry VM",
-		"goldcrest-entry takes callers' requests, decides what is let in and where it runs, and\nbrings the answers back. It keeps no durable state.")
+		"goldcrest-entry accepts callers' requests, decides which are admitted and where they\nrun, and relays the answers. It keeps no durable state.")
 	root.AddCommand(newRun(), newCheckSettings())
 	cli.Main(root)
 }
@@ -28,8 +29,8 @@
 	cmd := &cobra.Command{
 		Use:   "run --settings FILE",
 		Short: "Serve until SIGTERM or SIGINT, then stop gracefully",
-		Long: "Serve until SIGTERM or SIGINT, then stop gracefully: leave the address answers, serve\n" +
-			"callers that hold older ones, finish what runs. A second signal changes nothing.",
+		Long: "Serve until SIGTERM or SIGINT, then stop gracefully: leave the list of entries, serve\n" +
+			"callers that hold an older list, finish running requests. A second signal has no effect.",
 		Example: "  goldcrest-entry run --settings /etc/goldcrest/entry.yaml",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return run(file) },
@@ -39,7 +40,7 @@
 	return cmd
 }
 
-// server is an entry with one of its ways in.
+// server is an entry that serves callers over HTTP or over the platform's relay.
 type server interface {
 	Run(ctx context.Context) error
 	Reload(*settings.Entry)
--- a/cmd/goldcrest-load/capacity.go
+++ b/cmd/goldcrest-load/capacity.go
@@ -15,9 +15,9 @@
 	var processes capacity.ProcessOptions
 	cmd := &cobra.Command{
 		Use:   "capacity",
-		Short: "Measure slopes and renew docs/CAPACITY.md",
-		Long: `capacity measures how costs grow with sizes, fits lines, and renews the tables
-and plots of the capacity page. It takes some minutes; run nothing beside it.`,
+		Short: "Measure how costs grow with size and update docs/CAPACITY.md",
+		Long: `capacity measures how costs grow with size, fits lines, and rewrites the tables and
+plots of the capacity page. It takes some minutes; run nothing else meanwhile.`,
 		Example: "  goldcrest-load capacity --docs docs",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -35,6 +35,6 @@
 	f.StringVar(&docs, "docs", "docs", "folder with CAPACITY.md")
 	f.StringVar(&processes.Bin, "bin", "bin", "folder with the programs")
 	f.StringVar(&processes.Deploy, "deploy", "deploy", "folder with the deployments")
-	f.DurationVar(&processes.ObservationTime, "observe", 10*time.Second, "how long each deployment without callers is watched")
+	f.DurationVar(&processes.ObservationTime, "observe", 10*time.Second, "how long to measure each deployment without callers")
 	return cmd
 }
--- a/cmd/goldcrest-load/demo.go
+++ b/cmd/goldcrest-load/demo.go
@@ -21,15 +21,17 @@
 )
 
 const (
-	// demoTimeout bounds the whole demo.
+	// demoTimeout bounds the demo.
 	demoTimeout = 2 * time.Minute
-	// startTimeout bounds start, apply and readiness.
+	// startTimeout bounds starting the processes, applying the declaration and waiting
+	// until every entry serves.
 	startTimeout = 40 * time.Second
-	// demoTimeScale makes the engines quick, so that dossiers end within the demo.
+	// demoTimeScale makes the engines fast enough that bulk requests end within the
+	// demo.
 	demoTimeScale = 8
 )
 
-// demoOptions are the flags of demo.
+// demoOptions are the flags of `goldcrest-load demo`.
 type demoOptions struct {
 	deployment string
 	bin        string
@@ -45,7 +47,7 @@
 		Use: "demo", Short: "Run one deployment on loopback, play a workload and check every answer", Args: cobra.NoArgs,
 		Long: "demo starts 3 control replicas, 9 entries, 9 stand-in engines and 3 stand-in plain\n" +
 			"servers on loopback, applies the declaration, plays a workload and compares what\n" +
-			"callers got with what the stand-ins wrote down. The last line sums it up.",
+			"callers got with what the stand-ins recorded in their journals. The last line is a summary.",
 		Example: "  goldcrest-load demo --deployment qazaq --bin bin --deploy deploy",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
@@ -61,7 +63,7 @@
 	f.StringVar(&o.deploy, "deploy", "deploy", "folder with the deployments")
 	f.StringVar(&o.workload, "workload", "", "workload file (default: demo.yaml of the deployment)")
 	f.StringVar(&o.report, "report", "", "file for the JSON report")
-	f.BoolVar(&o.keep, "keep", false, "keep settings, logs and journals, and say where")
+	f.BoolVar(&o.keep, "keep", false, "keep settings, logs and journals, and print their directory")
 	return cmd
 }
 
@@ -94,62 +96,62 @@
 }
 
 func runDemo(ctx context.Context, out io.Writer, o demoOptions, bed *testbed.Bed, w *workload.Workload) error {
-	began := time.Now()
-	say := func(format string, args ...any) {
-		fmt.Fprintf(out, "%5.1fs  "+format+"\n", append([]any{time.Since(began).Seconds()}, args...)...)
+	start := time.Now()
+	logProgress := func(format string, args ...any) {
+		fmt.Fprintf(out, "%5.1fs  "+format+"\n", append([]any{time.Since(start).Seconds()}, args...)...)
 	}
-	say("start %s: %d control, %d entries, %d engines, %d plain servers",
+	logProgress("start %s: %d control, %d entries, %d engines, %d plain servers",
 		o.deployment, len(bed.Control), len(bed.Entries), len(bed.Engines), len(bed.Plain))
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := bed.Start(starting); err != nil {
 		return err
 	}
-	arrivals := w.Schedule(runName())
-	say("declaration applied, every entry serves; play %d requests", len(arrivals))
-	done := (&workload.Player{Callers: demoCallers(o, bed, w)}).Play(ctx, arrivals)
-	say("all callers have their answers; compare with the journals")
-	return judge(out, o, bed, w, done)
+	arrivals := w.Schedule(newRunName())
+	logProgress("declaration applied, every entry serves; play %d requests", len(arrivals))
+	results := (&workload.Player{Callers: newCallers(o, bed, w)}).Play(ctx, arrivals)
+	logProgress("all callers have their answers; compare with the journals")
+	return checkResults(out, o, bed, w, results)
 }
 
-// demoCallers gives each member its caller, spread over the data centres.
-func demoCallers(o demoOptions, bed *testbed.Bed, w *workload.Workload) map[string]*caller.Client {
+// newCallers returns a caller for each member, spread over the data centres.
+func newCallers(o demoOptions, bed *testbed.Bed, w *workload.Workload) map[string]*caller.Client {
 	callers := make(map[string]*caller.Client)
 	for i, m := range w.Members {
-		home := bed.Entries[i*len(bed.Entries)/len(w.Members)]
+		homeEntry := bed.Entries[i*len(bed.Entries)/len(w.Members)]
 		callers[m.Name] = caller.New(caller.Config{
-			Seeds: bed.EntryAddresses(), DataCentre: home.DataCentre, Member: m.Name,
+			Seeds: bed.EntryAddresses(), DataCentre: homeEntry.DataCentre, Member: m.Name,
 			Token: testbed.Token(o.deployment, m.Name), Patience: w.Patience, Seed: w.Seed + uint64(i),
 		})
 	}
 	return callers
 }
 
-func judge(out io.Writer, o demoOptions, bed *testbed.Bed, w *workload.Workload, done []audit.Done) error {
+func checkResults(out io.Writer, o demoOptions, bed *testbed.Bed, w *workload.Workload, results []audit.Done) error {
 	records, err := bed.Journals()
 	if err != nil {
 		return err
 	}
-	counts := audit.Check(done, records)
+	counts := audit.Check(results, records)
 	for _, f := range counts.Findings {
 		fmt.Fprintln(out, "finding:", f)
 	}
-	for _, c := range w.NewReport(counts, done).Classes {
+	for _, c := range w.NewReport(counts, results).Classes {
 		fmt.Fprintf(out, "%-18s requests %3d  whole %3d  first token p50 %6.1f ms p95 %6.1f ms  whole answer p95 %7.1f ms\n",
 			c.Class, c.Requests, c.Whole, c.FirstToken.P50, c.FirstToken.P95, c.Took.P95)
 	}
 	if o.report != "" {
-		if err := writeReport(o.report, w, counts, done); err != nil {
+		if err := writeReport(o.report, w, counts, results); err != nil {
 			return err
 		}
 	}
-	died := bed.Unmeant()
-	if len(died) > 0 {
-		fmt.Fprintln(out, "finding: processes ended by themselves:", died)
+	unexpectedExits := bed.Unmeant()
+	if len(unexpectedExits) > 0 {
+		fmt.Fprintln(out, "finding: processes ended by themselves:", unexpectedExits)
 	}
 	fmt.Fprintln(out, counts.Line())
-	if counts.Bad() || counts.Unknown > 0 || len(died) > 0 {
-		return broken.New("%d findings", len(counts.Findings)+len(died))
+	if counts.Bad() || counts.Unknown > 0 || len(unexpectedExits) > 0 {
+		return brokenPromise.New("%d findings", len(counts.Findings)+len(unexpectedExits))
 	}
 	return nil
 }
--- a/cmd/goldcrest-load/faults.go
+++ b/cmd/goldcrest-load/faults.go
@@ -16,9 +16,9 @@
 	var seeds int
 	cmd := &cobra.Command{
 		Use: "faults", Short: "Measure what callers see when processes fail under load", Args: cobra.NoArgs,
-		Long: "faults plays the same load with each fault in its middle, on a fresh deployment each\n" +
-			"time, and prints as JSON the share of accepted requests with a whole answer and the\n" +
-			"silences that callers saw.",
+		Long: "faults runs the same load with each fault in its middle, on a new deployment each\n" +
+			"time, and prints as JSON the share of accepted requests with a complete answer and\n" +
+			"the pauses that callers saw.",
 		Example: "  goldcrest-load faults --bin bin --root . --seeds 5",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/goldcrest-load/overhead.go
+++ b/cmd/goldcrest-load/overhead.go
@@ -14,7 +14,7 @@
 func newOverhead() *cobra.Command {
 	var o measure.Options
 	cmd := &cobra.Command{
-		Use: "overhead", Short: "Measure what entries add to tokens and cost per stream", Args: cobra.NoArgs,
+		Use: "overhead", Short: "Measure the latency that entries add to tokens and their cost per stream", Args: cobra.NoArgs,
 		Long: "overhead starts a deployment on loopback and compares streams through entries with\n" +
 			"streams at the stand-in engines, side by side in one run; it then measures tokens\n" +
 			"relayed per core-second and memory per open stream. It prints JSON.",
@@ -42,8 +42,8 @@
 	f.StringVar(&o.Bin, "bin", "bin", "folder with the programs")
 	f.StringVar(&o.Deploy, "deploy", "deploy", "folder with the deployments")
 	f.IntVar(&o.Pairs, "pairs", 200, "pairs of streams for the latency")
-	f.IntVar(&o.Width, "width", 10, "pairs at once")
-	f.IntVar(&o.Streams, "streams", 200, "streams at once for the relay")
+	f.IntVar(&o.Width, "width", 10, "pairs in parallel")
+	f.IntVar(&o.Streams, "streams", 200, "parallel streams for the relay")
 	f.IntSliceVar(&o.Sizes, "sizes", []int{0, 200, 400, 600, 800}, "numbers of open streams for the memory")
 	return cmd
 }
--- a/cmd/goldcrest-load/play.go
+++ b/cmd/goldcrest-load/play.go
@@ -24,10 +24,10 @@
 // errNamespace holds this program's error types.
 var errNamespace = errorx.NewNamespace("load")
 
-// broken is the type of errors of a run that broke a promise.
-var broken = errNamespace.NewType("broken_promise")
+// brokenPromise is the type of errors of a run that violated a guarantee.
+var brokenPromise = errNamespace.NewType("broken_promise")
 
-// playOptions are the flags of play.
+// playOptions are the flags of `goldcrest-load play`.
 type playOptions struct {
 	workload   string
 	entries    []string
@@ -80,36 +80,37 @@
 			return cli.WithCode(cli.ExitUsage, errNamespace.NewType("usage").New("no --token for member %s", m.Name))
 		}
 	}
-	done := (&workload.Player{Callers: callers}).Play(ctx, w.Schedule(runName()))
-	return report(out, w, done, o.journals)
+	results := (&workload.Player{Callers: callers}).Play(ctx, w.Schedule(newRunName()))
+	return printReport(out, w, results, o.journals)
 }
 
-// runName tells this run's marks from those of other runs.
-func runName() string { return strconv.FormatInt(time.Now().UnixNano(), 36) }
+// newRunName returns a name that makes this run's request marks differ from those of
+// other runs.
+func newRunName() string { return strconv.FormatInt(time.Now().UnixNano(), 36) }
 
-func report(out io.Writer, w *workload.Workload, done []audit.Done, journals string) error {
+func printReport(out io.Writer, w *workload.Workload, results []audit.Done, journals string) error {
 	counts := &audit.Counts{}
 	if journals != "" {
 		records, err := journal.ReadAll(journals)
 		if err != nil {
 			return err
 		}
-		counts = audit.Check(done, records)
+		counts = audit.Check(results, records)
 	}
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
-	if err := enc.Encode(w.NewReport(counts, done)); err != nil {
+	if err := enc.Encode(w.NewReport(counts, results)); err != nil {
 		return err
 	}
 	if journals != "" && counts.Bad() {
-		return broken.New("%s", strings.Join(counts.Findings, "; "))
+		return brokenPromise.New("%s", strings.Join(counts.Findings, "; "))
 	}
 	return nil
 }
 
-// writeReport writes the report to a file.
-func writeReport(path string, w *workload.Workload, counts *audit.Counts, done []audit.Done) error {
-	data, err := json.MarshalIndent(w.NewReport(counts, done), "", "  ")
+// writeReport writes the report as JSON to the file at path.
+func writeReport(path string, w *workload.Workload, counts *audit.Counts, results []audit.Done) error {
+	data, err := json.MarshalIndent(w.NewReport(counts, results), "", "  ")
 	if err != nil {
 		return err
 	}
--- a/cmd/goldcrest-load/policy.go
+++ b/cmd/goldcrest-load/policy.go
@@ -23,15 +23,16 @@
 	workers    int
 }
 
-// newPolicyCommand measures the decisions under load on the engine model.
+// newPolicyCommand returns the command that measures scheduling decisions under load
+// on the engine model.
 func newPolicyCommand() *cobra.Command {
 	var f policyFlags
 	cmd := &cobra.Command{
 		Use:   "policy",
 		Short: "Measure the decisions under load in virtual time",
 		Long: "policy plays traces of shifting load on a model of the engines, in virtual time, once\n" +
-			"for each policy of changing roles, and prints what callers got. With --output json it\n" +
-			"prints one JSON object a line.",
+			"for each role change policy, and prints the results for callers. With --output json\n" +
+			"it prints one JSON object per line.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return runPolicy(cmd.OutOrStdout(), &f) },
 	}
@@ -39,9 +40,9 @@
 	flags.StringVar(&f.deployment, "deployment", "qalhat", "qalhat or qazaq")
 	flags.StringVar(&f.deploy, "deploy", "deploy", "directory of the deployments' declarations")
 	flags.StringVar(&f.output, "output", "text", "text or json")
-	flags.StringVar(&f.traces, "traces", strings.Join(policy.TraceNames(), ","), "traces to play, by comma")
+	flags.StringVar(&f.traces, "traces", strings.Join(policy.TraceNames(), ","), "traces to play, separated by commas")
 	flags.IntVar(&f.seeds, "seeds", 5, "seeds per trace, 1 to 1000")
-	flags.IntVar(&f.workers, "workers", min(4, runtime.NumCPU()), "runs at a time")
+	flags.IntVar(&f.workers, "workers", min(4, runtime.NumCPU()), "parallel runs")
 	return cmd
 }
 
--- a/cmd/goldcrestctl/main.go
+++ b/cmd/goldcrestctl/main.go
@@ -1,4 +1,4 @@
-// Command goldcrestctl is the operators' tool.
+// Command goldcrestctl is the command-line tool of operators.
 package main
 
 import (
