--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 	@mkdir -p $(BIN)
 	$(GO) build -trimpath -ldflags '$(LDFLAGS)' -o $(BIN)/ ./cmd/...
 
-# Fixed seeds and counts: the same verdict every time.
+# Seeds and counts are fixed, so that every run gives the same result.
 test:
 	GO=$(GO) ./scripts/test
 
@@ -34,7 +34,7 @@
 generate:
 	./proto/generate.sh
 
-# Where protoc is at hand, the committed code must be what it generates.
+# Where protoc is installed, the committed code must be what it generates.
 generate-check:
 	@if ! command -v protoc >/dev/null; then echo "generate-check: no protoc here, not run"; exit 0; fi; \
 	out=$$(mktemp -d) && trap 'rm -rf "$$out"' EXIT && ./proto/generate.sh "$$out" && \
@@ -43,11 +43,12 @@
 demo: build
 	$(BIN)/goldcrest-load demo --deployment $(DEPLOYMENT) --bin $(BIN) --deploy deploy
 
-# Measures every slope and renews the tables and plots of docs/CAPACITY.md.
+# Measures how costs grow with size and rewrites the tables and plots of
+# docs/CAPACITY.md.
 capacity: build
 	$(BIN)/goldcrest-load capacity --docs docs
 
-# Takes each guard out in a scratch copy and expects its test to fail.
+# Removes each guard in a scratch copy of the tree and expects its test to fail.
 mutants:
 	./scripts/mutants
 
