--- a/internal/capacity/estimate.go
+++ b/internal/capacity/estimate.go
@@ -58,7 +58,7 @@
 const announcementsPerSecond = regionEngines * announcementFanOut / regionEntries / announceIntervalSeconds
 
 // viewChangesPerSecond is the rate of changes of a region's view: changes of
-// declarations, restarts (two changes each: the server goes and comes back) and
+// declarations, restarts (two changes each: the server leaves and returns) and
 // changes of the entries' reported loads.
 const viewChangesPerSecond = targetChangesPerDay/secondsPerDay + 2*targetRestartsPerDay/targetRegions/secondsPerDay + regionEntries/loadChangeIntervalSeconds
 
--- a/internal/proof/faults.go
+++ b/internal/proof/faults.go
@@ -119,8 +119,8 @@
 	Accepted      int     `json:"accepted"`
 	Complete      int     `json:"whole"`
 	CompleteShare float64 `json:"share_whole"`
-	// Doubled counts once-only calls that ran more than once.
-	Doubled int `json:"doubled"`
+	// DuplicateRuns counts once-only calls that ran more than once.
+	DuplicateRuns int `json:"doubled"`
 	// Resumes counts how often callers resumed a stream.
 	Resumes int `json:"resumes"`
 	// Migrated streams ran on more than one engine or were resumed by their
@@ -148,7 +148,7 @@
 	r.Seeds++
 	r.Accepted += c.Requests - c.RefusedNotRun
 	r.Complete += c.Whole
-	r.Doubled += c.Doubled
+	r.DuplicateRuns += c.Doubled
 	r.Resumes += out.Resumes()
 	r.Findings = append(r.Findings, c.Findings...)
 	runCounts := startsByMark(out.Records)
