--- a/internal/proof/control/measure_test.go
+++ b/internal/proof/control/measure_test.go
@@ -107,8 +107,8 @@
 	}
 	w := newWriter(t, ctx, bed)
 	for _, fault := range []struct {
-		name     string
-		hit, end func(*testbed.Process)
+		name         string
+		inject, heal func(*testbed.Process)
 	}{
 		{"kill", (*testbed.Process).Kill, func(p *testbed.Process) { _ = p.Start() }},
 		{
@@ -129,13 +129,13 @@
 			if err := w.applyNext(ctx); err != nil {
 				t.Fatal(err)
 			}
-			fault.hit(leader)
+			fault.inject(leader)
 			longest, err := w.applyUntil(ctx, func() bool { return !leader.Running() || fault.name == "freeze" })
 			if err != nil {
 				t.Fatal(err)
 			}
 			durations = append(durations, longest)
-			fault.end(leader)
+			fault.heal(leader)
 			sleep(ctx, recoveryTime)
 		}
 		logQuantiles(t, "leader "+fault.name+", longest wait for a change", durations)
