--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -13,11 +13,12 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot writes dir/NAME.svg: the measurements and the fitted line.
+// Plot writes the measurements and the fitted line to dir/NAME.svg, where NAME is the
+// slope's name.
 func (f Fit) Plot(dir string) error {
 	p := plot.New()
 	p.Title.Text = f.Name
-	p.X.Label.Text = f.Size
+	p.X.Label.Text = f.SizeName
 	p.Y.Label.Text = string(f.Unit)
 	points := make(plotter.XYs, 0, len(f.Points))
 	for _, m := range f.Points {
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// slopes are all slopes that the page is worked out from.
-func slopes(p Processes) []Slope {
+// slopes returns all slopes that the page shows or derives estimates from.
+func slopes(p ProcessOptions) []Slope {
 	return slices.Concat(
 		messageSlopes(),
 		entrySlopes(),
--- a/internal/proof/tls_test.go
+++ b/internal/proof/tls_test.go
@@ -10,8 +10,8 @@
 )
 
 // A deployment runs with TLS between its own processes. Its control leader and an
-// entry are killed; the others must find each other again over new TLS connections,
-// or callers would be refused for good.
+// entry are killed; the other processes must reconnect over new TLS connections,
+// or callers would be refused permanently.
 func TestFaultsOverTLS(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	defer cancel()
@@ -29,9 +29,9 @@
 	if err := b.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	load := Load{Seed: 1, Duration: Mixed(1).Duration, Streams: 4, Once: 4, Lookups: 4}
-	run(t, ctx, NewTrial(b, 1), load, func(ctx context.Context) {
-		pause(ctx, FaultAt)
+	load := Load{Seed: 1, Duration: MixedLoad(1).Duration, StreamRate: 4, OnceRate: 4, LookupRate: 4}
+	runTrial(t, ctx, NewTrial(b, 1), load, func(ctx context.Context) {
+		sleep(ctx, FaultDelay)
 		leader, err := b.Leader(ctx)
 		if err != nil {
 			t.Error(err)
