--- a/internal/host/watch.go
+++ b/internal/host/watch.go
@@ -41,7 +41,7 @@
 		}
 		if err != nil {
 			h.Log.Warn("view poll failed", "error", err)
-			Pause(ctx, time.Second)
+			Sleep(ctx, time.Second)
 			continue
 		}
 		h.Control.AddAddresses(resp.Control)
@@ -68,7 +68,7 @@
 // version. The wait is bounded since the reducer may have rejected the view.
 func (h *Host) awaitVersion(ctx context.Context, version uint64) {
 	for range 10 {
-		if h.Snapshot().ViewVersion >= version || !Pause(ctx, time.Millisecond) {
+		if h.Snapshot().ViewVersion >= version || !Sleep(ctx, time.Millisecond) {
 			return
 		}
 	}
@@ -83,8 +83,8 @@
 	}
 }
 
-// Pause waits for d. It returns false if ctx ended first.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d. It returns false if ctx ended first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -198,8 +198,8 @@
 // Snapshot returns what the entry knows at present.
 func (s *Server) Snapshot() *entry.Snapshot { return s.host.Snapshot() }
 
-// NotReady returns why the entry can't serve callers at present, empty if it can.
-func (s *Server) NotReady() host.NotReadyReason { return s.host.NotReadyReason() }
+// NotReadyReason returns why the entry can't serve callers at present, empty if it can.
+func (s *Server) NotReadyReason() host.NotReadyReason { return s.host.NotReadyReason() }
 
 // Settings returns the entry's settings.
 func (s *Server) Settings() *settings.Entry { return s.host.Settings }
@@ -209,7 +209,7 @@
 
 // CloseIdle closes idle connections to servers until ctx ends.
 func (s *Server) CloseIdle(ctx context.Context) {
-	for host.Pause(ctx, idleCheckInterval) {
+	for host.Sleep(ctx, idleCheckInterval) {
 		s.backend.CloseIdle()
 	}
 }
--- a/internal/traffic/claims.go
+++ b/internal/traffic/claims.go
@@ -121,7 +121,7 @@
 			return
 		case <-c.wakeClaims:
 		}
-		host.Pause(ctx, claimBatchDelay)
+		host.Sleep(ctx, claimBatchDelay)
 		for batch := takeBatch(c, &c.pendingClaims); len(batch) > 0; batch = takeBatch(c, &c.pendingClaims) {
 			spawn(func() { c.sendClaims(ctx, batch) })
 		}
@@ -155,7 +155,7 @@
 		return err
 	})
 	if err != nil || len(resp.Results) != len(batch) {
-		host.Pause(ctx, host.ControlRetryDelay)
+		host.Sleep(ctx, host.ControlRetryDelay)
 		c.requeue(batch)
 		return
 	}
@@ -184,7 +184,7 @@
 			return
 		case <-c.wakeSettlements:
 		}
-		host.Pause(ctx, claimBatchDelay)
+		host.Sleep(ctx, claimBatchDelay)
 		for batch := takeBatch(c, &c.pendingSettlements); len(batch) > 0; batch = takeBatch(c, &c.pendingSettlements) {
 			c.sendSettlements(ctx, batch)
 		}
--- a/internal/traffic/harness_test.go
+++ b/internal/traffic/harness_test.go
@@ -60,7 +60,7 @@
 		return nil, ctx.Err()
 	}
 	if req.KnownVersion == view.Version {
-		host.Pause(ctx, time.Duration(req.HoldMs)*time.Millisecond)
+		host.Sleep(ctx, time.Duration(req.HoldMs)*time.Millisecond)
 		return &pb.WatchResponse{
 			Version: view.Version, KnownVersion: view.Version, Revision: view.Revision, LeaseMs: view.LeaseMs,
 		}, nil
--- a/internal/traffic/peers.go
+++ b/internal/traffic/peers.go
@@ -117,7 +117,7 @@
 // runRenewals sends stream progress to the peers that hold replicas, in batches
 // per peer.
 func (p *peerClient) runRenewals(ctx context.Context, store *recordStore) {
-	for host.Pause(ctx, renewalCheckInterval) {
+	for host.Sleep(ctx, renewalCheckInterval) {
 		byAddress := make(map[string][]*streamRecord)
 		for _, r := range store.sweep(time.Now()) {
 			address := r.replicaHolder()
@@ -190,15 +190,15 @@
 
 func mostAdvanced(ctx context.Context, found <-chan *pb.StreamRecord, n int) *pb.StreamRecord {
 	var best *pb.StreamRecord
-	var graceOver <-chan time.Time
+	var graceExpired <-chan time.Time
 	for range n {
 		select {
 		case r := <-found:
 			best = moreAdvanced(best, r)
-			if best != nil && graceOver == nil {
-				graceOver = time.After(lookupGrace)
+			if best != nil && graceExpired == nil {
+				graceExpired = time.After(lookupGrace)
 			}
-		case <-graceOver:
+		case <-graceExpired:
 			return best
 		case <-ctx.Done():
 			return best
