--- a/internal/traffic/engine.go
+++ b/internal/traffic/engine.go
@@ -41,9 +41,9 @@
 
 // engineClient calls backend servers.
 type engineClient struct {
-	// fresh opens a connection for each call. It serves at-most-once calls,
+	// unpooled opens a connection for each call. It serves at-most-once calls,
 	// retries and small calls such as health checks.
-	fresh *fasthttp.Client
+	unpooled *fasthttp.Client
 	// pooled reuses connections. It serves first attempts of idempotent calls.
 	pooled *fasthttp.Client
 	// streams and reconnects open streaming connections with a deadline on each
@@ -53,7 +53,7 @@
 }
 
 func newEngineClient() *engineClient {
-	return &engineClient{fresh: newHTTPClient(), pooled: newHTTPClient(), streams: newStreamClient(firstReadTimeout), reconnects: newStreamClient(reconnectReadTimeout)}
+	return &engineClient{unpooled: newHTTPClient(), pooled: newHTTPClient(), streams: newStreamClient(firstReadTimeout), reconnects: newStreamClient(reconnectReadTimeout)}
 }
 
 // newHTTPClient returns a client that never retries a call by itself.
@@ -183,7 +183,7 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	if err := c.fresh.DoTimeout(req, resp, timeout); err != nil {
+	if err := c.unpooled.DoTimeout(req, resp, timeout); err != nil {
 		return 0, nil, httpconn.Classify(err)
 	}
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
--- a/internal/traffic/once.go
+++ b/internal/traffic/once.go
@@ -15,11 +15,11 @@
 
 const (
 	// claimTimeout bounds the wait for a claim. It is longer than a leader
-	// change at control. After it the caller is told to repeat the call under
+	// change at control. After it the caller is told to retry the call under
 	// the same key.
 	claimTimeout = 3 * time.Second
 	// answerSettleWait is how long an answer is held back until its settlement
-	// is committed. A caller that repeats the call right after the answer then
+	// is committed. A caller that retries the call right after the answer then
 	// gets the stored answer. After the wait the settlement continues in the
 	// background.
 	answerSettleWait = 300 * time.Millisecond
@@ -84,7 +84,7 @@
 // newClaim returns a claim with a request id that is unique to this call. The
 // caller's request id must not be used: control grants a claim again to the
 // same owner and request id, since the answer to the first grant may have been
-// lost. A caller that repeats its call under the same request id would then be
+// lost. A caller that retries its call under the same request id would then be
 // granted a second run.
 func (s *Server) newClaim(j *plainJob, key string) *claim {
 	call := j.call
--- a/internal/traffic/once_test.go
+++ b/internal/traffic/once_test.go
@@ -83,7 +83,7 @@
 }
 
 // The connection breaks after a balance lookup was sent. The caller gets the
-// outcome "unknown", the key is settled as unknown, and a repeat does not run
+// outcome "unknown", the key is settled as unknown, and a retry does not run
 // the lookup again.
 func TestBrokenOnceOnlyCallStaysUnknown(t *testing.T) {
 	var calls atomic.Int32
@@ -106,7 +106,7 @@
 }
 
 // The server may be called only after the claim is committed. An entry that
-// sends the call first and then dies leaves no trace, and a repeat would run
+// sends the call first and then dies leaves no trace, and a retry would run
 // the call again. Here the answer to the first claim is also lost.
 func TestClaimIsCommittedBeforeTheFirstByte(t *testing.T) {
 	var f *fixture
@@ -130,7 +130,7 @@
 	}
 }
 
-// A caller's library repeats a lookup under the same key and the same request
+// A caller's library retries a lookup under the same key and the same request
 // id, both during and after the first call. The lookup runs once.
 func TestRepeatUnderTheSameRequestIDRunsOnce(t *testing.T) {
 	var calls atomic.Int32
@@ -142,19 +142,19 @@
 	go func() { first <- f.do("GET", "/svc/portal/balances", h(), "") }()
 	f.waitFor("the first call runs", func() bool { return calls.Load() == 1 })
 	if a := f.do("GET", "/svc/portal/balances", h(), ""); a.code() != outcome.CodeAlreadyRunning || a.header.Get("Retry-After") == "" {
-		t.Fatalf("repeat while running: %d %s", a.status, a.body)
+		t.Fatalf("retry while running: %d %s", a.status, a.body)
 	}
 	if a := <-first; a.body != "balance 42" || a.outcome() != outcome.Ran {
 		t.Fatalf("first: %d %s", a.status, a.body)
 	}
 	a := f.do("GET", "/svc/portal/balances", h(), "")
 	if a.body != "balance 42" || a.header.Get(outcome.HeaderReplayed) != "true" || calls.Load() != 1 {
-		t.Fatalf("repeat: %d %q, %d calls", a.status, a.body, calls.Load())
+		t.Fatalf("retry: %d %q, %d calls", a.status, a.body, calls.Load())
 	}
 }
 
 // The server refuses to start the call. The caller is told "not run", and the
-// claim is settled as not run, so a repeat under the key runs.
+// claim is settled as not run, so a retry under the key runs.
 func TestRefusedOnceOnlyCallCanBeRepeated(t *testing.T) {
 	var calls atomic.Int32
 	f := newFixture(t, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/traffic/plain.go
+++ b/internal/traffic/plain.go
@@ -190,7 +190,7 @@
 var errNotStarted = errors.New("server did not start the call")
 
 // sendAttempt sends the call once, without retries. Errors: httpconn.NotSent,
-// httpconn.Broken, httpconn.Mixed, errNotStarted.
+// httpconn.Broken, httpconn.Mismatched, errNotStarted.
 func (j *plainJob) sendAttempt(dispatch entry.Dispatch) (*plainAnswer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -201,7 +201,7 @@
 		// Use a fresh connection: a pooled one may have been closed or gone
 		// silent while it was idle. An at-most-once call that fails on it would
 		// end with an unknown outcome for no good reason.
-		client = j.server.engines.fresh
+		client = j.server.engines.unpooled
 		req.SetConnectionClose()
 	}
 	if timeout <= 0 {
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -119,7 +119,7 @@
 // hold a copy of the stream's record.
 func (s *Server) handOffStreams() {
 	if n := s.jobs.count(); n > 0 {
-		s.host.Log.Warn("stop timeout expired; handing off running streams", "streams", n)
+		s.host.Log.Warn("stop timeout expired; cancelling running requests, which callers can resume at other entries", "streams", n)
 	}
 	s.jobs.cancelAll()
 	deadline := time.Now().Add(finalEventTimeout)
--- a/internal/traffic/stream.go
+++ b/internal/traffic/stream.go
@@ -137,7 +137,7 @@
 }
 
 // next returns the next chunk, heartbeats included; done is true at the end
-// marker. Errors: httpconn.Broken; httpconn.Mixed for a chunk of another
+// marker. Errors: httpconn.Broken; httpconn.Mismatched for a chunk of another
 // request or attempt.
 func (s *engineStream) next() (chunk engineapi.Chunk, done bool, err error) {
 	data, err := s.readEvent()
