--- a/internal/relay/caller.go
+++ b/internal/relay/caller.go
@@ -40,6 +40,9 @@
 	c.Caller.EndStream(complete)
 }
 
+// Serve relays one request and returns once the caller has its final answer. ctx ends when the
+// caller disconnects.
+//
 // A panic in one request's goroutine would end the process and with it every stream of the
 // entry. Serve recovers from it and ends only this request, by what is known of it. Panics of
 // the reducer and of consensus are not recovered: their state can't be trusted afterwards, so
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -30,6 +30,8 @@
 	return j.req.LastEventID
 }
 
+// relayStream forwards a stream's events to the caller until the stream ends or fails.
+//
 // Only complete events are forwarded: after half an event from a server that fails, the rest of
 // the stream from another server could not follow.
 func (j *job) relayStream(resp *Response, ended *entry.AttemptEnded, start time.Time) error {
