--- a/internal/httpconn/client.go
+++ b/internal/httpconn/client.go
@@ -130,6 +130,8 @@
 	}, nil
 }
 
+// takeIdle returns the most recently used idle connection that is still usable, or nil.
+//
 // A server may close an idle connection or send unrequested bytes on it. The next request on it
 // would fail or get a response to another request. Both can be seen on the connection before the
 // request is written.
