--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -30,8 +30,8 @@
 	// milliseconds.
 	MaxAppendBytes int
 	// MaxInflight bounds the unanswered append messages to one replica. Default
-	// 8: with MaxAppendBytes it limits what is in flight to a slow replica to 2
-	// MiB, and further proposals are batched into the next append.
+	// 8: with MaxAppendBytes it limits what is in flight to a slow replica to
+	// 2 MiB, and further proposals are batched into the next append.
 	MaxInflight int
 	// MaxUncommittedBytes bounds the entries that are appended but not
 	// committed; further proposals are refused as Overloaded. Default 16 MiB.
@@ -56,7 +56,7 @@
 	defaultMaxUncommittedBytes = 16 << 20
 	defaultSnapshotChunkBytes  = 256 << 10
 	defaultSnapshotEntries     = 2000
-	defaultTailEntries         = 500
+	defaultTrailingEntries     = 500
 )
 
 func (c Config) withDefaults() Config {
@@ -68,7 +68,7 @@
 	setDefault(&c.MaxUncommittedBytes, defaultMaxUncommittedBytes)
 	setDefault(&c.SnapshotChunkBytes, defaultSnapshotChunkBytes)
 	setDefault(&c.SnapshotEntries, defaultSnapshotEntries)
-	setDefault(&c.TrailingEntries, defaultTailEntries)
+	setDefault(&c.TrailingEntries, defaultTrailingEntries)
 	return c
 }
 
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -63,10 +63,10 @@
 func mayReuseID(from, known *pb.ReplicaIdentity, committed *pb.Membership) bool {
 	member := findMember(committed, from.Id)
 	listed := member != nil && member.Identity.Incarnation == from.Incarnation
-	return member == nil || listed || wasRemoved(committed, known) || isUnboundLearner(member)
+	return member == nil || listed || wasRemoved(committed, known) || isLearnerWithoutIncarnation(member)
 }
 
-func isUnboundLearner(m *pb.ReplicaMember) bool {
+func isLearnerWithoutIncarnation(m *pb.ReplicaMember) bool {
 	return m.GetRole() == pb.ReplicaRole_REPLICA_ROLE_LEARNER && m.Identity.Incarnation == ""
 }
 
@@ -146,7 +146,7 @@
 func TargetIdentity(id uint64, leaderIncarnation string, known *pb.ReplicaIdentity, members *pb.Membership) *pb.ReplicaIdentity {
 	member := findMember(members, id)
 	incarnations := []string{leaderIncarnation, member.GetIdentity().GetIncarnation(), known.GetIncarnation()}
-	if isUnboundLearner(member) {
+	if isLearnerWithoutIncarnation(member) {
 		incarnations = nil
 	}
 	for _, incarnation := range incarnations {
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -26,7 +26,7 @@
 
 // snapshotTransfer is a leader's transfer of one snapshot to one replica, a chunk
 // at a time. The receiver's response contains the next offset it needs, so a
-// restart of either side, or a lost message, only repeats chunks.
+// restart of either side, or a lost message, only causes some chunks to be sent again.
 type snapshotTransfer struct {
 	meta   *pb.SnapshotMeta
 	data   []byte
