--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -49,11 +49,11 @@
 }
 
 func (s *Store) readMeta(tx *bolt.Tx, r *Recovered) error {
-	hard := &pb.HardState{}
+	hardState := &pb.HardState{}
 	for _, rec := range []struct {
 		key []byte
 		m   proto.Message
-	}{{keyFolder, s.folder}, {keyBounds, s.bounds}, {keyHardState, hard}} {
+	}{{keyFolder, s.folder}, {keyBounds, s.bounds}, {keyHardState, hardState}} {
 		found, err := getRecord(tx, bucketMeta, rec.key, rec.m)
 		if err != nil {
 			return err
@@ -62,7 +62,7 @@
 			return Corrupt.New("record %s is missing", rec.key)
 		}
 	}
-	r.Initial.HardState = hard
+	r.Initial.HardState = hardState
 	meta := &pb.SnapshotMeta{}
 	found, err := getRecord(tx, bucketMeta, keySnapshot, meta)
 	if found {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,11 +31,11 @@
 }
 
 func makeEntries(first, last, term uint64) []*pb.LogEntry {
-	var es []*pb.LogEntry
+	var entries []*pb.LogEntry
 	for i := first; i <= last; i++ {
-		es = append(es, &pb.LogEntry{Index: i, Term: term, Data: []byte("entry")})
+		entries = append(entries, &pb.LogEntry{Index: i, Term: term, Data: []byte("entry")})
 	}
-	return es
+	return entries
 }
 
 func mustSave(t *testing.T, s *Store, p consensus.Persist) {
