--- a/internal/rpc/readtimeout.go
+++ b/internal/rpc/readtimeout.go
@@ -9,6 +9,9 @@
 
 type readIdleTimeoutKey struct{}
 
+// WithReadIdleTimeout bounds how long a call made with the context waits for the next bytes of
+// its answer. The context's deadline bounds the whole call.
+//
 // A large answer may take longer on a slow link than the deadline of a short call. If the call
 // is abandoned and sent again, the answer never arrives, and each retry adds to the load of the
 // link that delays it.
