--- a/internal/httpconn/errors.go
+++ b/internal/httpconn/errors.go
@@ -66,7 +66,7 @@
 
 // ProcessGone reports whether the failure of a new connection shows that the server's process is
 // gone: nothing listens there, or a proxy in between accepts the connection and closes it at
-// once. A time-out does not show it, since the server may only be frozen.
+// once. A timeout does not show it, since the server may only be frozen.
 func ProcessGone(err error) bool {
 	return errorx.IsOfType(err, Refused) || errorx.IsOfType(err, Closed)
 }
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -9,7 +9,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
-// transitAllowance is the part of a caller's time-out that is reserved for the network and for
+// transitAllowance is the part of a caller's timeout that is reserved for the network and for
 // the entry's own work: the caller counts from when it sends, and needs the answer before it
 // disconnects. It covers up to 3 ms each way between caller and entry, and 14 ms for an entry
 // with 0.19 of a core to read the request and to write the answer.
--- a/internal/relay/work_test.go
+++ b/internal/relay/work_test.go
@@ -12,10 +12,10 @@
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
 )
 
-// Guards against an answer that reaches a caller after it has hung up. The caller counts its
-// time-out from when it sends. An entry that counts from when it has read the request sends its
+// Guards against an answer that reaches a caller after it has disconnected. The caller counts its
+// timeout from when it sends. An entry that counts from when it has read the request sends its
 // last refusal on a closed connection: of 553 requests at their deadline 541 ended so ("caller
-// gone") and 12 with a refusal. Up to 3 ms each way must be left of the caller's time-out.
+// gone") and 12 with a refusal. Up to 3 ms each way must be left of the caller's timeout.
 func TestDeadlineLeavesTimeForResponseTransit(t *testing.T) {
 	const oneWay = 3 * time.Millisecond
 	d := &declaration.Declaration{
--- a/internal/traffic/completions.go
+++ b/internal/traffic/completions.go
@@ -32,8 +32,8 @@
 	// keepAliveInterval is how often a stream without tokens sends a comment.
 	keepAliveInterval = time.Second
 	// partBuffer is the number of answer parts buffered between engine and
-	// caller to smooth bursts. When it is full, a slow caller applies
-	// back-pressure to the engine's stream.
+	// caller to smooth bursts. When it is full, the engine's stream
+	// is read no faster than the caller reads.
 	partBuffer = 32
 	// defaultMaxTokens applies when the request sets no max_tokens.
 	defaultMaxTokens = 256
