--- a/internal/proof/control/claims.go
+++ b/internal/proof/control/claims.go
@@ -39,7 +39,7 @@
 	status    pb.ClaimStatus
 }
 
-// claimModel is the model of one once-only key. A claim is granted when no request
+// claimModel is the model of the idempotency key of one at-most-once call. A claim is granted when no request
 // holds the key and none has run it. A request that holds the key is granted its
 // claim again.
 var claimModel = porcupine.Model{
--- a/internal/proof/control/control_test.go
+++ b/internal/proof/control/control_test.go
@@ -54,8 +54,8 @@
 }
 
 // forEachSeed runs the trial for each seed, one unless GOLDCREST_SEEDS sets the
-// number, on three new control replicas. With forwardLinks, forwarders stand between
-// the replicas.
+// number, on three new control replicas. With forwardLinks, forwarders relay the
+// connections between the replicas.
 func forEachSeed(t *testing.T, forwardLinks bool, trial func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64)) {
 	t.Helper()
 	n, err := strconv.Atoi(os.Getenv("GOLDCREST_SEEDS"))
--- a/internal/proof/control/measure_test.go
+++ b/internal/proof/control/measure_test.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// Measures how many once-only claims per second are granted and settled, and how long
+// Measures how many claims of at-most-once calls per second are granted and settled, and how long
 // each takes.
 func TestMeasureClaims(t *testing.T) {
 	ctx := measurementContext(t)
--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -75,7 +75,7 @@
 }
 
 // The control leader is killed under load and restarted. Streams and lookups must
-// not be affected; once-only calls wait for the next leader and still run once.
+// not be affected; at-most-once calls wait for the next leader and still run once.
 func TestControlLeaderKilled(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "control leader killed"))
--- a/internal/proof/faults.go
+++ b/internal/proof/faults.go
@@ -119,7 +119,7 @@
 	Accepted      int     `json:"accepted"`
 	Complete      int     `json:"whole"`
 	CompleteShare float64 `json:"share_whole"`
-	// DuplicateRuns counts once-only calls that ran more than once.
+	// DuplicateRuns counts at-most-once calls that ran more than once.
 	DuplicateRuns int `json:"doubled"`
 	// Resumes counts how often callers resumed a stream.
 	Resumes int `json:"resumes"`
--- a/internal/proof/fixture.go
+++ b/internal/proof/fixture.go
@@ -26,7 +26,7 @@
 
 // NewBed returns a test bed smaller than a full deployment, so that many tests
 // fit into a run: 3 control replicas, 6 entries, 6 engines, 3 plain servers. With
-// forward, forwarders stand in front of the engines: the address of a dead engine
+// forward, forwarders are placed in front of the engines: the address of a dead engine
 // then accepts connections and closes them; without, it refuses them.
 func NewBed(root, bin, dir string, forward bool) (*testbed.Bed, error) {
 	return testbed.New(testbed.Options{
--- a/internal/proof/measure.go
+++ b/internal/proof/measure.go
@@ -12,7 +12,7 @@
 
 // MixedLoad is the load of most trials: long streams along with plain calls.
 func MixedLoad(seed uint64) Load {
-	return Load{Seed: seed, Duration: 3 * time.Second, StreamRate: 12, BulkRate: 3, OnceRate: 8, LookupRate: 6}
+	return Load{Seed: seed, Duration: 3 * time.Second, StreamRate: 12, BulkRate: 3, AtMostOnceRate: 8, LookupRate: 6}
 }
 
 // MeasureFaults runs the mixed load under each fault, for seeds 1 to n, each time
--- a/internal/proof/once.go
+++ b/internal/proof/once.go
@@ -15,8 +15,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/server"
 )
 
-// OnceCall is one logical once-only call: its idempotency key and the request.
-type OnceCall struct {
+// AtMostOnceCall is one logical at-most-once call: its idempotency key and the request.
+type AtMostOnceCall struct {
 	Member string
 	Key    string
 	// Mark is a unique text in the request that the backend server's journal
@@ -26,15 +26,15 @@
 	Delay string
 }
 
-// NewOnceCall returns a call with a new key and a new mark.
-func NewOnceCall(member, delay string) OnceCall {
-	return OnceCall{
+// NewAtMostOnceCall returns a call with a new key and a new mark.
+func NewAtMostOnceCall(member, delay string) AtMostOnceCall {
+	return AtMostOnceCall{
 		Member: member, Delay: delay, Key: uuid.Must(uuid.NewV7()).String(), Mark: UniqueName(),
 	}
 }
 
-// onceOutput is the result of one send of a once-only call.
-type onceOutput struct {
+// atMostOnceOutput is the result of one send of an at-most-once call.
+type atMostOnceOutput struct {
 	// runID is the run that answered; it is empty without an answer.
 	runID    string
 	replayed bool
@@ -42,8 +42,8 @@
 	mayHaveRun bool
 }
 
-// OnceHistory records sends of once-only calls for the linearizability checker.
-type OnceHistory struct {
+// AtMostOnceHistory records sends of at-most-once calls for the linearizability checker.
+type AtMostOnceHistory struct {
 	mu      sync.Mutex
 	ops     []porcupine.Operation
 	results []audit.FinishedRequest
@@ -51,11 +51,11 @@
 
 // Send sends the call to the given entry ("" for the caller's own choice) and
 // records the result.
-func (h *OnceHistory) Send(ctx context.Context, c *caller.Client, call OnceCall, entry string, client int) *caller.Result {
+func (h *AtMostOnceHistory) Send(ctx context.Context, c *caller.Client, call AtMostOnceCall, entry string, client int) *caller.Result {
 	start := time.Now()
 	res := c.Call(ctx, caller.Call{
 		ID: uuid.NewString(), Service: ServicePlain, Method: "GET", IdempotencyKey: call.Key, Entry: entry,
-		Path: PathOnce + "?mark=" + call.Mark + "&late=" + call.Delay,
+		Path: PathAtMostOnce + "?mark=" + call.Mark + "&late=" + call.Delay,
 	})
 	end := time.Now()
 	h.mu.Lock()
@@ -64,57 +64,57 @@
 		ClientId: client, Input: call.Key, Output: outputOf(res), Call: start.UnixNano(), Return: end.UnixNano(),
 	})
 	h.results = append(h.results, audit.FinishedRequest{
-		Class: "once", Member: call.Member, Mark: call.Mark, Path: PathOnce, AtMostOnce: true, Result: res,
+		Class: "once", Member: call.Member, Mark: call.Mark, Path: PathAtMostOnce, AtMostOnce: true, Result: res,
 	})
 	return res
 }
 
-func outputOf(res *caller.Result) onceOutput {
+func outputOf(res *caller.Result) atMostOnceOutput {
 	if !res.Complete {
-		return onceOutput{mayHaveRun: res.Outcome == outcome.Unknown || res.Code == outcome.CodeAlreadyRan}
+		return atMostOnceOutput{mayHaveRun: res.Outcome == outcome.Unknown || res.Code == outcome.CodeAlreadyRan}
 	}
 	var answer server.PlainAnswer
 	_ = json.Unmarshal([]byte(res.Text), &answer)
-	return onceOutput{runID: answer.Run, replayed: res.Replayed}
+	return atMostOnceOutput{runID: answer.Run, replayed: res.Replayed}
 }
 
 // Results returns all sends in the form that the audit takes.
-func (h *OnceHistory) Results() []audit.FinishedRequest {
+func (h *AtMostOnceHistory) Results() []audit.FinishedRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.results
 }
 
-// Linearizable checks the history against onceModel.
-func (h *OnceHistory) Linearizable(timeout time.Duration) porcupine.CheckResult {
+// Linearizable checks the history against atMostOnceModel.
+func (h *AtMostOnceHistory) Linearizable(timeout time.Duration) porcupine.CheckResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return porcupine.CheckOperationsTimeout(onceModel, h.ops, timeout)
+	return porcupine.CheckOperationsTimeout(atMostOnceModel, h.ops, timeout)
 }
 
-// onceState is the model's state of one key.
-type onceState struct {
+// atMostOnceState is the model's state of one key.
+type atMostOnceState struct {
 	runID      string
 	mayHaveRun bool
 }
 
-// onceModel allows at most one run per key. A fresh answer comes once, and never
+// atMostOnceModel allows at most one run per key. A fresh answer comes once, and never
 // after a caller was told that the call ran or may have run. A replayed answer is
 // always that of the one run.
-var onceModel = porcupine.Model{
+var atMostOnceModel = porcupine.Model{
 	Partition: partitionByKey,
-	Init:      func() any { return onceState{} },
+	Init:      func() any { return atMostOnceState{} },
 	Step: func(state, _, output any) (bool, any) {
-		s, out := state.(onceState), output.(onceOutput)
+		s, out := state.(atMostOnceState), output.(atMostOnceOutput)
 		switch {
 		case out.runID == "":
 			s.mayHaveRun = s.mayHaveRun || out.mayHaveRun
 			return true, s
 		case out.replayed:
 			ok := s.runID == "" || s.runID == out.runID
-			return ok, onceState{runID: out.runID, mayHaveRun: true}
+			return ok, atMostOnceState{runID: out.runID, mayHaveRun: true}
 		default:
-			return s.runID == "" && !s.mayHaveRun, onceState{runID: out.runID, mayHaveRun: true}
+			return s.runID == "" && !s.mayHaveRun, atMostOnceState{runID: out.runID, mayHaveRun: true}
 		}
 	},
 }
--- a/internal/proof/once_test.go
+++ b/internal/proof/once_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// onceCallCount is the number of calls, each with its own key, in a trial.
-	onceCallCount = 24
+	// atMostOnceCallCount is the number of calls, each with its own key, in a trial.
+	atMostOnceCallCount = 24
 	// linearizabilityTimeout is far more than the check needs: the history of one
 	// key has a few operations.
 	linearizabilityTimeout = 30 * time.Second
@@ -20,12 +20,12 @@
 
 // sendConcurrently sends each call to two entries at the same time, as client
 // libraries do that retry on a second connection, and once more afterwards.
-func sendConcurrently(ctx context.Context, tr *Trial, h *OnceHistory, rng *rand.Rand) {
+func sendConcurrently(ctx context.Context, tr *Trial, h *AtMostOnceHistory, rng *rand.Rand) {
 	var wg conc.WaitGroup
 	entries := tr.Bed.EntryAddresses()
-	for i := range onceCallCount {
+	for i := range atMostOnceCallCount {
 		member := Members[rng.IntN(len(Members))]
-		call := NewOnceCall(member, "200ms")
+		call := NewAtMostOnceCall(member, "200ms")
 		first, second := rng.IntN(len(entries)), rng.IntN(len(entries))
 		client := tr.Callers[member]
 		wg.Go(func() {
@@ -40,7 +40,7 @@
 	wg.Wait()
 }
 
-func checkOnceHistory(t *testing.T, tr *Trial, h *OnceHistory) {
+func checkAtMostOnceHistory(t *testing.T, tr *Trial, h *AtMostOnceHistory) {
 	t.Helper()
 	out, err := tr.Audit(h.Results())
 	if err != nil {
@@ -48,17 +48,17 @@
 	}
 	checkAudit(t, out)
 	if got := h.Linearizable(linearizabilityTimeout); got != porcupine.Ok {
-		t.Errorf("linearizability check of the once-only calls: %s", got)
+		t.Errorf("linearizability check of the at-most-once calls: %s", got)
 	}
 }
 
-// The same once-only call arrives through two entries at once and is retried
+// The same at-most-once call arrives through two entries at once and is retried
 // afterwards. Entries are killed between the claim and the call to the backend
 // server, and between that call and the answer. The call must run at most once,
 // and no caller may be told otherwise.
 func TestOnceOnlyCallsUnderEntryKills(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		rng, h := rand.New(rand.NewPCG(seed, 7)), &OnceHistory{}
+		rng, h := rand.New(rand.NewPCG(seed, 7)), &AtMostOnceHistory{}
 		var wg conc.WaitGroup
 		wg.Go(func() {
 			for _, e := range []int{0, 3} {
@@ -68,16 +68,16 @@
 		})
 		sendConcurrently(ctx, tr, h, rng)
 		wg.Wait()
-		checkOnceHistory(t, tr, h)
+		checkAtMostOnceHistory(t, tr, h)
 	})
 }
 
-// Concurrent and retried once-only calls while the control leader is killed, so
+// Concurrent and retried at-most-once calls while the control leader is killed, so
 // that claims are in flight during the leader change, and while a plain server is
 // killed with calls in progress. Each call must run at most once.
 func TestOnceOnlyCallsUnderLeaderAndServerKills(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		rng, h := rand.New(rand.NewPCG(seed, 8)), &OnceHistory{}
+		rng, h := rand.New(rand.NewPCG(seed, 8)), &AtMostOnceHistory{}
 		var wg conc.WaitGroup
 		wg.Go(func() {
 			sleep(ctx, 600*time.Millisecond)
@@ -92,28 +92,28 @@
 		})
 		sendConcurrently(ctx, tr, h, rng)
 		wg.Wait()
-		checkOnceHistory(t, tr, h)
+		checkAtMostOnceHistory(t, tr, h)
 	})
 }
 
 // The model must reject a second run of a key and a fresh answer after the refusal
-// "unknown"; otherwise the tests of once-only calls would pass on such faults.
+// "unknown"; otherwise the tests of at-most-once calls would pass on such faults.
 func TestOnceModelSeesSecondRuns(t *testing.T) {
-	op := func(out onceOutput, at int64) porcupine.Operation {
+	op := func(out atMostOnceOutput, at int64) porcupine.Operation {
 		return porcupine.Operation{Input: "k", Output: out, Call: at, Return: at + 1}
 	}
 	invalid := [][]porcupine.Operation{
-		{op(onceOutput{runID: "1"}, 0), op(onceOutput{runID: "2"}, 2)},
-		{op(onceOutput{mayHaveRun: true}, 0), op(onceOutput{runID: "1"}, 2)},
-		{op(onceOutput{runID: "1"}, 0), op(onceOutput{runID: "2", replayed: true}, 2)},
+		{op(atMostOnceOutput{runID: "1"}, 0), op(atMostOnceOutput{runID: "2"}, 2)},
+		{op(atMostOnceOutput{mayHaveRun: true}, 0), op(atMostOnceOutput{runID: "1"}, 2)},
+		{op(atMostOnceOutput{runID: "1"}, 0), op(atMostOnceOutput{runID: "2", replayed: true}, 2)},
 	}
 	for i, history := range invalid {
-		if porcupine.CheckOperations(onceModel, history) {
+		if porcupine.CheckOperations(atMostOnceModel, history) {
 			t.Errorf("invalid history %d was accepted", i)
 		}
 	}
-	valid := []porcupine.Operation{op(onceOutput{runID: "1"}, 0), op(onceOutput{runID: "1", replayed: true}, 2), op(onceOutput{mayHaveRun: true}, 4)}
-	if !porcupine.CheckOperations(onceModel, valid) {
+	valid := []porcupine.Operation{op(atMostOnceOutput{runID: "1"}, 0), op(atMostOnceOutput{runID: "1", replayed: true}, 2), op(atMostOnceOutput{mayHaveRun: true}, 4)}
+	if !porcupine.CheckOperations(atMostOnceModel, valid) {
 		t.Error("a valid history was rejected")
 	}
 }
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -46,7 +46,7 @@
 		})
 		for _, d := range out.Results {
 			if d.Result.Attempts > 1 {
-				t.Errorf("%s %s: %d tries, %v", d.Class, d.Mark, d.Result.Attempts, d.Result.Err)
+				t.Errorf("%s %s: %d attempts, %v", d.Class, d.Mark, d.Result.Attempts, d.Result.Err)
 			}
 		}
 	})
--- a/internal/proof/tls_test.go
+++ b/internal/proof/tls_test.go
@@ -29,7 +29,7 @@
 	if err := b.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	load := Load{Seed: 1, Duration: MixedLoad(1).Duration, StreamRate: 4, OnceRate: 4, LookupRate: 4}
+	load := Load{Seed: 1, Duration: MixedLoad(1).Duration, StreamRate: 4, AtMostOnceRate: 4, LookupRate: 4}
 	runTrial(t, ctx, NewTrial(b, 1), load, func(ctx context.Context) {
 		sleep(ctx, FaultDelay)
 		leader, err := b.Leader(ctx)
--- a/internal/proof/trial.go
+++ b/internal/proof/trial.go
@@ -25,7 +25,7 @@
 	ServiceUrgent  = "statement-line"
 	ServiceBulk    = "reconciliation"
 	ServicePlain   = "members"
-	PathOnce       = "/balances"
+	PathAtMostOnce = "/balances"
 	PathRepeatable = "/payouts"
 )
 
@@ -37,10 +37,10 @@
 	Seed     uint64
 	Duration time.Duration
 	// The rates are in requests per second.
-	StreamRate float64
-	BulkRate   float64
-	OnceRate   float64
-	LookupRate float64
+	StreamRate     float64
+	BulkRate       float64
+	AtMostOnceRate float64
+	LookupRate     float64
 }
 
 // longAnswerTokens makes streams long enough that faults occur during them.
@@ -69,7 +69,7 @@
 			Name: "statement", Service: ServiceBulk, Rate: l.BulkRate, SharedTokens: 600,
 			PromptTokens: workload.Range{Min: 1000, Max: 4000}, OutputTokens: workload.Range{Min: longAnswerTokens, Max: longAnswerTokens * 3 / 2},
 		},
-		{Name: "balance", Service: ServicePlain, Rate: l.OnceRate, Method: "GET", Path: PathOnce, AtMostOnce: true},
+		{Name: "balance", Service: ServicePlain, Rate: l.AtMostOnceRate, Method: "GET", Path: PathAtMostOnce, AtMostOnce: true},
 		{Name: "payouts", Service: ServicePlain, Rate: l.LookupRate, Method: "GET", Path: PathRepeatable},
 	} {
 		if c.Rate > 0 {
@@ -130,8 +130,8 @@
 	return sum
 }
 
-// GapSummary describes the distribution over all streams of the longest gap
-// between two tokens.
+// GapSummary describes the distribution over all complete streams of the longest gap
+// between two chunks of text.
 func (o *Outcome) GapSummary() string {
 	h := workload.NewHistogram()
 	for _, d := range o.Results {
