--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// claimAndSettle claims a once-only call and settles it with an answer of
+// claimAndSettle claims an at-most-once call and settles it with an answer of
 // receiptBytes.
 func (b *controlBench) claimAndSettle(i int) {
 	c := newClaim(i)
--- a/internal/capacity/estimate.go
+++ b/internal/capacity/estimate.go
@@ -107,9 +107,9 @@
 	reportCPU := announcements * f.Get("control-report-cpu").PerUnit / 1e4
 	changeCPU := viewChangesPerSecond * f.Get("control-view-change-cpu").At(regionEntries) / 1e4
 	sweepCPU := f.Get("control-tick-cpu").At(regionEngines) * 10 / 1e4
-	claimRate := targetRequestsPerSecond / targetRegions * onceShare
+	claimRate := targetRequestsPerSecond / targetRegions * atMostOnceShare
 	claimCPU := claimRate * f.Get("control-claim-cpu").Intercept / 1e4
-	keptClaims := claimRate * onceRetentionHours * 3600
+	keptClaims := claimRate * atMostOnceRetentionHours * 3600
 	stateMB := (f.Get("control-memory-per-server").PerUnit*regionEngines + f.Get("control-memory-per-member").PerUnit*targetMembers +
 		f.Get("control-memory-per-entry").PerUnit*regionEntries) / 1e6
 	claimMB := f.Get("control-memory-per-claim").PerUnit * keptClaims / 1e6
@@ -119,7 +119,7 @@
 			leaderCPU.At(regionEntries), regionEntries, reportCPU, changeCPU, sweepCPU, claimCPU),
 			leaderCPU.At(regionEntries) + reportCPU + changeCPU + sweepCPU + claimCPU, "% of a core", 0},
 		{role, "state but claims", fmt.Sprintf("%.0f servers, %.0f members, %.0f entries", regionEngines, targetMembers, regionEntries), stateMB, "MB", 0},
-		{role, "claims kept", fmt.Sprintf("%.0f/s (%.0f%% of requests) × %.0f h × %.0f bytes", claimRate, 100*onceShare, onceRetentionHours,
+		{role, "claims kept", fmt.Sprintf("%.0f/s (%.0f%% of requests) × %.0f h × %.0f bytes", claimRate, 100*atMostOnceShare, atMostOnceRetentionHours,
 			f.Get("control-memory-per-claim").PerUnit), claimMB, "MB", 0},
 		{role, "leader's bytes", fmt.Sprintf("%.0f entries", regionEntries), leaderBytes, "bytes/s", 0},
 		{role, "bytes to a follower for claims", fmt.Sprintf("%.0f claims/s × %.0f bytes, twice (claim and settle)", claimRate,
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -41,10 +41,11 @@
 	loadChangeIntervalSeconds = 600.0
 	// watchCallBytes is the size of a Watch call and its response with headers.
 	watchCallBytes = 850.0
-	// onceShare is the share of requests that are once-only calls.
-	onceShare = 0.05
-	// onceRetentionHours is how long control keeps the key of a once-only call.
-	onceRetentionHours = 24.0
+	// atMostOnceShare is the share of requests that are at-most-once calls.
+	atMostOnceShare = 0.05
+	// atMostOnceRetentionHours is how long control keeps the key of an at-most-once
+	// call.
+	atMostOnceRetentionHours = 24.0
 	// streamDurationSeconds is the duration of a stream: 390 tokens at 36 ms.
 	streamDurationSeconds = 14.0
 	// relayTokensPerCore (tokens relayed per core-second) and streamKB (memory of an
