--- a/cmd/goldcrest-control/main.go
+++ b/cmd/goldcrest-control/main.go
@@ -29,7 +29,7 @@
 		debug.SetGCPercent(gcPercent)
 	}
 	root := cli.NewRoot("goldcrest-control", "Run one replica of the control group",
-		"goldcrest-control keeps declarations, membership, orders to engines and once-only\nclaims, replicated and synced to disk.")
+		"goldcrest-control keeps declarations, membership, orders to engines and at-most-once\nclaims, replicated and synced to disk.")
 	root.AddCommand(newRun(), newCheck())
 	cli.Main(root)
 }
--- a/cmd/goldcrest-load/capacity.go
+++ b/cmd/goldcrest-load/capacity.go
@@ -32,9 +32,9 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&docs, "docs", "docs", "folder with CAPACITY.md")
-	f.StringVar(&processes.Bin, "bin", "bin", "folder with the programs")
-	f.StringVar(&processes.Deploy, "deploy", "deploy", "folder with the deployments")
+	f.StringVar(&docs, "docs", "docs", "directory with CAPACITY.md")
+	f.StringVar(&processes.Bin, "bin", "bin", "directory with the programs")
+	f.StringVar(&processes.Deploy, "deploy", "deploy", "directory with the deployments")
 	f.DurationVar(&processes.ObservationTime, "observe", 10*time.Second, "how long to measure each deployment without callers")
 	return cmd
 }
--- a/cmd/goldcrest-load/demo.go
+++ b/cmd/goldcrest-load/demo.go
@@ -59,8 +59,8 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&o.deployment, "deployment", "qalhat", "qalhat or qazaq")
-	f.StringVar(&o.bin, "bin", "bin", "folder with the programs")
-	f.StringVar(&o.deploy, "deploy", "deploy", "folder with the deployments")
+	f.StringVar(&o.bin, "bin", "bin", "directory with the programs")
+	f.StringVar(&o.deploy, "deploy", "deploy", "directory with the deployments")
 	f.StringVar(&o.workload, "workload", "", "workload file (default: demo.yaml of the deployment)")
 	f.StringVar(&o.report, "report", "", "file for the JSON report")
 	f.BoolVar(&o.keep, "keep", false, "keep settings, logs and journals, and print their directory")
@@ -151,7 +151,7 @@
 	}
 	fmt.Fprintln(out, counts.SummaryLine())
 	if counts.HasViolations() || counts.Unknown > 0 || len(unexpectedExits) > 0 {
-		return brokenPromise.New("%d findings", len(counts.Findings)+len(unexpectedExits))
+		return guaranteeViolated.New("%d findings", len(counts.Findings)+len(unexpectedExits))
 	}
 	return nil
 }
--- a/cmd/goldcrest-load/faults.go
+++ b/cmd/goldcrest-load/faults.go
@@ -38,7 +38,7 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&bin, "bin", "bin", "folder with the programs")
+	f.StringVar(&bin, "bin", "bin", "directory with the programs")
 	f.StringVar(&root, "root", ".", "the source tree, for deploy/")
 	f.IntVar(&seeds, "seeds", 3, "trials of each fault")
 	return cmd
--- a/cmd/goldcrest-load/overhead.go
+++ b/cmd/goldcrest-load/overhead.go
@@ -39,8 +39,8 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&o.Deployment, "deployment", "qalhat", "qalhat or qazaq")
-	f.StringVar(&o.BinDir, "bin", "bin", "folder with the programs")
-	f.StringVar(&o.DeployDir, "deploy", "deploy", "folder with the deployments")
+	f.StringVar(&o.BinDir, "bin", "bin", "directory with the programs")
+	f.StringVar(&o.DeployDir, "deploy", "deploy", "directory with the deployments")
 	f.IntVar(&o.Pairs, "pairs", 200, "pairs of streams for the latency")
 	f.IntVar(&o.Concurrency, "width", 10, "pairs in parallel")
 	f.IntVar(&o.Streams, "streams", 200, "parallel streams for the relay")
--- a/cmd/goldcrest-load/play.go
+++ b/cmd/goldcrest-load/play.go
@@ -24,8 +24,8 @@
 // errNamespace holds this program's error types.
 var errNamespace = errorx.NewNamespace("load")
 
-// brokenPromise is the type of errors of a run that violated a guarantee.
-var brokenPromise = errNamespace.NewType("broken_promise")
+// guaranteeViolated is the type of errors of a run that violated a guarantee.
+var guaranteeViolated = errNamespace.NewType("broken_promise")
 
 // playOptions are the flags of `goldcrest-load play`.
 type playOptions struct {
@@ -53,7 +53,7 @@
 	f.StringSliceVar(&o.entries, "entries", nil, "entries to ask first, host:port")
 	f.StringSliceVar(&o.tokens, "token", nil, "MEMBER=TOKEN, one for each member of the workload")
 	f.StringVar(&o.dataCentre, "data-centre", "", "data centre of the callers")
-	f.StringVar(&o.journals, "journals", "", "folder with the stand-ins' journals to compare with")
+	f.StringVar(&o.journals, "journals", "", "directory with the stand-ins' journals to compare with")
 	_ = cmd.MarkFlagRequired("workload")
 	_ = cmd.MarkFlagRequired("entries")
 	return cmd
@@ -103,7 +103,7 @@
 		return err
 	}
 	if journals != "" && counts.HasViolations() {
-		return brokenPromise.New("%s", strings.Join(counts.Findings, "; "))
+		return guaranteeViolated.New("%s", strings.Join(counts.Findings, "; "))
 	}
 	return nil
 }
