--- a/internal/testbed/ports.go
+++ b/internal/testbed/ports.go
@@ -15,7 +15,8 @@
 	portsPerPID = 97
 )
 
-// portAllocator allocates free loopback ports in ascending order.
+// portAllocator allocates free loopback ports in ascending order. A port is free until
+// its process listens, so the search continues after the last allocated port.
 type portAllocator struct{ next int }
 
 func newPortAllocator() *portAllocator {
