--- a/internal/standin/audit/audit.go
+++ b/internal/standin/audit/audit.go
@@ -70,7 +70,7 @@
 
 // HasViolations reports whether a guarantee was violated or no request got a
 // complete answer. At-most-once calls may end as unknown when a component fails;
-// the summary line of the demo, where nothing fails, adds them to cut.
+// the summary line of the demo, where nothing fails, adds them to its figure "cut".
 func (c *Counts) HasViolations() bool {
 	return c.Complete == 0 || c.Failed+c.DuplicateRuns+c.WrongMember+c.FalseNotRun > 0
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -51,10 +51,10 @@
 }
 
 const (
-	defaultStall    = 3 * time.Second
-	defaultPatience = time.Minute
-	dialTimeout     = time.Second
-	entriesTimeout  = time.Second
+	defaultStallTimeout   = 3 * time.Second
+	defaultRequestTimeout = time.Minute
+	dialTimeout           = time.Second
+	entriesTimeout        = time.Second
 	// retryDelay is the wait after a failed connection.
 	retryDelay = 50 * time.Millisecond
 	// avoidDuration is how long a failed entry is only used as a last resort.
@@ -80,17 +80,17 @@
 }
 
 type entriesResponse struct {
-	Entries     []entry `json:"entries"`
-	KeepSeconds float64 `json:"keep_seconds"`
+	Entries    []entry `json:"entries"`
+	TTLSeconds float64 `json:"keep_seconds"`
 }
 
 // New returns a Client with the defaults of Config filled in.
 func New(c Config) *Client {
 	if c.StallTimeout == 0 {
-		c.StallTimeout = defaultStall
+		c.StallTimeout = defaultStallTimeout
 	}
 	if c.RequestTimeout == 0 {
-		c.RequestTimeout = defaultPatience
+		c.RequestTimeout = defaultRequestTimeout
 	}
 	if c.RetryWindow == 0 {
 		c.RetryWindow = c.RequestTimeout
@@ -178,7 +178,7 @@
 		}
 		c.mu.Lock()
 		c.entries = response.Entries
-		c.entriesExpireAt = time.Now().Add(time.Duration(response.KeepSeconds * float64(time.Second)))
+		c.entriesExpireAt = time.Now().Add(time.Duration(response.TTLSeconds * float64(time.Second)))
 		c.mu.Unlock()
 		return
 	}
--- a/internal/standin/server/cache.go
+++ b/internal/standin/server/cache.go
@@ -104,7 +104,7 @@
 	writeJSON(w, http.StatusOK, newExportedKV(st.request, text))
 }
 
-// newestStream returns the stream of the request's latest attempt, or nil. The
+// latestStream returns the stream of the request's latest attempt, or nil. The
 // caller must hold mu.
 func (s *Server) latestStream(requestID string) *stream {
 	var latest *stream
--- a/internal/standin/server/faults.go
+++ b/internal/standin/server/faults.go
@@ -14,8 +14,8 @@
 
 // Markers in the prompt of a completion that inject a fault.
 const (
-	// faultPoison makes the request kill the server process at its first token.
-	faultPoison = "[poison]"
+	// faultCrash makes the request kill the server process at its first token.
+	faultCrash = "[poison]"
 	// faultHang makes the stream send neither tokens nor heartbeats.
 	faultHang = "[hang]"
 )
--- a/internal/standin/server/model.go
+++ b/internal/standin/server/model.go
@@ -59,7 +59,7 @@
 // applyProgress adds the tokens that the engine model produced to the stream and
 // ends a finished stream. The caller must hold mu.
 func (s *Server) applyProgress(st *stream, p enginemodel.Progress) {
-	if st.poison {
+	if st.crashes {
 		s.crash(st.request)
 	}
 	if st.hangs {
--- a/internal/standin/server/orders.go
+++ b/internal/standin/server/orders.go
@@ -46,7 +46,7 @@
 	s.journal.Write(journal.Record{Event: journal.OrderReceived, Order: &o, NewestToken: b.newestToken})
 	result, reason := s.decideOrder(o)
 	if result == "" {
-		s.beginOrder(o)
+		s.startOrder(o)
 		result = engineapi.OrderRunning
 	} else if result == engineapi.OrderStale || result == engineapi.OrderRefused {
 		s.journal.Write(journal.Record{Event: journal.OrderRejected, Order: &o, NewestToken: b.newestToken, Reason: reason})
@@ -78,9 +78,9 @@
 	return "", ""
 }
 
-// beginOrder starts an order. A change of role or model makes the engine
+// startOrder starts an order. A change of role or model makes the engine
 // unavailable and aborts its running streams. The caller must hold mu.
-func (s *Server) beginOrder(o engineapi.Order) {
+func (s *Server) startOrder(o engineapi.Order) {
 	b := &s.orders
 	if b.newestToken.Less(o.Token) {
 		b.newestToken = o.Token
--- a/internal/standin/server/stream.go
+++ b/internal/standin/server/stream.go
@@ -29,8 +29,8 @@
 	key     streamKey
 	request engineapi.CompletionRequest
 	gen     *answer.Generator
-	// poison and hangs are the faults that the prompt injects.
-	poison, hangs bool
+	// crashes and hangs are the faults that the prompt injects.
+	crashes, hangs bool
 
 	mu sync.Mutex
 	// tokens holds the token texts from offset startOffset on.
@@ -49,7 +49,7 @@
 		request:     req,
 		gen:         answer.NewGenerator(req.Prompt, req.Seed, req.GeneratedText, req.GeneratedTokens),
 		startOffset: req.GeneratedTokens,
-		poison:      hasFault(req.Prompt, faultPoison),
+		crashes:     hasFault(req.Prompt, faultCrash),
 		hangs:       hasFault(req.Prompt, faultHang),
 		changed:     make(chan struct{}),
 	}
--- a/internal/standin/workload/workload.go
+++ b/internal/standin/workload/workload.go
@@ -76,7 +76,7 @@
 }
 
 const (
-	defaultPatience = time.Minute
+	defaultRequestTimeout = time.Minute
 	// maxRequests and maxDuration bound the values in a workload file.
 	maxRequests = 1_000_000
 	maxDuration = time.Hour
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, finding.List{{File: path, Problem: err.Error()}}
 	}
-	w := &Workload{RequestTimeout: defaultPatience}
+	w := &Workload{RequestTimeout: defaultRequestTimeout}
 	file := yamlfile.Decode(path, data, w)
 	w.check(file)
 	return w, file.Findings()
