--- a/internal/entry/pause_test.go
+++ b/internal/entry/backoff_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a back-off that ends early by a load report, a heartbeat, another view or a
 // shorter back-off.
-func TestPauseLastsUntilItsEnd(t *testing.T) {
+func TestBackoffLastsUntilItsEnd(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
 	w.requestBackoff("engine-0", time.Hour)
@@ -46,7 +46,7 @@
 }
 
 // Guards against a back-off that passes to another incarnation of the server.
-func TestPauseEndsWithTheIncarnation(t *testing.T) {
+func TestBackoffEndsWithTheIncarnation(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
 	w.requestBackoff("engine-0", time.Hour)
@@ -59,7 +59,7 @@
 
 // Guards against a separately prefilled request that is decoded on an engine that has asked for
 // a back-off.
-func TestPrefilledWorkDoesNotGoToAPausedEngine(t *testing.T) {
+func TestPrefilledWorkDoesNotGoToAnEngineInBackoff(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(withPrefillEngines(2, 1)...)
 	d := w.arriveWithSeparatePrefill("r1")
@@ -72,7 +72,7 @@
 }
 
 // Guards against a requeued request that reaches a server that has asked for a back-off.
-func TestRequeuedWorkDoesNotReachAPausedServer(t *testing.T) {
+func TestRequeuedWorkDoesNotReachAServerInBackoff(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
 	w.arriveWithDeadline("r1", func(a *RequestArrived) { a.Work.FirstTokenBy = w.now + 400*time.Millisecond })
@@ -92,7 +92,7 @@
 
 // Guards against a request that waits without an answer for a server whose back-off outlasts its
 // first-token deadline. A request with a later deadline is served after the back-off.
-func TestWorkThatCanWaitIsServedAfterThePause(t *testing.T) {
+func TestWorkThatCanWaitIsServedAfterTheBackoff(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
 	w.requestBackoff("engine-0", second)
@@ -110,7 +110,7 @@
 }
 
 // Guards against health probes of a server that has asked for a back-off.
-func TestPausedServerIsNotProbed(t *testing.T) {
+func TestServerInBackoffIsNotProbed(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(2)...)
 	w.requestBackoff("engine-0", 30*second)
@@ -128,7 +128,7 @@
 }
 
 // Guards against a request that was dispatched before a back-off and connects during it.
-func TestSnapshotContainsPausedServers(t *testing.T) {
+func TestSnapshotContainsServersInBackoff(t *testing.T) {
 	w := newDeadlineHarness(t)
 	w.view(serving(1)...)
 	w.requestBackoff("engine-0", 3*second)
