--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -65,7 +65,8 @@
 	// PrefillRate is the prefill rate in tokens per second. It is used until answers of engines
 	// allow an estimate. Default 30000.
 	PrefillRate float64 `yaml:"prefill_rate"`
-	// TokenTime is the inter-token latency of a stream on a busy engine. Default 36ms.
+	// TokenTime is the inter-token latency of a stream on a busy engine. Default 36ms,
+	// that of a full batch in package enginemodel.
 	TokenTime time.Duration `yaml:"token_time"`
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -77,8 +77,8 @@
 	DefaultDutyLease        = 3 * time.Second
 	DefaultUsageReportDelay = 10 * time.Second
 	// DefaultPrefillRate is the middle, on a logarithmic scale, of the rates of the known engines,
-	// 5,000 to 112,000 tokens/s. Ten answers correct it by a factor of four
-	// (package speed).
+	// 5,000 to 112,000 tokens/s. The first ten answers correct it by up to a factor of four
+	// (package decision/speed).
 	DefaultPrefillRate = 30000
 	DefaultTokenTime   = 36 * time.Millisecond
 	minSharedKeyBytes  = 16
