--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -19,7 +19,8 @@
 var Namespace = errorx.NewNamespace("ctl")
 
 var (
-	// Refused is the type of errors about calls that the leader refused.
+	// Refused is the type of errors about calls that the leader refused, or that this client refuses
+	// because they contradict the current state.
 	Refused = Namespace.NewType("refused")
 	// NoAnswer is the type of errors about calls that got no answer in time. Such a call may still
 	// take effect.
--- a/internal/ctl/replicas.go
+++ b/internal/ctl/replicas.go
@@ -101,7 +101,7 @@
 	}
 	f.register(cmd)
 	cmd.RunE = o.withClient(func(ctx context.Context, c *Client, out io.Writer, args []string) error {
-		old, err := parseReplicaID(args[0])
+		oldID, err := parseReplicaID(args[0])
 		if err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 		if err != nil {
 			return err
 		}
-		return c.replaceReplica(ctx, out, old, id, f)
+		return c.replaceReplica(ctx, out, oldID, id, f)
 	})
 	return cmd
 }
@@ -195,8 +195,8 @@
 	return err
 }
 
-func (c *Client) replaceReplica(ctx context.Context, out io.Writer, old, id uint64, f addedReplicaFlags) error {
-	if old == id {
+func (c *Client) replaceReplica(ctx context.Context, out io.Writer, oldID, id uint64, f addedReplicaFlags) error {
+	if oldID == id {
 		if err := c.removeDeadVoter(ctx, out, id); err != nil {
 			return err
 		}
@@ -208,10 +208,10 @@
 		return err
 	}
 	fmt.Fprintf(out, "replica %d votes\n", id)
-	if old == id {
+	if oldID == id {
 		return nil
 	}
-	return c.removeReplica(ctx, out, old)
+	return c.removeReplica(ctx, out, oldID)
 }
 
 // removeDeadVoter removes a voter that no longer answers under its old identity. A replica that
