--- a/internal/enginemodel/advance.go
+++ b/internal/enginemodel/advance.go
@@ -22,8 +22,8 @@
 	}
 	prefill, decode := e.relativeSpeeds(current.prefill != nil, current.decodeStreams > 0)
 	current.prefillRate = e.cfg.PrefillRate * prefill
-	full := e.cfg.StepBase + time.Duration(current.decodeStreams)*e.cfg.StepPerStream
-	current.stepSeconds = full.Seconds() / decode
+	fullSpeedStep := e.cfg.StepBase + time.Duration(current.decodeStreams)*e.cfg.StepPerStream
+	current.stepSeconds = fullSpeedStep.Seconds() / decode
 	return current
 }
 
@@ -33,7 +33,7 @@
 	s := speedsOfRole(e.role)
 	prefill, decode = s.prefillAlone, s.decodeAlone
 	if prefilling && decoding {
-		prefill, decode = s.prefillShared, s.decodeShared
+		prefill, decode = s.prefillConcurrent, s.decodeConcurrent
 	}
 	return prefill / e.cfg.Slowdown, decode / e.cfg.Slowdown
 }
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -26,10 +26,10 @@
 	seq          uint64
 }
 
-func newCache(tokens int, record bool) *cache {
+func newCache(tokens int, recordEvents bool) *cache {
 	return &cache{
 		capacity: max(1, tokens/engineapi.BlockTokens), lru: list.New(),
-		blocks: make(map[blockKey]*list.Element), recordEvents: record,
+		blocks: make(map[blockKey]*list.Element), recordEvents: recordEvents,
 	}
 }
 
--- a/internal/enginemodel/config.go
+++ b/internal/enginemodel/config.go
@@ -2,9 +2,9 @@
 // batching with a time per token, priorities, roles, a prefix cache of limited
 // size, KV cache import and export, and load reports with a lag.
 //
-// The policy experiment and the end-to-end tests of the decisions run on it, and
-// the stand-in engine serves it over HTTP, so that all of them use the same model. It
-// reads no clock, does no I/O and starts no goroutines.
+// The comparison of routing policies (package policy) and the end-to-end tests of the
+// decisions run on it, and the stand-in engine serves it over HTTP, so that all of them
+// use the same model. It reads no clock, does no I/O and starts no goroutines.
 //
 // Prefill processes the prompt tokens of one request at a time, the highest priority
 // first. Decode gives every running stream one token per step, and a step takes longer
@@ -90,15 +90,15 @@
 }
 
 // roleSpeeds are the fractions of the full rates that a role reaches: Alone if only
-// prefill or only decode runs, Shared if both run.
+// prefill or only decode runs, Concurrent if both run.
 type roleSpeeds struct {
-	prefillAlone, decodeAlone   float64
-	prefillShared, decodeShared float64
+	prefillAlone, decodeAlone           float64
+	prefillConcurrent, decodeConcurrent float64
 }
 
 // MixedEfficiency is the throughput of a mixed engine that runs prefill and decode
-// together, as a fraction of that of an engine that runs only one of them: prefillShared
-// + decodeShared.
+// together, as a fraction of that of an engine that runs only one of them:
+// prefillConcurrent + decodeConcurrent.
 const MixedEfficiency = 0.8
 
 // speedsOfRole returns the speeds of a role. A prefill or decode engine is slow at the
@@ -107,10 +107,10 @@
 func speedsOfRole(role engineapi.Role) roleSpeeds {
 	switch role {
 	case engineapi.RolePrefill:
-		return roleSpeeds{prefillAlone: 1, decodeAlone: 0.4, prefillShared: 0.7, decodeShared: 0.1}
+		return roleSpeeds{prefillAlone: 1, decodeAlone: 0.4, prefillConcurrent: 0.7, decodeConcurrent: 0.1}
 	case engineapi.RoleDecode:
-		return roleSpeeds{prefillAlone: 0.4, decodeAlone: 1, prefillShared: 0.1, decodeShared: 0.7}
+		return roleSpeeds{prefillAlone: 0.4, decodeAlone: 1, prefillConcurrent: 0.1, decodeConcurrent: 0.7}
 	default:
-		return roleSpeeds{prefillAlone: 0.95, decodeAlone: 0.95, prefillShared: 0.4, decodeShared: 0.4}
+		return roleSpeeds{prefillAlone: 0.95, decodeAlone: 0.95, prefillConcurrent: 0.4, decodeConcurrent: 0.4}
 	}
 }
--- a/internal/enginemodel/load.go
+++ b/internal/enginemodel/load.go
@@ -21,12 +21,12 @@
 		return
 	}
 	e.samples = append(e.samples, sample{e.now, e.currentLoad()})
-	old := 0
-	for old+1 < len(e.samples) && e.samples[old+1].at <= e.now-e.cfg.LoadLag {
-		old++
+	expired := 0
+	for expired+1 < len(e.samples) && e.samples[expired+1].at <= e.now-e.cfg.LoadLag {
+		expired++
 	}
-	if old > 0 {
-		e.samples = append(e.samples[:0], e.samples[old:]...)
+	if expired > 0 {
+		e.samples = append(e.samples[:0], e.samples[expired:]...)
 	}
 }
 
--- a/internal/enginemodel/stream.go
+++ b/internal/enginemodel/stream.go
@@ -60,16 +60,16 @@
 	firstTokenAt   time.Duration
 }
 
-func newStream(now time.Duration, r Request, seq uint64, cachedBlocks int, kvRate float64) *stream {
+func newStream(now time.Duration, r Request, seq uint64, cachedBlocks int, kvImportRate float64) *stream {
 	s := &stream{req: r, seq: seq, reservedKVTokens: r.PromptTokens + r.OutputTokens}
-	context := r.PromptTokens + r.GeneratedTokens
+	contextTokens := r.PromptTokens + r.GeneratedTokens
 	if r.KVImported {
-		s.importEnd = now + seconds(float64(context)/kvRate)
+		s.importEnd = now + seconds(float64(contextTokens)/kvImportRate)
 		s.imported = true
 		return s
 	}
 	// At least one token is always prefilled, since that yields the first output token.
-	s.prefillLeft = max(1, float64(context-cachedBlocks*engineapi.BlockTokens))
+	s.prefillLeft = max(1, float64(contextTokens-cachedBlocks*engineapi.BlockTokens))
 	return s
 }
 
@@ -99,7 +99,7 @@
 	return s.seq < o.seq
 }
 
-// insert adds s to the ordered list.
+// insertOrdered adds s to the ordered list.
 func insertOrdered(list []*stream, s *stream) []*stream {
 	at, _ := slices.BinarySearchFunc(list, s, func(a, b *stream) int {
 		if a.runsBefore(b) {
