--- a/internal/obs/bounded.go
+++ b/internal/obs/bounded.go
@@ -26,19 +26,19 @@
 
 // NewNonBlockingWriter returns a writer that writes to w in a separate goroutine until Close.
 func NewNonBlockingWriter(w io.Writer) *NonBlockingWriter {
-	b := &NonBlockingWriter{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
-	go b.run(w)
-	return b
+	nw := &NonBlockingWriter{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
+	go nw.run(w)
+	return nw
 }
 
-func (b *NonBlockingWriter) run(w io.Writer) {
-	defer close(b.done)
+func (nw *NonBlockingWriter) run(w io.Writer) {
+	defer close(nw.done)
 	reported := uint64(0)
-	for line := range b.lines {
+	for line := range nw.lines {
 		if line == nil {
 			return
 		}
-		if n := b.dropped.Load(); n > reported {
+		if n := nw.dropped.Load(); n > reported {
 			line = fmt.Appendf(line, `{"level":"WARN","msg":"log lines dropped","lines":%d}`+"\n", n-reported)
 			reported = n
 		}
@@ -48,28 +48,28 @@
 }
 
 // Write buffers one line, or drops it if the buffer is full. It never returns an error.
-func (b *NonBlockingWriter) Write(line []byte) (int, error) {
+func (nw *NonBlockingWriter) Write(line []byte) (int, error) {
 	select {
-	case b.lines <- append([]byte(nil), line...):
+	case nw.lines <- append([]byte(nil), line...):
 	default:
-		b.dropped.Add(1)
+		nw.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Dropped returns how many lines have been dropped so far.
-func (b *NonBlockingWriter) Dropped() uint64 { return b.dropped.Load() }
+func (nw *NonBlockingWriter) Dropped() uint64 { return nw.dropped.Load() }
 
 // Close writes the buffered lines. It gives up after flushTimeout.
-func (b *NonBlockingWriter) Close() {
+func (nw *NonBlockingWriter) Close() {
 	timeout := time.After(flushTimeout)
 	select {
-	case b.lines <- nil:
+	case nw.lines <- nil:
 	case <-timeout:
 		return
 	}
 	select {
-	case <-b.done:
+	case <-nw.done:
 	case <-timeout:
 	}
 }
--- a/internal/obs/bounded_test.go
+++ b/internal/obs/bounded_test.go
@@ -13,12 +13,12 @@
 func TestWriterNeverBlocksWithoutReader(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
-	b := NewNonBlockingWriter(w)
+	nw := NewNonBlockingWriter(w)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 10 * bufferedLines {
-			_, _ = b.Write([]byte("line\n"))
+			_, _ = nw.Write([]byte("line\n"))
 		}
 	}()
 	select {
@@ -26,19 +26,19 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("Write blocked")
 	}
-	if b.Dropped() < 8*bufferedLines {
-		t.Fatalf("only %d lines dropped: the buffer is larger than bufferedLines", b.Dropped())
+	if nw.Dropped() < 8*bufferedLines {
+		t.Fatalf("only %d lines dropped: the buffer is larger than bufferedLines", nw.Dropped())
 	}
 }
 
 // Guards against log lines that are dropped without a trace in the log.
 func TestLogReportsDroppedLines(t *testing.T) {
 	var out bytes.Buffer
-	b := &NonBlockingWriter{lines: make(chan []byte, 1), done: make(chan struct{})}
-	_, _ = b.Write([]byte("first\n"))
-	_, _ = b.Write([]byte("lost\n"))
-	go b.run(&out)
-	b.Close()
+	nw := &NonBlockingWriter{lines: make(chan []byte, 1), done: make(chan struct{})}
+	_, _ = nw.Write([]byte("first\n"))
+	_, _ = nw.Write([]byte("lost\n"))
+	go nw.run(&out)
+	nw.Close()
 	if got := out.String(); !strings.Contains(got, "first\n") || !strings.Contains(got, `"lines":1`) || strings.Contains(got, "lost\n") {
 		t.Fatalf("log: %q", got)
 	}
