--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -44,19 +44,19 @@
 }
 
 // Accept waits for the next connection. Its only error is net.ErrClosed.
-func (b *LimitedListener) Accept() (net.Conn, error) {
+func (l *LimitedListener) Accept() (net.Conn, error) {
 	for {
-		accepted, err := b.Listener.Accept()
+		accepted, err := l.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
 		if err != nil {
-			b.log.Warn("accepting a connection failed", "error", err.Error(), "open", b.count())
-			b.closeIdlest()
+			l.log.Warn("accepting a connection failed", "error", err.Error(), "open", l.count())
+			l.closeIdlest()
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if c := b.track(accepted); c != nil {
+		if c := l.track(accepted); c != nil {
 			return c, nil
 		}
 	}
@@ -64,41 +64,41 @@
 
 // track registers a connection, or closes it and returns nil if the limit is reached and all
 // others are in use.
-func (b *LimitedListener) track(accepted net.Conn) *conn {
-	if b.limit > 0 && b.count() >= b.limit && !b.closeIdlest() {
-		b.log.Warn("connection limit reached and no connection idle; closing the new one", "open", b.limit)
+func (l *LimitedListener) track(accepted net.Conn) *conn {
+	if l.limit > 0 && l.count() >= l.limit && !l.closeIdlest() {
+		l.log.Warn("connection limit reached and no connection idle; closing the new one", "open", l.limit)
 		_ = accepted.Close()
 		return nil
 	}
-	c := &conn{Conn: accepted, listener: b}
+	c := &conn{Conn: accepted, listener: l}
 	c.touch()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.open[c] = struct{}{}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.open[c] = struct{}{}
 	return c
 }
 
-func (b *LimitedListener) count() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.open)
+func (l *LimitedListener) count() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.open)
 }
 
 // closeIdlest closes the connection that has been idle the longest. It returns false if none
 // has been idle for minIdleTime.
-func (b *LimitedListener) closeIdlest() bool {
-	if c := b.findIdlest(clock.SinceBoot() - minIdleTime); c != nil {
+func (l *LimitedListener) closeIdlest() bool {
+	if c := l.findIdlest(clock.SinceBoot() - minIdleTime); c != nil {
 		_ = c.Close()
 		return true
 	}
 	return false
 }
 
-func (b *LimitedListener) findIdlest(before time.Duration) *conn {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *LimitedListener) findIdlest(before time.Duration) *conn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var found *conn
-	for c := range b.open {
+	for c := range l.open {
 		if lastUsed := c.lastUsedAt(); lastUsed < before {
 			found, before = c, lastUsed
 		}
@@ -106,10 +106,10 @@
 	return found
 }
 
-func (b *LimitedListener) remove(c *conn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.open, c)
+func (l *LimitedListener) remove(c *conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.open, c)
 }
 
 // conn records when it was last used.
