--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -76,8 +76,8 @@
 	RetryAfter time.Duration
 }
 
-// viewRetryAfter is the RetryAfter of an entry without a current view. Control sends it
-// one within about a second.
+// viewRetryAfter is the RetryAfter of an entry without a current view, that is the state of the
+// deployment as control distributes it. Control sends one within about a second.
 const viewRetryAfter = time.Second
 
 // NoConfiguration refuses a request that reaches an entry before its first configuration.
