--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -129,8 +129,9 @@
 	KVTransferRate float64 `yaml:"move_rate" json:"move_rate,omitempty"`
 }
 
-// Scale bounds how many servers may be ordered for a service, and gives their boot time and
-// relative price.
+// Scale configures the autoscaling of a service: bounds on the number of servers that control
+// orders from the external service at settings.Duties.Address, their boot time and their relative
+// price.
 type Scale struct {
 	// Min and Max bound the number of servers per data centre, spot and on-demand together.
 	Min int `yaml:"min" json:"min"`
--- a/internal/declaration/hostroute.go
+++ b/internal/declaration/hostroute.go
@@ -16,7 +16,8 @@
 	Host string `yaml:"host" json:"host"`
 	// Prefix begins and ends with a slash. The route with the longest matching prefix applies.
 	Prefix string `yaml:"prefix" json:"prefix"`
-	// Profile is the profile under which its requests are served.
+	// Profile is the profile under which its requests are served: it sets their urgency and
+	// deadlines.
 	Profile string `yaml:"profile" json:"profile"`
 	// Repeat is RepeatAllowed, RepeatOnce or RepeatResumed.
 	Repeat string `yaml:"repeat" json:"repeat"`
--- a/internal/declaration/parse.go
+++ b/internal/declaration/parse.go
@@ -26,7 +26,7 @@
 	DefaultWeight                   = 1.0
 )
 
-// Upper limits of values in a declaration.
+// Upper limits of values in a declaration, and the length of a token hash in hex digits.
 const (
 	maxWindow      = 7 * 24 * time.Hour
 	maxAnswerBytes = 1 << 20
