--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -79,7 +79,8 @@
 	// Lease is how long a new leader waits before its first call, so that the last call of the
 	// previous leader can no longer take effect. Default 3s.
 	Lease time.Duration `yaml:"lease"`
-	// OrderServers enables ordering servers for the services that declare autoscaling.
+	// OrderServers enables ordering new servers from the external service, for the services that
+	// declare autoscaling.
 	OrderServers bool `yaml:"order_servers"`
 	// UsageWindow is the length of the windows for which members' usage is reported, the same as
 	// Usage.Window of the entries; zero: usage is not reported.
