--- a/internal/rpc/pb/control.twirp.go
+++ b/internal/rpc/pb/control.twirp.go
@@ -31,24 +31,24 @@
 // Control Interface
 // =================
 
-// Control is what entries call at a control replica. A replica that does not
-// lead answers unavailable with the meta key "leader" (host:port, may be empty).
+// Control is the service that entries call. A replica that is not the leader
+// answers unavailable with the meta key "leader" (host:port, may be empty).
 type Control interface {
-	// Watch is a long poll: it returns when the view is newer than
-	// known_version, or when the hold time has passed. It renews the lease.
+	// Watch is a long poll. It returns once the view is newer than known_version,
+	// or after the hold time. It renews the entry's lease.
 	Watch(context.Context, *WatchRequest) (*WatchResponse, error)
 
-	// Report hands over what an entry, or another replica, has learned since its last report.
+	// Report sends what an entry, or another replica, has observed since its last report.
 	Report(context.Context, *ReportRequest) (*ReportResponse, error)
 
-	// Announce hands over backend servers' own words that another replica was told; it returns
-	// once what they change is committed.
+	// Announce forwards announcements that backend servers sent to another replica. It
+	// returns once the resulting changes are committed.
 	Announce(context.Context, *AnnounceRequest) (*AnnounceResponse, error)
 
 	// Claim commits once-only claims before the first byte is sent.
 	Claim(context.Context, *ClaimRequest) (*ClaimResponse, error)
 
-	// Settle records how claimed calls ended.
+	// Settle records the outcomes of claimed calls.
 	Settle(context.Context, *SettleRequest) (*SettleResponse, error)
 }
 
@@ -1650,7 +1650,7 @@
 // Operator Interface
 // ==================
 
-// Operator is what goldcrestctl calls. Redirects as Control does.
+// Operator is the service that goldcrestctl calls. It redirects to the leader as Control does.
 type Operator interface {
 	Apply(context.Context, *ApplyRequest) (*ApplyResponse, error)
 
@@ -1666,8 +1666,9 @@
 
 	ChangeReplica(context.Context, *ChangeReplicaRequest) (*ChangeReplicaResponse, error)
 
-	// Join tells that a replica with an empty data folder waits to be added. A
-	// group that mends itself adds it when it has room or has lost one.
+	// Join registers a replica with an empty data folder as waiting to be added. A
+	// group with a configured number of voters adds it when it has fewer voters, or
+	// to replace a lost one.
 	Join(context.Context, *JoinRequest) (*JoinResponse, error)
 }
 
--- a/internal/rpc/pb/peer.twirp.go
+++ b/internal/rpc/pb/peer.twirp.go
@@ -26,16 +26,16 @@
 // Peer Interface
 // ==============
 
-// Peer is what entries call at each other.
+// Peer is the service that entries call at each other to resume streams.
 type Peer interface {
-	// Remember keeps stream records for the case that their entry dies.
+	// Remember stores replicas of stream records, in case the entry that owns them dies.
 	Remember(context.Context, *RememberRequest) (*RememberResponse, error)
 
-	// Forget drops records of streams that their callers have whole or that
-	// another entry goes on with; the owner then does not cancel them.
+	// Forget notifies the previous owner that another entry has resumed its streams.
+	// It stops relaying them and does not cancel them at the engine.
 	Forget(context.Context, *ForgetRequest) (*ForgetResponse, error)
 
-	// Lookup finds a record; not_found when this entry holds none.
+	// Lookup returns a record, or not_found if this entry has none.
 	Lookup(context.Context, *LookupRequest) (*LookupResponse, error)
 }
 
@@ -1083,16 +1083,17 @@
 // PeerLoad Interface
 // ==================
 
-// PeerLoad is how entries report to each other what they have at backend servers.
+// PeerLoad is the service through which entries report to each other the requests that they
+// have at backend servers.
 type PeerLoad interface {
-	// Report replaces what the sender reported before. A later sequence of one incarnation
-	// is newer.
+	// Report replaces the sender's previous report. Within one incarnation the higher sequence
+	// is the newer report.
 	Report(context.Context, *PeerReport) (*PeerReportAnswer, error)
 
-	// Sum gives what is known of all entries but the one that asks.
+	// Sum returns what the aggregator knows of all entries except the caller.
 	Sum(context.Context, *PeerSumRequest) (*PeerSum, error)
 
-	// Permit gives permits to send to a server that has named a limit.
+	// Permit grants permits to send requests to a server that has a rate limit.
 	Permit(context.Context, *PermitRequest) (*PermitAnswer, error)
 }
 
--- a/internal/rpc/pb/replica.twirp.go
+++ b/internal/rpc/pb/replica.twirp.go
@@ -28,8 +28,8 @@
 
 // Replica carries consensus messages from one control replica to another.
 type Replica interface {
-	// Step hands over a batch of messages. Errors: failed_precondition when the
-	// cluster id, the target's identity or the sender's incarnation is wrong.
+	// Step delivers a batch of messages. Errors: failed_precondition if the cluster
+	// id, the target's identity or the sender's incarnation is wrong.
 	Step(context.Context, *StepRequest) (*StepResponse, error)
 }
 
