--- a/Makefile
+++ b/Makefile
@@ -34,7 +34,7 @@
 generate:
 	./proto/generate.sh
 
-# Where protoc is installed, the committed code must be what it generates.
+# If protoc is installed, the committed code must equal its output.
 generate-check:
 	@if ! command -v protoc >/dev/null; then echo "generate-check: no protoc here, not run"; exit 0; fi; \
 	out=$$(mktemp -d) && trap 'rm -rf "$$out"' EXIT && ./proto/generate.sh "$$out" && \
