--- a/internal/decision/admission/retry_limit.go
+++ b/internal/decision/admission/retry_limit.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// ResendLimit bounds how often a deployment sends requests again after their first send, for
-// whatever reason.
+// ResendLimit bounds the retries of a deployment: all sends of a request after its first one,
+// for whatever reason.
 type ResendLimit struct {
-	// Ratio is the number of resends that a service may get per request for it.
+	// Ratio is the number of retries that a service may get per request for it.
 	Ratio float64
-	// Constant is the number of further resends that it may get in each window.
+	// Constant is the number of further retries that it may get in each window.
 	Constant int
 	// Window is the sliding window in which both are counted.
 	Window time.Duration
@@ -16,19 +16,19 @@
 // ResendLimiter enforces one entry's part of a ResendLimit, per service.
 //
 // It guards against retry storms: when much of a fleet fails or refuses at once, every
-// request is sent again, the load doubles just when it can't be served, and the fleet never
+// request is retried, the load doubles just when it can't be served, and the fleet never
 // recovers. Each entry takes the ratio of its own requests and an equal part of the
 // constant, so entries need not ask each other before they send.
 type ResendLimiter struct {
 	limit   ResendLimit
-	windows map[string]*resendWindow
+	windows map[string]*retryWindow
 }
 
-// resendWindow holds the times of one service's requests and of their resends within the
+// retryWindow holds the times of one service's requests and of their retries within the
 // window, oldest first.
-type resendWindow struct {
+type retryWindow struct {
 	requests []time.Duration
-	resends  []time.Duration
+	retries  []time.Duration
 }
 
 // usableShare is the part of the limit that entries use. Entries count by their own clocks,
@@ -40,7 +40,7 @@
 	if limit == nil || limit.Window <= 0 {
 		return nil
 	}
-	return &ResendLimiter{limit: *limit, windows: make(map[string]*resendWindow)}
+	return &ResendLimiter{limit: *limit, windows: make(map[string]*retryWindow)}
 }
 
 // RecordArrival counts a request for the service.
@@ -52,8 +52,8 @@
 	w.requests = append(w.requests, now)
 }
 
-// AllowResend asks to send one more request to the service again and counts it if allowed;
-// entries is the number of entries that share the limit.
+// AllowResend reports whether one more request to the service may be retried, and counts the
+// retry if so. entries is the number of entries that share the limit.
 func (l *ResendLimiter) AllowResend(now time.Duration, service string, entries int) bool {
 	if l == nil {
 		return true
@@ -61,21 +61,21 @@
 	w := l.prunedWindow(now, service)
 	constant := float64(l.limit.Constant) / float64(max(1, entries))
 	allowed := usableShare * (l.limit.Ratio*float64(len(w.requests)) + constant)
-	if float64(len(w.resends)+1) > allowed {
+	if float64(len(w.retries)+1) > allowed {
 		return false
 	}
-	w.resends = append(w.resends, now)
+	w.retries = append(w.retries, now)
 	return true
 }
 
-func (l *ResendLimiter) prunedWindow(now time.Duration, service string) *resendWindow {
+func (l *ResendLimiter) prunedWindow(now time.Duration, service string) *retryWindow {
 	w := l.windows[service]
 	if w == nil {
-		w = &resendWindow{}
+		w = &retryWindow{}
 		l.windows[service] = w
 	}
 	w.requests = dropBefore(w.requests, now-l.limit.Window)
-	w.resends = dropBefore(w.resends, now-l.limit.Window)
+	w.retries = dropBefore(w.retries, now-l.limit.Window)
 	return w
 }
 
--- a/internal/decision/admission/retry_limit_test.go
+++ b/internal/decision/admission/retry_limit_test.go
@@ -8,7 +8,7 @@
 var testLimit = &ResendLimit{Ratio: 0.2, Constant: 90, Window: 10 * time.Second}
 
 // A service fails every request for a while at its normal load of 20 requests/s. Without a
-// bound, requests are sent again and again and the load doubles. The resends must stay
+// bound, requests are retried again and again and the load doubles. The retries must stay
 // within the deployment's limit in every window.
 func TestFailingServiceGetsNoMoreThanTheLimit(t *testing.T) {
 	const entries, rate, seconds = 9, 20, 60
@@ -30,31 +30,31 @@
 			}
 		}
 		if n > allowed {
-			t.Fatalf("%d resends in the window from %v, want %d at most", n, sends[i], allowed)
+			t.Fatalf("%d retries in the window from %v, want %d at most", n, sends[i], allowed)
 		}
 	}
 	if len(sends) < 100 {
-		t.Fatalf("only %d resends: the limit is not used", len(sends))
+		t.Fatalf("only %d retries: the limit is not used", len(sends))
 	}
 }
 
-// When one service fails, requests for another service may still be sent again.
+// When one service fails, requests for another service may still be retried.
 func TestServicesHaveLimitsOfTheirOwn(t *testing.T) {
 	limiter := NewResendLimiter(testLimit)
 	for limiter.AllowResend(0, "lm", 1) {
 	}
 	if !limiter.AllowResend(0, "portal", 1) {
-		t.Fatal("resend refused for the other service")
+		t.Fatal("retry refused for the other service")
 	}
 }
 
-// Without a limit every resend is allowed.
+// Without a limit every retry is allowed.
 func TestNoLimitAllowsEverything(t *testing.T) {
 	var limiter *ResendLimiter
 	limiter.RecordArrival(0, "lm")
 	for range 1000 {
 		if !limiter.AllowResend(0, "lm", 9) {
-			t.Fatal("resend refused without a limit")
+			t.Fatal("retry refused without a limit")
 		}
 	}
 	if NewResendLimiter(&ResendLimit{}) != nil {
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -17,7 +17,7 @@
 	return decision.EngineSpeed{PrefillRate: set.Engines.PrefillRate, TokenTime: set.Engines.TokenTime}
 }
 
-func resendLimit(r settings.ResendLimit) *admission.ResendLimit {
+func retryLimit(r settings.ResendLimit) *admission.ResendLimit {
 	return &admission.ResendLimit{Ratio: r.Ratio, Constant: r.Constant, Window: r.Window}
 }
 
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -17,7 +17,7 @@
 	Relay Relay `yaml:"relay"`
 	// Engines holds the speeds that are assumed of model engines before any measurement.
 	Engines Engines `yaml:"engines"`
-	// ResendLimit limits resends of requests over all entries together.
+	// ResendLimit limits the retries of requests over all entries together.
 	ResendLimit ResendLimit `yaml:"repeats"`
 	// Credentials configures how long callers' credentials stay valid at an entry without contact to
 	// control.
@@ -87,14 +87,14 @@
 	ConfirmedWithin time.Duration `yaml:"confirmed_within"`
 }
 
-// ResendLimit limits the resends of a deployment's entries together, that is all sends of a request
+// ResendLimit limits the retries of a deployment's entries together: all sends of a request
 // after its first one. With Window zero only the retry budgets of the profiles apply.
 type ResendLimit struct {
-	// Ratio is the number of resends allowed per request to the service.
+	// Ratio is the number of retries allowed per request to the service.
 	Ratio float64 `yaml:"ratio"`
-	// Constant is the number of resends allowed in addition in each window.
+	// Constant is the number of retries allowed in addition in each window.
 	Constant int `yaml:"extra"`
-	// Window is the length of the window in which requests and resends are counted.
+	// Window is the length of the window in which requests and retries are counted.
 	Window time.Duration `yaml:"window"`
 }
 
