--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -106,8 +106,9 @@
 	maxRetryAfter = time.Minute
 )
 
-// retryAfter returns the time in which the missing time is worked off, plus up to half of it
-// depending on the request ID: callers that are refused together must not retry together.
+// retryAfter returns the missing time, in which the servers work off as much backlog, plus up
+// to half of it depending on the request ID: callers that are refused together must not retry
+// together.
 func retryAfter(w *decision.Work, missing time.Duration) time.Duration {
 	base := min(max(missing, minRetryAfter), maxRetryAfter)
 	return base + time.Duration(float64(base)*spreadFraction(w.RequestID)/2)
--- a/internal/decision/admission/estimate.go
+++ b/internal/decision/admission/estimate.go
@@ -70,7 +70,7 @@
 //
 // It handles a service that has lost most of its servers. The rate is the one at which calls
 // leave the queue while some always wait; the remaining slots and the average duration of a
-// call promise too much where other entries and slow servers take their part. A call that
+// call overestimate it where other entries and slow servers take their part. A call that
 // can't be served is refused on arrival, so that its caller has time left to retry. With
 // calls of 60 ms and twice the load that two slots can take, refused callers lose 13 ms
 // instead of 728 ms of their 800 ms, and as many calls are served.
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -26,7 +26,7 @@
 	const mean = 9000.0
 	e := &simulatedEngine{rate: rate}
 	rng := rand.New(rand.NewPCG(1, 2))
-	// The target suits the engine: its mean prompt takes a quarter of it.
+	// The prefill of a mean prompt takes a quarter of the target at any rate.
 	target := time.Duration(4 * mean / rate * float64(time.Second))
 	type prompt struct {
 		arrival, firstArrival time.Duration
--- a/internal/decision/admission/member.go
+++ b/internal/decision/admission/member.go
@@ -13,8 +13,8 @@
 // them; over one minute, random differences between a few requests would decide on refusals.
 const usageDecayTime = 2 * time.Minute
 
-// minTrackedCost is the usage, in prompt tokens, below which a member is removed, so that up
-// to 1,300 members that called once do not stay in memory.
+// minTrackedCost is the usage, in prompt tokens, below which a member is removed. Otherwise
+// each of up to 1,300 members would stay in memory once it has called.
 const minTrackedCost = 10
 
 // usage is admitted cost that decays with usageDecayTime.
--- a/internal/decision/admission/throttled.go
+++ b/internal/decision/admission/throttled.go
@@ -32,8 +32,9 @@
 	availableIn time.Duration
 }
 
-// throttledServersFor adds them up. The result is empty if some server accepts any work.
-// Engines in the prefill role are left out: a request also needs one that decodes.
+// throttledServersFor sums up the servers for a request. The result is empty if one of them is
+// not throttled. Engines in the prefill role are left out: a request also needs one that
+// decodes.
 func throttledServersFor(w *decision.Work, fleet *decision.Fleet) throttledServers {
 	var sum throttledServers
 	for i := range fleet.Servers {
