--- a/internal/decision/autoscaling/autoscaling.go
+++ b/internal/decision/autoscaling/autoscaling.go
@@ -74,8 +74,7 @@
 // dataCentreState is what the planner remembers of a data centre.
 type dataCentreState struct {
 	orders map[Kind]*lastOrder
-	// coveredSince is when the serving servers became enough without those to be released; zero
-	// while they are not enough.
+	// coveredSince is when some on-demand servers became unnecessary; zero while all are needed.
 	coveredSince time.Duration
 	// unavailableUntil is when servers of a kind may be ordered again.
 	unavailableUntil map[Kind]time.Duration
