--- a/internal/decision/backpressure/limit.go
+++ b/internal/decision/backpressure/limit.go
@@ -20,7 +20,7 @@
 // Invariant: while there is a limit, nothing is sent without a permit, and each permit is
 // used once. A limit is raised or removed only by the answer to a request that was sent
 // after the limit was received. The answer to an earlier request may be older than the
-// limit, and silence says nothing.
+// limit, and receiving no answers does not end it.
 type RateLimit struct {
 	rate       float64
 	receivedAt time.Duration
@@ -97,8 +97,8 @@
 // MarkRequested records that a request for permits is in flight.
 func (l *RateLimit) MarkRequested() { l.requestPending = true }
 
-// ApplyGrant takes the response to that request: the delays from now after which the permits
-// may be used, and the time until the next request.
+// ApplyGrant takes the response to the pending request: the delays from now after which the
+// permits may be used, and the time until the next request.
 func (l *RateLimit) ApplyGrant(now time.Duration, delays []time.Duration, nextRequestIn time.Duration) {
 	l.requestPending = false
 	l.nextRequestAt = max(l.nextRequestAt, now+nextRequestIn)
--- a/internal/decision/backpressure/schedule_test.go
+++ b/internal/decision/backpressure/schedule_test.go
@@ -17,7 +17,7 @@
 	minUtilization = 0.8
 )
 
-// strategy decides which entry may send to the one server when; every entry knows the limit.
+// strategy decides when each entry may send to the one server; every entry knows the limit.
 type strategy interface {
 	// step advances the time by a millisecond; waiting returns the number of requests that
 	// wait at an entry.
