--- a/internal/decision/placement/prefix.go
+++ b/internal/decision/placement/prefix.go
@@ -44,7 +44,7 @@
 // block.
 type prefixIndex struct {
 	blocks map[uint64]*block
-	// lru is the anchor of the circular list.
+	// lru is the sentinel node of the circular list.
 	lru block
 }
 
