--- a/internal/decision/queue/drain.go
+++ b/internal/decision/queue/drain.go
@@ -10,8 +10,8 @@
 const throughputDecayTime = 2 * time.Minute
 
 // throughput measures the rate at which a profile's work leaves the queue while some of it
-// always waits. The servers' own rates promise too much: other profiles, other entries, full
-// memory and interference between prefill and decode reduce them, and the measured rate
+// always waits. The servers' own rates would overestimate it: other profiles, other entries,
+// full memory and interference between prefill and decode reduce them, and the measured rate
 // includes all of that.
 type throughput struct {
 	waiting      bool
--- a/internal/decision/queue/pool.go
+++ b/internal/decision/queue/pool.go
@@ -36,7 +36,7 @@
 	pq.share = weightOrDefault(it.work.ProfileShare)
 	if len(pq.active) == 0 {
 		// A profile that was idle starts at the pass of the others. Otherwise one that was idle
-		// for an hour would hold them all back with the turns it saved.
+		// for an hour would be served before them until its pass has caught up.
 		pq.pass = max(pq.pass, p.virtualTime)
 	}
 	pq.push(it)
