--- a/internal/decision/replicas/replicas_test.go
+++ b/internal/decision/replicas/replicas_test.go
@@ -127,7 +127,7 @@
 	s.alive[s.nextID] = true
 }
 
-// applyNextChange lets silence times grow and applies the next change.
+// applyNextChange marks lost replicas as silent and applies the next change.
 func (s *sim) applyNextChange() {
 	for i := range s.group.Members {
 		m := &s.group.Members[i]
