--- a/internal/decision/speed/speed.go
+++ b/internal/decision/speed/speed.go
@@ -33,7 +33,7 @@
 
 // PrefillModel tracks how long engines of one role take from the sending of a prompt to the
 // end of its prefill: a fixed time, plus a time for each token that is prefilled before it
-// and for each of its own. It is compared with whole waits, so it also makes up for what the
+// and for each of its own. It is fitted to measured waits, so it also covers work that the
 // counted backlog misses. It is not safe for concurrent use.
 type PrefillModel struct {
 	fixed, perToken float64 // seconds
