--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -23,7 +23,7 @@
 		attempt: ev.Attempt, earlierTokens: ev.Offset, waitingSince: r.now,
 		maxRuns: ev.MaxRuns, hardDeadline: ev.HardDeadline, originalFirstTokenBy: ev.Work.FirstTokenBy,
 	}
-	q.work.EngineSpeed = r.speeds.fastestPace(r.servers.sorted, &q.work)
+	q.work.EngineSpeed = r.speeds.fastestSpeed(r.servers.sorted, &q.work)
 	r.retryLimit.RecordArrival(r.now, ev.Work.Service)
 	r.countBlockedArrival(&q.work)
 	if ev.Attempt > 0 {
--- a/internal/entry/cachepoll_test.go
+++ b/internal/entry/cachepoll_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// advanceAndRenew lets time pass with a valid lease.
+// advanceAndRenew advances the clock with a valid lease.
 func (w *harness) advanceAndRenew(d time.Duration) []Effect {
 	w.advance(d)
 	w.renew()
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -13,7 +13,7 @@
 // Event is an input of Reducer.Step.
 type Event interface{ isEvent() }
 
-// Tick lets time pass.
+// Tick advances the time.
 type Tick struct{}
 
 // ViewReceived is a response of control. The lease counts from SentAt, when the request was
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -109,7 +109,7 @@
 	if load.KVTokens == 0 {
 		load.KVTokens = r.view.cacheTokens[s.pb.Model]
 	}
-	if load.DecodeRate == 0 && r.cfg.AssumedPace.TokenTime > 0 {
+	if load.DecodeRate == 0 && r.cfg.AssumedSpeed.TokenTime > 0 {
 		load.DecodeRate = float64(max(1, s.pb.Slots)) / r.speeds.tokenTime(s)
 	}
 	return load
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -34,8 +34,8 @@
 // group distributes backlog reports among more entries than can report to each other directly.
 //
 // With many entries and many engines, each engine sees only a few requests a second. An entry on
-// its own would hear of an engine every few seconds and choose blindly, so that some engines
-// would get far more than others. In each data centre some entries, the same in all views, are
+// its own would get an engine's load every few seconds and choose by old loads, so that some
+// engines would get far more than others. In each data centre some entries, the same in all views, are
 // therefore aggregators. The other entries report to one of them, aggregators exchange the sums,
 // and an entry requests the sum of all others from its aggregator just before it chooses a
 // server. Between data centres a report is sent once to each aggregator instead of once to each
--- a/internal/entry/hard_deadline_test.go
+++ b/internal/entry/hard_deadline_test.go
@@ -17,8 +17,8 @@
 func newDeadlineHarness(t failer) *harness {
 	w := newHarness(t)
 	w.r.cfg.AbortOnDisconnect = true
-	w.r.cfg.AssumedPace = decision.EngineSpeed{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
-	w.r.speeds = newSpeeds(w.r.cfg.AssumedPace)
+	w.r.cfg.AssumedSpeed = decision.EngineSpeed{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
+	w.r.speeds = newSpeeds(w.r.cfg.AssumedSpeed)
 	w.r.retryLimit = admission.NewResendLimiter(&admission.ResendLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
 	return w
 }
--- a/internal/entry/late.go
+++ b/internal/entry/late.go
@@ -16,9 +16,9 @@
 	if !q.hardDeadline || q.attempts > 0 || q.work.Class != declaration.ClassBulk {
 		return nil
 	}
-	ownTime := time.Duration(choice.PrefillSeconds * float64(time.Second))
+	ownPrefill := time.Duration(choice.PrefillSeconds * float64(time.Second))
 	firstToken := time.Duration(choice.FirstTokenSeconds * float64(time.Second))
-	retryAfter, late := admission.LateFromBacklog(&q.work, firstToken-ownTime, ownTime)
+	retryAfter, late := admission.LateFromBacklog(&q.work, firstToken-ownPrefill, ownPrefill)
 	if !late {
 		return nil
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -188,8 +188,8 @@
 	if p.group.isAggregator {
 		servers, summed = r.groupBacklogs(servers)
 	}
-	empty := len(servers) == 0 && !p.reportedAny && !p.group.formed
-	if len(addresses) == 0 || empty {
+	nothingToReport := len(servers) == 0 && !p.reportedAny && !p.group.formed
+	if len(addresses) == 0 || nothingToReport {
 		p.reportSent(r.now, false)
 		return
 	}
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -41,8 +41,8 @@
 	// AbortOnDisconnect is set if servers stop a request whose connection breaks. Otherwise
 	// they keep working, and a new connection can continue the request.
 	AbortOnDisconnect bool
-	// AssumedPace is assumed of engines that report no rates.
-	AssumedPace decision.EngineSpeed
+	// AssumedSpeed is assumed of engines that report no rates.
+	AssumedSpeed decision.EngineSpeed
 	// RetryLimit bounds what is sent beyond the first attempt of each request, over all entries.
 	// If nil, only the profiles' retry budgets apply.
 	RetryLimit *admission.ResendLimit
@@ -102,7 +102,7 @@
 		servers:    newServerTable(),
 		requests:   make(map[string]*request),
 		decisions:  newDecider(),
-		speeds:     newSpeeds(cfg.AssumedPace),
+		speeds:     newSpeeds(cfg.AssumedSpeed),
 		peers:      newPeerBacklogs(),
 		suspects:   newSuspectTable(),
 		permits:    newPermits(),
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -36,10 +36,10 @@
 	demand        map[demandKey]*pb.Demand
 	deaths        []*pb.ServerDeath
 	// urgent requests a report at once, changing requests one soon.
-	urgent     bool
-	changing   bool
-	last       time.Duration
-	lastDemand time.Duration
+	urgent       bool
+	changing     bool
+	lastReportAt time.Duration
+	lastDemandAt time.Duration
 }
 
 func newReportBuffer() reportBuffer {
@@ -103,7 +103,7 @@
 }
 
 func (b *reportBuffer) due(now time.Duration) bool {
-	waited := now - b.last
+	waited := now - b.lastReportAt
 	return b.urgent || waited >= reportInterval || b.changing && waited >= changingReportInterval
 }
 
@@ -121,12 +121,12 @@
 	for _, id := range sortedKeys(b.announcements) {
 		r.addAnnouncement(req, b.announcements[id])
 	}
-	if r.now-b.lastDemand >= reportInterval {
+	if r.now-b.lastDemandAt >= reportInterval {
 		req.Demand = b.takeDemand(r.now)
 	}
 	r.usage.fill(r.now, req)
 	b.announcements = make(map[string]engineapi.Announcement)
-	b.deaths, b.urgent, b.changing, b.last = nil, false, false, r.now
+	b.deaths, b.urgent, b.changing, b.lastReportAt = nil, false, false, r.now
 	r.emit(Report{Request: req})
 }
 
@@ -151,14 +151,14 @@
 func (b *reportBuffer) takeDemand(now time.Duration) []*pb.Demand {
 	list := make([]*pb.Demand, 0, len(b.demand))
 	for _, d := range b.demand {
-		d.IntervalMs = uint32((now - b.lastDemand).Milliseconds())
+		d.IntervalMs = uint32((now - b.lastDemandAt).Milliseconds())
 		list = append(list, d)
 	}
 	slices.SortFunc(list, func(x, y *pb.Demand) int {
 		return cmp.Or(cmp.Compare(x.Profile, y.Profile), cmp.Compare(x.Model, y.Model))
 	})
 	b.demand = make(map[demandKey]*pb.Demand)
-	b.lastDemand = now
+	b.lastDemandAt = now
 	return list
 }
 
--- a/internal/entry/slots_test.go
+++ b/internal/entry/slots_test.go
@@ -28,8 +28,8 @@
 	for _, rate := range []float64{25000, 112000, 250000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			w := newDeadlineHarness(t)
-			w.r.cfg.MaxStreams, w.r.cfg.AssumedPace = 1000, decision.EngineSpeed{PrefillRate: rate, TokenTime: 5 * time.Millisecond}
-			w.r.speeds = newSpeeds(w.r.cfg.AssumedPace)
+			w.r.cfg.MaxStreams, w.r.cfg.AssumedSpeed = 1000, decision.EngineSpeed{PrefillRate: rate, TokenTime: 5 * time.Millisecond}
+			w.r.speeds = newSpeeds(w.r.cfg.AssumedSpeed)
 			servers := withPrefillEngines(decodeEngines, prefillEngines)
 			for _, s := range servers {
 				s.Slots = slots
--- a/internal/entry/speeds.go
+++ b/internal/entry/speeds.go
@@ -144,12 +144,12 @@
 	s.tokenTimes[key].Observe(seconds)
 }
 
-// fastestPace is the observed pace of the engines that serve the work's model, that of the
+// fastestSpeed is the observed speed of the engines that serve the work's model, that of the
 // fastest role.
-func (s *speeds) fastestPace(servers []*server, w *decision.Work) decision.EngineSpeed {
-	pace := w.EngineSpeed
-	if pace.PrefillRate <= 0 {
-		return pace
+func (s *speeds) fastestSpeed(servers []*server, w *decision.Work) decision.EngineSpeed {
+	fastest := w.EngineSpeed
+	if fastest.PrefillRate <= 0 {
+		return fastest
 	}
 	best := 0.0
 	seen := make(map[roleKey]bool)
@@ -162,7 +162,7 @@
 		best = max(best, s.prefillEstimates[key].Rate())
 	}
 	if best > 0 {
-		pace.PrefillRate = best
+		fastest.PrefillRate = best
 	}
-	return pace
+	return fastest
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -189,7 +189,7 @@
 func New(h *host.Host, backend Backend) *Server {
 	s := &Server{host: h, backend: backend}
 	h.Start(entry.Config{
-		AbortOnDisconnect: true, AssumedPace: engineSpeed(h.Settings), RetryLimit: resendLimit(h.Settings.ResendLimit),
+		AbortOnDisconnect: true, AssumedSpeed: engineSpeed(h.Settings), RetryLimit: resendLimit(h.Settings.ResendLimit),
 		Credentials: credentialLimits(h.Settings.Credentials),
 	}, s.runEffect)
 	return s
