--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -275,8 +275,8 @@
 // expireClaims removes whole buckets that are older than the window. From then on inWindow
 // refuses their keys.
 func (s *State) expireClaims() {
-	cutMS := s.nowMS - s.limits().IdempotencyWindow.Milliseconds()
-	last := cutMS / claimBucketWidth.Milliseconds()
+	cutoffMS := s.nowMS - s.limits().IdempotencyWindow.Milliseconds()
+	last := cutoffMS / claimBucketWidth.Milliseconds()
 	dropped := false
 	for bucket, keys := range s.claims.buckets {
 		if bucket >= last {
@@ -288,8 +288,8 @@
 			s.claims.remove(key)
 		}
 	}
-	if cutMS > s.claims.expiredBeforeMS {
-		s.claims.expiredBeforeMS = cutMS
+	if cutoffMS > s.claims.expiredBeforeMS {
+		s.claims.expiredBeforeMS = cutoffMS
 	}
 	if dropped {
 		s.claims.answers = slices.DeleteFunc(s.claims.answers, func(key claimKey) bool {
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -157,7 +157,7 @@
 	h.step(Tick{WallMS: startMS + h.clock.Milliseconds()})
 }
 
-// advance lets time pass, with entries that poll and servers that announce.
+// advance advances the clock, with entries that poll and servers that announce.
 func (h *harness) advance(d time.Duration) {
 	for end := h.clock + d; h.clock < end; {
 		h.clock += 50 * time.Millisecond
--- a/internal/control/usage_test.go
+++ b/internal/control/usage_test.go
@@ -36,7 +36,7 @@
 	}})
 }
 
-// advanceDuties lets time pass and returns the external calls that are made.
+// advanceDuties advances the clock and returns the external calls that are made.
 func (h *harness) advanceDuties(d time.Duration) []DutyCall {
 	var calls []DutyCall
 	for until := h.clock + d; h.clock < until; h.clock += 50 * time.Millisecond {
