--- a/internal/control/runner/announcerelay_test.go
+++ b/internal/control/runner/announcerelay_test.go
@@ -25,9 +25,9 @@
 	heartbeats  []string
 	unavailable bool
 	// delay is how long an Announce call takes, calls counts them.
-	delay      time.Duration
-	calls      int
-	tellInFull []string
+	delay        time.Duration
+	calls        int
+	resendInFull []string
 }
 
 func (l *fakeLeader) Announce(_ context.Context, q *pb.AnnounceRequest) (*pb.AnnounceResponse, error) {
@@ -54,7 +54,7 @@
 	for _, h := range q.GetHeartbeats() {
 		l.heartbeats = append(l.heartbeats, h.GetServer())
 	}
-	return &pb.ReportResponse{TellInFull: l.tellInFull}, nil
+	return &pb.ReportResponse{TellInFull: l.resendInFull}, nil
 }
 
 func newFakeLeader(t *testing.T) (*fakeLeader, string) {
@@ -143,7 +143,7 @@
 	ctx := context.Background()
 	relay.report(ctx, address)
 	_ = relay.announce(ctx, address, announcementOf("s1", serving), 1)
-	l.tellInFull = []string{"s1"}
+	l.resendInFull = []string{"s1"}
 	relay.report(ctx, address)
 	_ = relay.announce(ctx, address, announcementOf("s1", serving), 2)
 	if len(l.announced) != 2 {
