--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -17,7 +17,8 @@
 	metaBytes           = metaChecksumOffset + 8
 	metaMagic           = 0xED0CDAED
 	metaPages           = 2
-	maxPlausiblePage    = 1 << 40 / pageSize
+	// maxPages bounds the page count that is read, so that the size in bytes can't overflow.
+	maxPages = 1 << 40 / pageSize
 )
 
 // checkPages detects damage that bbolt would not report.
@@ -56,7 +57,7 @@
 		return Corrupt.New("checksum mismatch in meta page %d", page)
 	}
 	pages := binary.NativeEndian.Uint64(buf[metaPageCountOffset:])
-	if pages > maxPlausiblePage || size < int64(pages)*pageSize {
+	if pages > maxPages || size < int64(pages)*pageSize {
 		return Corrupt.New("file truncated: it has %d bytes, but %d pages are in use", size, pages)
 	}
 	return nil
