--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -184,7 +184,7 @@
 // PeerAddress returns the address for other entries, which also serves metrics and health.
 func (h *Host) PeerAddress() string { return h.peerListener.Addr().String() }
 
-// Frontend is a protocol front for callers, as Run drives it.
+// Frontend serves callers by one protocol. Run starts and stops it.
 type Frontend struct {
 	// Loops are background loops that run until their context ends.
 	Loops []func(context.Context)
--- a/internal/host/peer_sums.go
+++ b/internal/host/peer_sums.go
@@ -13,7 +13,7 @@
 
 const (
 	// sumTimeout is how long a placement decision waits for the sum of the other entries'
-	// backlogs before it goes by the data at hand. It is small against callers' latency
+	// backlogs before it uses the data that it has. It is small against callers' latency
 	// targets, and about ten times the response time of an idle aggregator.
 	sumTimeout = 20 * time.Millisecond
 	// sumMaxAge is how old a sum may be for a placement decision without a new request.
