--- a/internal/traffic/entries.go
+++ b/internal/traffic/entries.go
@@ -21,7 +21,7 @@
 	validityJitter = 0.3
 	// maxNameBytes bounds the length of names in announcements.
 	maxNameBytes = 128
-	// maxListItems bounds the length of lists in announcements.
+	// maxListItems bounds the services and the adapters in an announcement.
 	maxListItems = 64
 	// maxSlots bounds the slots in an announcement. No engine runs as many
 	// requests at once.
