--- a/internal/relay/fault_test.go
+++ b/internal/relay/fault_test.go
@@ -63,7 +63,7 @@
 	j := newTestJob(newTestServer(t, &out), caller, effects)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Second))
 	defer cancel()
-	d := entry.Dispatch{RequestID: "r1#1", Attempt: 1, Server: "decodes", PrefillServer: "reads"}
+	d := entry.Dispatch{RequestID: "r1#1", Attempt: 1, Server: "decoder", PrefillServer: "prefiller"}
 	var ended entry.AttemptEnded
 	if next, err := j.decodeAt(ctx, &d, &ended); next != nil || err == nil || !ended.AtPrefillServer {
 		t.Fatalf("the attempt has not ended: effect %v, error %v", next, err)
@@ -89,13 +89,13 @@
 // answered gets no second answer.
 func TestPanicInOneRequestEndsThatRequestOnly(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		at   trackedCaller
-		want recordingCaller
-		says outcome.Outcome
+		name        string
+		at          trackedCaller
+		want        recordingCaller
+		wantOutcome outcome.Outcome
 	}{
-		{name: "before it was sent", want: recordingCaller{}, says: outcome.NotRun},
-		{name: "after it was sent", at: trackedCaller{dispatched: true}, says: outcome.Unknown},
+		{name: "before it was sent", want: recordingCaller{}, wantOutcome: outcome.NotRun},
+		{name: "after it was sent", at: trackedCaller{dispatched: true}, wantOutcome: outcome.Unknown},
 		{name: "in its stream", at: trackedCaller{dispatched: true, streamBegun: true}, want: recordingCaller{ends: []bool{false}}},
 		{name: "after its answer", at: trackedCaller{dispatched: true, ended: true}},
 	} {
@@ -104,9 +104,9 @@
 			s, caller := newTestServer(t, &out), &recordingCaller{}
 			test.at.Caller = caller
 			s.endAfterPanic(&test.at)
-			if test.says != "" {
-				if len(caller.refusals) != 1 || caller.refusals[0].Outcome != test.says {
-					t.Fatalf("refused with %+v, want %q", caller.refusals, test.says)
+			if test.wantOutcome != "" {
+				if len(caller.refusals) != 1 || caller.refusals[0].Outcome != test.wantOutcome {
+					t.Fatalf("refused with %+v, want %q", caller.refusals, test.wantOutcome)
 				}
 				return
 			}
@@ -121,7 +121,7 @@
 func TestPanicIsLoggedWithItsStack(t *testing.T) {
 	var out bytes.Buffer
 	s, caller := newTestServer(t, &out), &recordingCaller{}
-	s.host.Settings = nil // the request's first step needs them
+	s.host.Settings = nil // serve panics when it reads them
 	s.Serve(t.Context(), &Request{ID: "r1"}, caller)
 	if len(caller.refusals) != 1 || caller.refusals[0].Outcome != outcome.NotRun {
 		t.Fatalf("the caller got %+v", caller)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -138,7 +138,7 @@
 	NotRun bool
 	// OtherIncarnation means that another incarnation of the server answered at the address.
 	OtherIncarnation bool
-	// Sealed means that the response bears the seal that a server sets on what it made itself.
+	// Sealed means that the response has the seal, a value that only a backend server sets.
 	Sealed bool
 }
 
