--- a/internal/httpconn/client.go
+++ b/internal/httpconn/client.go
@@ -19,8 +19,8 @@
 	// dialTimeout bounds the opening of a connection. Within a data centre that takes some
 	// milliseconds, and a lost first packet is sent again after a second.
 	dialTimeout = 1500 * time.Millisecond
-	// defaultMaxIdleTime is how long a connection may be idle and still be reused. After a
-	// longer time a device between the two ends may have lost its state.
+	// defaultMaxIdleTime is how long a connection may be idle and still be reused. Middleboxes
+	// may drop the state of connections that are idle for longer.
 	defaultMaxIdleTime = 2 * time.Second
 	// maxIdlePerHost bounds the idle connections to one server.
 	maxIdlePerHost = 8
@@ -102,7 +102,7 @@
 		return nil, NotSent.New("the server stopped accepting requests")
 	}
 	resp := &Response{client: c, conn: cn}
-	resp.stopWatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	resp.stopCtxWatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	if err := resp.exchange(call); err != nil {
 		resp.Close()
 		return nil, err
--- a/internal/httpconn/client_test.go
+++ b/internal/httpconn/client_test.go
@@ -316,7 +316,7 @@
 func TestServerKeepAliveTimeoutIsHonoured(t *testing.T) {
 	for _, c := range []struct {
 		keepAlive string
-		after     time.Duration
+		pause     time.Duration
 		conns     int32
 	}{
 		{"timeout=1", 100 * time.Millisecond, 1},
@@ -326,7 +326,7 @@
 		{"timeout=soon", 950 * time.Millisecond, 1},
 		{"timeout=0", 0, 2},
 	} {
-		t.Run(fmt.Sprint(c.keepAlive, " ", c.after), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.keepAlive, " ", c.pause), func(t *testing.T) {
 			t.Parallel()
 			p := newPeer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
 				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: "+c.keepAlive+"\r\nContent-Length: 0\r\n\r\n")
@@ -344,7 +344,7 @@
 				_, _ = io.Copy(io.Discard, resp)
 				resp.Close()
 				fasthttp.ReleaseRequest(req)
-				time.Sleep(c.after)
+				time.Sleep(c.pause)
 			}
 			if got := p.conns.Load(); got != c.conns {
 				t.Errorf("%d connections, want %d", got, c.conns)
--- a/internal/httpconn/response.go
+++ b/internal/httpconn/response.go
@@ -17,12 +17,12 @@
 
 // Response is a response whose head has been read. Close must be called.
 type Response struct {
-	Header    fasthttp.ResponseHeader
-	client    *Client
-	conn      *conn
-	stopWatch func() bool
-	body      io.Reader
-	length    int
+	Header       fasthttp.ResponseHeader
+	client       *Client
+	conn         *conn
+	stopCtxWatch func() bool
+	body         io.Reader
+	length       int
 	// complete is set once the body has been read to its end.
 	complete bool
 }
@@ -44,8 +44,8 @@
 		if call.Matches == nil || call.Matches(&resp.Header) {
 			return nil
 		}
-		// Only on a connection that has carried a request before can it be a late response to an
-		// earlier request, which is skipped.
+		// A late response to an earlier request is skipped. It can only arrive on a connection
+		// that has carried one.
 		if !resp.conn.lastUsed.IsZero() {
 			_, err = io.Copy(io.Discard, resp)
 		}
@@ -141,7 +141,7 @@
 // Close returns the connection for reuse if the body has been read to its end. Otherwise it
 // closes the connection, which makes the server stop its work.
 func (resp *Response) Close() {
-	watchStopped := resp.stopWatch()
+	watchStopped := resp.stopCtxWatch()
 	if watchStopped && resp.reusable() {
 		resp.client.putIdle(resp.conn, maxIdleTime(&resp.Header))
 		return
