--- a/internal/rpc/packed_test.go
+++ b/internal/rpc/packed_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Guards against truncated bytes, or bytes that are no view, that are accepted as one.
+// Guards against data that is truncated or not a view, but accepted as one.
 func TestUnreadablePackedViewsAreRefused(t *testing.T) {
 	packed, err := packedAnswer(&pb.WatchResponse{Version: 7, Objects: []*pb.Object{{Name: "a"}}})
 	if err != nil {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -32,7 +32,8 @@
 	return a
 }
 
-// serve answers 200 to every client that a admits and returns the address.
+// serve starts a server that answers 200 to the clients that Auth a admits, and returns its
+// address.
 func serve(t *testing.T, a *Auth) string {
 	t.Helper()
 	ln, err := a.Listen(context.Background(), "127.0.0.1:0")
