--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -88,7 +88,7 @@
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		// A closed connection has none; its next user gets the error.
+		// The connection is closed; its next user gets the error.
 		return nil
 	}
 	return raw
