--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -8,7 +8,7 @@
 
 // A failed request must be explained by the failed attempt that caused it, from the unsorted logs of
 // several entries that also contain lines of other requests and of other programs.
-func TestExplainNamesTheDecidingLine(t *testing.T) {
+func TestExplainNamesTheCause(t *testing.T) {
 	const at = `{"time":"2026-12-03T00:00:0`
 	logs := strings.Join([]string{
 		at + `2Z","msg":"answered","process":"entry-a","request_id":"r1","how":"cut","ms":2000,"reason":"its time was over"}`,
