--- a/internal/enginemodel/advance.go
+++ b/internal/enginemodel/advance.go
@@ -70,7 +70,7 @@
 		case s.running && s.imported && s.importEnd > e.now:
 			next = min(next, s.importEnd)
 		case s.decoding(e.now):
-			next = min(next, e.timeAfter((s.target()-s.producedTokens)*current.stepSeconds))
+			next = min(next, e.timeAfter((s.targetTokens()-s.producedTokens)*current.stepSeconds))
 		}
 	}
 	return next
@@ -117,7 +117,7 @@
 	if s.firstTokenAt == 0 && s.producedTokens+dt/step >= 1-tokenEpsilon {
 		s.firstTokenAt = e.now + seconds(max(0, 1-s.producedTokens)*step)
 	}
-	s.producedTokens = min(s.target(), s.producedTokens+dt/step)
+	s.producedTokens = min(s.targetTokens(), s.producedTokens+dt/step)
 }
 
 // completeDue completes the role change, prefills and streams that are due at e.now.
--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -6,8 +6,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// keptCacheEvents is how many recent events are at least kept for CacheEvents, out of up to
-// twice as many stored. Dropped events appear to readers as gaps.
+// keptCacheEvents is the minimum number of recent events that are kept. Above twice that number
+// the oldest ones are dropped; readers of CacheEvents see a gap.
 const keptCacheEvents = 1024
 
 // blockKey identifies a cached block. The salt isolates members from each other.
--- a/internal/enginemodel/load.go
+++ b/internal/enginemodel/load.go
@@ -58,7 +58,7 @@
 		}
 		load.KVUsed += uint64(s.reservedKVTokens)
 		load.QueuedPrefillTokens += uint64(max(0, s.prefillLeft))
-		load.RunningDecodeTokens += uint64(max(0, s.target()-s.producedTokens))
+		load.RunningDecodeTokens += uint64(max(0, s.targetTokens()-s.producedTokens))
 		prefilling = prefilling || s.prefilling()
 		decoding = decoding || s.decoding(e.now)
 	}
--- a/internal/enginemodel/stream.go
+++ b/internal/enginemodel/stream.go
@@ -73,8 +73,8 @@
 	return s
 }
 
-// target returns how many tokens the attempt has to produce.
-func (s *stream) target() float64 {
+// targetTokens returns how many tokens the attempt has to produce.
+func (s *stream) targetTokens() float64 {
 	if s.req.PrefillOnly {
 		return 1
 	}
@@ -84,11 +84,11 @@
 func (s *stream) prefilling() bool { return s.running && s.prefillLeft > tokenEpsilon }
 
 func (s *stream) decoding(now time.Duration) bool {
-	return s.running && s.prefillLeft <= tokenEpsilon && s.importEnd <= now && s.producedTokens < s.target()-tokenEpsilon
+	return s.running && s.prefillLeft <= tokenEpsilon && s.importEnd <= now && s.producedTokens < s.targetTokens()-tokenEpsilon
 }
 
 func (s *stream) done() bool {
-	return s.running && s.prefillLeft <= tokenEpsilon && s.producedTokens >= s.target()-tokenEpsilon
+	return s.running && s.prefillLeft <= tokenEpsilon && s.producedTokens >= s.targetTokens()-tokenEpsilon
 }
 
 // runsBefore orders streams by priority, the larger one first, and then by arrival.
