--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -36,7 +36,7 @@
 	// exitExpected is true once the test stops the current run or expects its
 	// exit.
 	exitExpected bool
-	// unexpectedExits counts runs that exited without that.
+	// unexpectedExits counts runs that exited while exitExpected was false.
 	unexpectedExits int
 }
 
