--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -68,7 +68,8 @@
 	b.step(control.Tick{WallMS: b.wallMS})
 }
 
-// call makes a call and returns its response, or nil if the reducer holds the call.
+// call makes a call and returns its response, or nil if the reducer does not answer it
+// at once.
 func (b *controlBench) call(req proto.Message) (proto.Message, error) {
 	b.calls++
 	b.step(control.Call{ID: b.calls, Request: req})
@@ -147,12 +148,12 @@
 	b.mustCall(&pb.ClaimRequest{ClusterId: sampleCluster, Claims: []*pb.Claim{c}})
 	b.mustCall(&pb.SettleRequest{ClusterId: sampleCluster, Settlements: []*pb.Settlement{{
 		Claim: c, Status: pb.ClaimStatus_CLAIM_STATUS_DONE,
-		Answer: &pb.StoredAnswer{Status: 200, ContentType: "application/json", Body: make([]byte, receiptBytes)},
+		Answer: &pb.StoredAnswer{Status: 200, ContentType: "application/json", Body: make([]byte, answerBytes)},
 	}}})
 }
 
-// publishViewChange has n entries wait in held Watch calls and makes one change of the
-// view, so that all the calls are answered with the delta.
+// publishViewChange has n entries wait in Watch calls (long polls) and makes one change
+// of the view, so that all the calls are answered with the delta.
 func (b *controlBench) publishViewChange(n, change int) {
 	version := b.reducer.State().ViewVersion()
 	for i := range n {
--- a/internal/capacity/controlslopes.go
+++ b/internal/capacity/controlslopes.go
@@ -6,7 +6,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
-// controlRole is the role of all slopes here.
+// controlRole is the Slope.Role of this file's slopes.
 const controlRole = "control replica"
 
 // measureFilled returns a Slope.Measure that fills a leader and then measures it.
--- a/internal/capacity/estimate.go
+++ b/internal/capacity/estimate.go
@@ -14,7 +14,7 @@
 	Formula string
 	Value   float64
 	Unit    string
-	// Limit is the target's limit, zero if it names none.
+	// Limit is the target's limit, zero if there is none.
 	Limit float64
 }
 
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -15,7 +15,7 @@
 	fitsFile = "slopes.json"
 )
 
-// Markers around the generated parts of the page.
+// Markers around the generated parts of CAPACITY.md.
 const (
 	slopesBegin    = "<!-- slopes:begin -->"
 	slopesEnd      = "<!-- slopes:end -->"
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -18,8 +18,8 @@
 	leaseMillis = 1500
 	// baseFleetSize is the number of engines of one user's deployment.
 	baseFleetSize = 9
-	// receiptBytes is the size of a typical answer to an at-most-once call.
-	receiptBytes = 600
+	// answerBytes is the size of a typical answer to an at-most-once call.
+	answerBytes = 600
 	// sweepInterval is the interval of the leader's periodic check of its state.
 	sweepInterval = 100 * time.Millisecond
 )
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// slopes returns all slopes that the page shows or derives estimates from.
+// slopes returns all slopes that CAPACITY.md shows or derives estimates from.
 func slopes(p ProcessOptions) []Slope {
 	return slices.Concat(
 		messageSlopes(),
