--- a/internal/proof/member_test.go
+++ b/internal/proof/member_test.go
@@ -16,8 +16,8 @@
 	"goldcrestseam.dev/goldcrestseam/internal/standin/workload"
 )
 
-// newQuestion returns a completion request with its audit record.
-func newQuestion(member, suffix string, tokens int, rng *rand.Rand) (caller.Completion, audit.FinishedRequest) {
+// newUrgentRequest returns a completion request of the urgent service with its audit record.
+func newUrgentRequest(member, suffix string, tokens int, rng *rand.Rand) (caller.Completion, audit.FinishedRequest) {
 	mark := UniqueName()
 	prompt := workload.Prompt(member, "question", mark, 50, 100, rng) + suffix
 	req := caller.Completion{
@@ -32,8 +32,8 @@
 func TestAnotherMembersRequestIsNotFound(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		req, ownerResult := newQuestion(Members[0], "", longAnswerTokens, rng)
-		sameIDReq, sameIDResult := newQuestion(Members[1], "", longAnswerTokens, rng)
+		req, ownerResult := newUrgentRequest(Members[0], "", longAnswerTokens, rng)
+		sameIDReq, sameIDResult := newUrgentRequest(Members[1], "", longAnswerTokens, rng)
 		sameIDReq.ID = req.ID
 		intruder := tr.Callers[Members[2]]
 		var wg conc.WaitGroup
@@ -66,7 +66,7 @@
 func TestRequestThatCrashesServers(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 10))
-		crashing, crashingResult := newQuestion(Members[0], "[poison]", 50, rng)
+		crashing, crashingResult := newUrgentRequest(Members[0], "[poison]", 50, rng)
 		for _, e := range tr.Bed.Engines {
 			e.ExpectExit()
 		}
--- a/internal/proof/overload_test.go
+++ b/internal/proof/overload_test.go
@@ -14,7 +14,7 @@
 // failureDetectionTime is how long entries may still consider a killed engine alive.
 const failureDetectionTime = 3 * time.Second
 
-// Urgent questions arrive at more than twice the engines' capacity, and an engine is
+// Urgent requests arrive at more than twice the engines' capacity, and an engine is
 // killed meanwhile. Many requests are refused at once with outcome "not run"; no
 // journal may show a run of a request that was refused in the end. Every admitted
 // request must get its complete answer.
