--- a/cmd/goldcrest-load/main.go
+++ b/cmd/goldcrest-load/main.go
@@ -1,5 +1,6 @@
 // Command goldcrest-load plays workloads against a deployment, runs the demo
-// and measures policies and slopes. It runs on test machines only.
+// and measures role change policies, effects of faults, overhead and capacity.
+// It runs on test machines only.
 package main
 
 import "goldcrestseam.dev/goldcrestseam/internal/cli"
