--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -142,7 +142,7 @@
 }
 
 // claimAndSettle claims an at-most-once call and settles it with an answer of
-// receiptBytes.
+// answerBytes.
 func (b *controlBench) claimAndSettle(i int) {
 	c := newClaim(i)
 	b.mustCall(&pb.ClaimRequest{ClusterId: sampleCluster, Claims: []*pb.Claim{c}})
