--- a/internal/traffic/harness_test.go
+++ b/internal/traffic/harness_test.go
@@ -26,7 +26,7 @@
 
 const (
 	testCluster     = "test"
-	testIncarnation = "life-1"
+	testIncarnation = "incarnation-1"
 	// testTimeout ends a test that hangs. No assertion depends on it.
 	testTimeout = 20 * time.Second
 )
