--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -57,14 +57,14 @@
 	s := &Server{host: &host.Host{Log: slog.New(slog.NewJSONHandler(&out, nil))}}
 	j := &job{s: s, req: &Request{ID: "r1"}, route: &declaration.HostRoute{Name: "dossiers"}}
 	j.log = newJobLog(j)
-	d := entry.Dispatch{Server: "decoder", PrefillServer: "prefiller", PrefillIncarnation: "prefiller@2", Attempt: 1}
+	d := entry.Dispatch{Server: "decoder", PrefillServer: "prefiller", PrefillIncarnation: "prefiller~2", Attempt: 1}
 	j.log.dispatched(d)
 	j.log.attemptEnded(d, &entry.AttemptEnded{AtPrefillServer: true}, httpconn.Broken.New("cut"))
 	var fields map[string]any
 	if err := json.Unmarshal(out.Bytes(), &fields); err != nil {
 		t.Fatal(err)
 	}
-	if fields["server"] != "prefiller" || fields["incarnation"] != "prefiller@2" {
+	if fields["server"] != "prefiller" || fields["incarnation"] != "prefiller~2" {
 		t.Fatalf("the line names server %v, incarnation %v", fields["server"], fields["incarnation"])
 	}
 }
