--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -56,7 +56,7 @@
 	// MaxFiles is the process's limit of file descriptors, from which the limit on connections of
 	// backend servers is computed. Default 0: unknown.
 	MaxFiles int `yaml:"max_files"`
-	// Roles configures role changes where the operator's document does not.
+	// Roles configures role changes for documents received at RegistryAddress, which can't.
 	Roles declaration.Roles `yaml:"roles"`
 	// Duties configures the calls to external services that one replica at a time makes.
 	Duties Duties `yaml:"duties"`
