--- a/internal/decision/admission/retry_limit.go
+++ b/internal/decision/admission/retry_limit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ResendLimit bounds the retries of a deployment: all sends of a request after its first one,
+// RetryLimit bounds the retries of a deployment: all sends of a request after its first one,
 // for whatever reason.
-type ResendLimit struct {
+type RetryLimit struct {
 	// Ratio is the number of retries that a service may get per request for it.
 	Ratio float64
 	// Constant is the number of further retries that it may get in each window.
@@ -13,14 +13,14 @@
 	Window time.Duration
 }
 
-// ResendLimiter enforces one entry's part of a ResendLimit, per service.
+// RetryLimiter enforces one entry's part of a RetryLimit, per service.
 //
 // It guards against retry storms: when much of a fleet fails or refuses at once, every
 // request is retried, the load doubles just when it can't be served, and the fleet never
 // recovers. Each entry takes the ratio of its own requests and an equal part of the
 // constant, so entries need not ask each other before they send.
-type ResendLimiter struct {
-	limit   ResendLimit
+type RetryLimiter struct {
+	limit   RetryLimit
 	windows map[string]*retryWindow
 }
 
@@ -35,16 +35,16 @@
 // while the service counts a send when it arrives, so the limit needs a margin.
 const usableShare = 0.8
 
-// NewResendLimiter returns the limiter of an entry; nil if there is no limit.
-func NewResendLimiter(limit *ResendLimit) *ResendLimiter {
+// NewRetryLimiter returns the limiter of an entry; nil if there is no limit.
+func NewRetryLimiter(limit *RetryLimit) *RetryLimiter {
 	if limit == nil || limit.Window <= 0 {
 		return nil
 	}
-	return &ResendLimiter{limit: *limit, windows: make(map[string]*retryWindow)}
+	return &RetryLimiter{limit: *limit, windows: make(map[string]*retryWindow)}
 }
 
 // RecordArrival counts a request for the service.
-func (l *ResendLimiter) RecordArrival(now time.Duration, service string) {
+func (l *RetryLimiter) RecordArrival(now time.Duration, service string) {
 	if l == nil {
 		return
 	}
@@ -52,9 +52,9 @@
 	w.requests = append(w.requests, now)
 }
 
-// AllowResend reports whether one more request to the service may be retried, and counts the
+// AllowRetry reports whether one more request to the service may be retried, and counts the
 // retry if so. entries is the number of entries that share the limit.
-func (l *ResendLimiter) AllowResend(now time.Duration, service string, entries int) bool {
+func (l *RetryLimiter) AllowRetry(now time.Duration, service string, entries int) bool {
 	if l == nil {
 		return true
 	}
@@ -68,7 +68,7 @@
 	return true
 }
 
-func (l *ResendLimiter) prunedWindow(now time.Duration, service string) *retryWindow {
+func (l *RetryLimiter) prunedWindow(now time.Duration, service string) *retryWindow {
 	w := l.windows[service]
 	if w == nil {
 		w = &retryWindow{}
--- a/internal/entry/hard_deadline_test.go
+++ b/internal/entry/hard_deadline_test.go
@@ -19,7 +19,7 @@
 	w.r.cfg.AbortOnDisconnect = true
 	w.r.cfg.AssumedSpeed = decision.EngineSpeed{PrefillRate: 25000, TokenTime: 9 * time.Millisecond}
 	w.r.speeds = newSpeeds(w.r.cfg.AssumedSpeed)
-	w.r.retryLimit = admission.NewResendLimiter(&admission.ResendLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
+	w.r.retryLimit = admission.NewRetryLimiter(&admission.RetryLimit{Ratio: 0.2, Constant: 20, Window: 10 * second})
 	return w
 }
 
@@ -201,7 +201,7 @@
 // refused reached no server, so that another one is no retry and may go to the other server.
 func TestUnsentAttemptIsNoRetry(t *testing.T) {
 	w := newDeadlineHarness(t)
-	w.r.retryLimit = admission.NewResendLimiter(&admission.ResendLimit{Window: 10 * second})
+	w.r.retryLimit = admission.NewRetryLimiter(&admission.RetryLimit{Window: 10 * second})
 	w.view(serving(2)...)
 	w.arriveWithDeadline("r1", nil)
 	first := w.singleDispatch()
@@ -245,7 +245,7 @@
 func TestRetryWithSeparatePrefillCountsTwice(t *testing.T) {
 	w := newDeadlineHarness(t)
 	// The only entry may use 0.8 of the constant 4, plus 0.8 of 0.2 for the request.
-	w.r.retryLimit = admission.NewResendLimiter(&admission.ResendLimit{Ratio: 0.2, Constant: 4, Window: 10 * second})
+	w.r.retryLimit = admission.NewRetryLimiter(&admission.RetryLimit{Ratio: 0.2, Constant: 4, Window: 10 * second})
 	w.view(withPrefillEngines(3, 3)...)
 	w.arriveWithDeadline("r1", func(a *RequestArrived) {
 		a.Work.PromptTokens, a.Work.EngineSpeed.KVTransferRate, a.MaxRuns, a.Work.FinishBy = 17000, 2e6, 10, w.now+60*second
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -45,7 +45,7 @@
 	AssumedSpeed decision.EngineSpeed
 	// RetryLimit bounds what is sent beyond the first attempt of each request, over all entries.
 	// If nil, only the profiles' retry budgets apply.
-	RetryLimit *admission.ResendLimit
+	RetryLimit *admission.RetryLimit
 	// Usage says how members' requests are counted.
 	Usage UsageConfig
 	// Credentials says how long callers' credentials stay valid without contact with control.
@@ -68,7 +68,7 @@
 	// held is accepted work that waits outside of the queue.
 	held []*request
 	// retryLimit is nil if Config.RetryLimit is.
-	retryLimit *admission.ResendLimiter
+	retryLimit *admission.RetryLimiter
 	report     reportBuffer
 	usage      usageCounter
 	leaving    bool
@@ -108,7 +108,7 @@
 		permits:    newPermits(),
 		report:     newReportBuffer(),
 		usage:      newUsageCounter(cfg.Usage, cfg.Identity.GetName()),
-		retryLimit: admission.NewResendLimiter(cfg.RetryLimit),
+		retryLimit: admission.NewRetryLimiter(cfg.RetryLimit),
 	}
 }
 
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -49,7 +49,7 @@
 	if q.deliveries.unusedRetries > 0 {
 		return true
 	}
-	if !r.retryLimit.AllowResend(r.now, q.work.Service, len(r.view.entries)) {
+	if !r.retryLimit.AllowRetry(r.now, q.work.Service, len(r.view.entries)) {
 		return false
 	}
 	q.deliveries.unusedRetries++
@@ -62,7 +62,7 @@
 func (r *Reducer) takeRetriesFor(q *request, choice *placement.Choice) bool {
 	d := &q.deliveries
 	for d.unusedRetries < d.retryCost(choice.Prefill != nil) {
-		if r.retryLimit.AllowResend(r.now, q.work.Service, len(r.view.entries)) {
+		if r.retryLimit.AllowRetry(r.now, q.work.Service, len(r.view.entries)) {
 			d.unusedRetries++
 			continue
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -189,7 +189,7 @@
 func New(h *host.Host, backend Backend) *Server {
 	s := &Server{host: h, backend: backend}
 	h.Start(entry.Config{
-		AbortOnDisconnect: true, AssumedSpeed: engineSpeed(h.Settings), RetryLimit: retryLimit(h.Settings.ResendLimit),
+		AbortOnDisconnect: true, AssumedSpeed: engineSpeed(h.Settings), RetryLimit: retryLimit(h.Settings.RetryLimit),
 		Credentials: credentialLimits(h.Settings.Credentials),
 	}, s.runEffect)
 	return s
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -17,8 +17,8 @@
 	return decision.EngineSpeed{PrefillRate: set.Engines.PrefillRate, TokenTime: set.Engines.TokenTime}
 }
 
-func retryLimit(r settings.ResendLimit) *admission.ResendLimit {
-	return &admission.ResendLimit{Ratio: r.Ratio, Constant: r.Constant, Window: r.Window}
+func retryLimit(r settings.RetryLimit) *admission.RetryLimit {
+	return &admission.RetryLimit{Ratio: r.Ratio, Constant: r.Constant, Window: r.Window}
 }
 
 func credentialLimits(c settings.Credentials) entry.CredentialLimits {
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -17,8 +17,8 @@
 	Relay Relay `yaml:"relay"`
 	// Engines holds the speeds that are assumed of model engines before any measurement.
 	Engines Engines `yaml:"engines"`
-	// ResendLimit limits the retries of requests over all entries together.
-	ResendLimit ResendLimit `yaml:"repeats"`
+	// RetryLimit limits the retries of requests over all entries together.
+	RetryLimit RetryLimit `yaml:"repeats"`
 	// Credentials configures how long callers' credentials stay valid at an entry without contact to
 	// control.
 	Credentials Credentials `yaml:"credentials"`
@@ -87,9 +87,9 @@
 	ConfirmedWithin time.Duration `yaml:"confirmed_within"`
 }
 
-// ResendLimit limits the retries of a deployment's entries together: all sends of a request
+// RetryLimit limits the retries of a deployment's entries together: all sends of a request
 // after its first one. With Window zero only the retry budgets of the profiles apply.
-type ResendLimit struct {
+type RetryLimit struct {
 	// Ratio is the number of retries allowed per request to the service.
 	Ratio float64 `yaml:"ratio"`
 	// Constant is the number of retries allowed in addition in each window.
@@ -127,7 +127,7 @@
 	}
 	checkAddress(file, "peer_address", s.PeerAddress)
 	s.Engines.check(file)
-	if s.ResendLimit.Ratio < 0 || s.ResendLimit.Constant < 0 || s.ResendLimit.Window < 0 {
+	if s.RetryLimit.Ratio < 0 || s.RetryLimit.Constant < 0 || s.RetryLimit.Window < 0 {
 		file.Add("repeats", "ratio, extra and window must not be less than 0")
 	}
 	if s.Usage.Window != 0 {
