--- a/internal/proof/at_most_once_test.go
+++ b/internal/proof/at_most_once_test.go
@@ -8,6 +8,8 @@
 
 	"github.com/anishathalye/porcupine"
 	"github.com/sourcegraph/conc"
+
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 )
 
 const (
@@ -35,7 +37,7 @@
 			concurrent.Wait()
 			h.Send(ctx, client, call, "", 3*i+2)
 		})
-		sleep(ctx, 100*time.Millisecond)
+		clock.Sleep(ctx, 100*time.Millisecond)
 	}
 	wg.Wait()
 }
@@ -62,7 +64,7 @@
 		var wg conc.WaitGroup
 		wg.Go(func() {
 			for _, e := range []int{0, 3} {
-				sleep(ctx, 700*time.Millisecond)
+				clock.Sleep(ctx, 700*time.Millisecond)
 				tr.Bed.Entries[e].Kill()
 			}
 		})
@@ -80,14 +82,14 @@
 		rng, h := rand.New(rand.NewPCG(seed, 8)), &AtMostOnceHistory{}
 		var wg conc.WaitGroup
 		wg.Go(func() {
-			sleep(ctx, 600*time.Millisecond)
+			clock.Sleep(ctx, 600*time.Millisecond)
 			leader, err := tr.Bed.Leader(ctx)
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			leader.Kill()
-			sleep(ctx, 600*time.Millisecond)
+			clock.Sleep(ctx, 600*time.Millisecond)
 			tr.Bed.PlainServers[0].Kill()
 		})
 		sendConcurrently(ctx, tr, h, rng)
--- a/internal/proof/control/control_test.go
+++ b/internal/proof/control/control_test.go
@@ -16,6 +16,7 @@
 	"github.com/sourcegraph/conc"
 	"google.golang.org/protobuf/proto"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/ctl"
 	"goldcrestseam.dev/goldcrestseam/internal/proof"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc"
@@ -179,7 +180,7 @@
 			faultCtx, cancel := context.WithTimeout(ctx, faultPhase)
 			defer cancel()
 			injector.run(faultCtx)
-			sleep(ctx, recoveryTime)
+			clock.Sleep(ctx, recoveryTime)
 		})
 		t.Logf("faults: %v", injector.counts)
 	})
@@ -193,7 +194,7 @@
 		injector := newFaultInjector(bed, seed)
 		runClients(t, ctx, bed, seed, func(ctx context.Context) {
 			for n := range 2 {
-				sleep(ctx, recoveryTime)
+				clock.Sleep(ctx, recoveryTime)
 				target := injector.pickReplica(ctx)
 				before := voterIncarnation(t, ctx, bed, target)
 				if err := injector.loseDisk(ctx, target, n == 0); err != nil {
@@ -346,7 +347,7 @@
 					t.Error(err)
 					return
 				}
-				sleep(ctx, 10*time.Millisecond)
+				clock.Sleep(ctx, 10*time.Millisecond)
 			}
 		})
 		leader, err := waitForLeader(ctx, bed)
--- a/internal/proof/control/faults.go
+++ b/internal/proof/control/faults.go
@@ -7,6 +7,7 @@
 	"syscall"
 	"time"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/forwarder"
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
@@ -45,7 +46,7 @@
 		fault := faults[f.rng.IntN(len(faults))]
 		f.counts[fault.name]++
 		fault.inject(ctx, f.pickReplica(ctx))
-		sleep(ctx, recoveryTime)
+		clock.Sleep(ctx, recoveryTime)
 	}
 }
 
@@ -67,21 +68,21 @@
 func (f *faultInjector) kill(ctx context.Context, target int) {
 	p := f.bed.Control[target]
 	p.Kill()
-	sleep(ctx, faultDuration)
+	clock.Sleep(ctx, faultDuration)
 	_ = p.Start()
 }
 
 func (f *faultInjector) freeze(ctx context.Context, target int) {
 	p := f.bed.Control[target]
 	p.Signal(syscall.SIGSTOP)
-	sleep(ctx, faultDuration)
+	clock.Sleep(ctx, faultDuration)
 	p.Signal(syscall.SIGCONT)
 }
 
 func (f *faultInjector) partition(ctx context.Context, target int) {
 	blackhole := forwarder.Mode{BlackholeToServer: true, BlackholeToClient: true}
 	f.setLinks(target, blackhole, blackhole)
-	sleep(ctx, faultDuration)
+	clock.Sleep(ctx, faultDuration)
 	f.setLinks(target, forwarder.Mode{}, forwarder.Mode{})
 }
 
@@ -94,7 +95,7 @@
 	} else {
 		f.setLinks(target, forwarder.Mode{}, blackhole)
 	}
-	sleep(ctx, faultDuration)
+	clock.Sleep(ctx, faultDuration)
 	f.setLinks(target, forwarder.Mode{}, forwarder.Mode{})
 }
 
@@ -108,7 +109,7 @@
 			f.bed.ControlForwarder(peerID, ownID).BlackholeOpenConnections()
 		}
 	}
-	sleep(ctx, faultDuration)
+	clock.Sleep(ctx, faultDuration)
 }
 
 // setLinks sets the modes of the forwarders from and to the replica.
@@ -141,10 +142,3 @@
 	_, err := f.bed.RunCtl(ctx, "replica", "replace", id, id, "--address", p.Address, "--data-centre", p.DataCentre)
 	return err
 }
-
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
--- a/internal/proof/control/measure_test.go
+++ b/internal/proof/control/measure_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/sourcegraph/conc"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/ctl"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 	"goldcrestseam.dev/goldcrestseam/internal/proof"
@@ -136,7 +137,7 @@
 			}
 			durations = append(durations, longest)
 			fault.heal(leader)
-			sleep(ctx, recoveryTime)
+			clock.Sleep(ctx, recoveryTime)
 		}
 		logQuantiles(t, "leader "+fault.name+", longest wait for a change", durations)
 	}
@@ -206,7 +207,7 @@
 		if !behind {
 			return len(st.GetEntries()), nil
 		}
-		sleep(ctx, time.Millisecond)
+		clock.Sleep(ctx, time.Millisecond)
 	}
 }
 
@@ -249,7 +250,7 @@
 		target = 1
 	}
 	bed.Control[target].Kill()
-	sleep(ctx, recoveryTime)
+	clock.Sleep(ctx, recoveryTime)
 	start := time.Now()
 	if err := bed.Control[target].Start(); err != nil {
 		t.Fatal(err)
@@ -265,7 +266,7 @@
 				return time.Since(start)
 			}
 		}
-		sleep(ctx, 2*time.Millisecond)
+		clock.Sleep(ctx, 2*time.Millisecond)
 	}
 }
 
--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"testing"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
@@ -11,7 +12,7 @@
 // injects the fault.
 func injectFault(t *testing.T, tr *Trial, name string) func(context.Context) {
 	return func(ctx context.Context) {
-		sleep(ctx, FaultDelay)
+		clock.Sleep(ctx, FaultDelay)
 		if err := FaultByName(name).Inject(ctx, tr); err != nil {
 			t.Error(err)
 		}
--- a/internal/proof/faults.go
+++ b/internal/proof/faults.go
@@ -5,6 +5,7 @@
 	"syscall"
 	"time"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/audit"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/workload"
@@ -82,7 +83,7 @@
 	}
 	engine.Signal(syscall.SIGSTOP)
 	defer engine.Signal(syscall.SIGCONT)
-	sleep(ctx, freezeDuration)
+	clock.Sleep(ctx, freezeDuration)
 	return nil
 }
 
@@ -99,17 +100,10 @@
 		return err
 	}
 	leader.Kill()
-	sleep(ctx, leaderDowntime)
+	clock.Sleep(ctx, leaderDowntime)
 	return leader.Start()
 }
 
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
 // FaultReport is what callers observed under one fault, over several seeds.
 type FaultReport struct {
 	Fault string `json:"fault"`
--- a/internal/proof/measure.go
+++ b/internal/proof/measure.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"time"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
 
@@ -48,7 +49,7 @@
 	}
 	var injectErr error
 	out, err := NewTrial(bed, seed).Run(ctx, MixedLoad(seed), func(ctx context.Context) {
-		sleep(ctx, FaultDelay)
+		clock.Sleep(ctx, FaultDelay)
 		injectErr = f.Inject(ctx, NewTrial(bed, seed))
 	})
 	if injectErr != nil {
--- a/internal/proof/member_test.go
+++ b/internal/proof/member_test.go
@@ -9,6 +9,7 @@
 	"github.com/google/uuid"
 	"github.com/sourcegraph/conc"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/audit"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/caller"
@@ -39,7 +40,7 @@
 		var wg conc.WaitGroup
 		wg.Go(func() { ownerResult.Result = tr.Callers[Members[0]].Complete(ctx, req) })
 		wg.Go(func() { sameIDResult.Result = tr.Callers[Members[1]].Complete(ctx, sameIDReq) })
-		sleep(ctx, 500*time.Millisecond)
+		clock.Sleep(ctx, 500*time.Millisecond)
 		checkNotFound := func() {
 			for _, entry := range tr.Bed.EntryAddresses() {
 				res := intruder.Resume(ctx, req.ID, entry)
@@ -72,7 +73,7 @@
 		}
 		var result *caller.Result
 		out := runTrial(t, ctx, tr, Load{Seed: seed, Duration: 4 * time.Second, StreamRate: 12}, func(ctx context.Context) {
-			sleep(ctx, FaultDelay)
+			clock.Sleep(ctx, FaultDelay)
 			for range 4 {
 				crashing.ID = uuid.NewString()
 				result = tr.Callers[Members[0]].Complete(ctx, crashing)
--- a/internal/proof/orders_test.go
+++ b/internal/proof/orders_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/sourcegraph/conc"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 )
 
@@ -17,7 +18,7 @@
 func TestRoleChangeUnderLoadCutsNoStream(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		out := runWithoutResumes(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
-			sleep(ctx, FaultDelay)
+			clock.Sleep(ctx, FaultDelay)
 			engine := busiestProcess(t, tr, tr.Bed.Engines).Name
 			for _, role := range []string{"decode", "mixed"} {
 				changeRole(t, ctx, tr, engine, role)
@@ -33,7 +34,7 @@
 func changeRole(t *testing.T, ctx context.Context, tr *Trial, engine, role string) {
 	t.Helper()
 	for tr.Bed.ChangeRole(ctx, engine, role) != nil {
-		sleep(ctx, 200*time.Millisecond)
+		clock.Sleep(ctx, 200*time.Millisecond)
 		if ctx.Err() != nil {
 			t.Errorf("%s was never ordered to be %s", engine, role)
 			return
@@ -55,7 +56,7 @@
 				return
 			}
 		}
-		sleep(ctx, 100*time.Millisecond)
+		clock.Sleep(ctx, 100*time.Millisecond)
 	}
 	t.Errorf("%s never became %s", engine, role)
 }
@@ -87,7 +88,7 @@
 				wg.Go(func() { requestRoleRepeatedly(ctx, tr, engine, role, time.Duration(100+70*i)*time.Millisecond) })
 			}
 			for range 2 {
-				sleep(ctx, 700*time.Millisecond)
+				clock.Sleep(ctx, 700*time.Millisecond)
 				freezeLeader(t, ctx, tr, 2500*time.Millisecond)
 			}
 			wg.Wait()
@@ -103,7 +104,7 @@
 		attemptCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		_ = tr.Bed.ChangeRole(attemptCtx, engine, role)
 		cancel()
-		sleep(ctx, interval)
+		clock.Sleep(ctx, interval)
 	}
 }
 
@@ -116,5 +117,5 @@
 	}
 	leader.Signal(syscall.SIGSTOP)
 	defer leader.Signal(syscall.SIGCONT)
-	sleep(ctx, d)
+	clock.Sleep(ctx, d)
 }
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/standin/journal"
 	"goldcrestseam.dev/goldcrestseam/internal/testbed"
 )
@@ -29,7 +30,7 @@
 func TestPlannedStopOfAnEntryCutsNothing(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		runWithoutResumes(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
-			sleep(ctx, FaultDelay)
+			clock.Sleep(ctx, FaultDelay)
 			stopGracefully(t, tr.Bed.Entries[0])
 		})
 	})
@@ -41,7 +42,7 @@
 func TestStoppingEntryServesCallersWithOldLists(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		out := runTrial(t, ctx, tr, Load{Seed: seed, Duration: 3 * time.Second, LookupRate: 80}, func(ctx context.Context) {
-			sleep(ctx, FaultDelay)
+			clock.Sleep(ctx, FaultDelay)
 			stopGracefully(t, tr.Bed.Entries[0])
 		})
 		for _, d := range out.Results {
@@ -58,7 +59,7 @@
 func TestPlannedStopOfAnEngineCutsNothing(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		out := runWithoutResumes(t, ctx, tr, MixedLoad(seed), func(ctx context.Context) {
-			sleep(ctx, FaultDelay)
+			clock.Sleep(ctx, FaultDelay)
 			stopGracefully(t, busiestProcess(t, tr, tr.Bed.Engines))
 		})
 		checkNoNewWork(t, out.Records)
@@ -71,7 +72,7 @@
 func TestLeavingServerGetsNoNewWorkFromCutOffEntries(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
 		out := runTrial(t, ctx, tr, Load{Seed: seed, Duration: 5500 * time.Millisecond, StreamRate: 20}, func(ctx context.Context) {
-			sleep(ctx, FaultDelay)
+			clock.Sleep(ctx, FaultDelay)
 			for _, c := range tr.Bed.Control {
 				c.Kill()
 			}
--- a/internal/standin/caller/call.go
+++ b/internal/standin/caller/call.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
@@ -74,7 +75,7 @@
 	}
 	res.Err = err
 	c.markFailed(address)
-	return !sleep(ctx, retryDelay)
+	return !clock.Sleep(ctx, retryDelay)
 }
 
 func (c *Client) handleCallResponse(ctx context.Context, resp *http.Response, address string, startedAt time.Time, res *Result) bool {
@@ -85,7 +86,7 @@
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			res.Err = err
-			return !sleep(ctx, retryDelay)
+			return !clock.Sleep(ctx, retryDelay)
 		}
 		res.Text, res.Complete, res.Outcome, res.Accepted = string(body), true, outcome.Ran, true
 		return true
--- a/internal/standin/caller/complete.go
+++ b/internal/standin/caller/complete.go
@@ -12,6 +12,7 @@
 	"strings"
 	"time"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
@@ -185,7 +186,7 @@
 func (r *completionRun) connectionFailed(ctx context.Context, err error) {
 	r.res.Err = err
 	r.c.markFailed(r.address)
-	sleep(ctx, retryDelay)
+	clock.Sleep(ctx, retryDelay)
 }
 
 // handleRefusal decides whether to retry, resume or give up after a refusal. It
@@ -196,7 +197,7 @@
 		// No entry knows the request and no text has arrived, so that it is safe
 		// to send it again with the same ID.
 		r.mayBeKnown = false
-		return !sleep(ctx, retryDelay)
+		return !clock.Sleep(ctx, retryDelay)
 	}
 	if ref.retryAfter == 0 {
 		return true
@@ -206,7 +207,7 @@
 	}
 	// A model request that may be running is resumed by its ID, not sent again.
 	r.mayBeKnown = r.mayBeKnown || ref.outcome == outcome.Unknown
-	return !sleep(ctx, ref.retryAfter)
+	return !clock.Sleep(ctx, ref.retryAfter)
 }
 
 // readStream reads the events of a stream. It returns true at the end marker.
