--- a/internal/proof/at_most_once_test.go
+++ b/internal/proof/at_most_once_test.go
@@ -42,6 +42,20 @@
 	wg.Wait()
 }
 
+// checkAtMostOnceCalls sends calls concurrently while injectFaults runs, and checks their results.
+// The salt makes the random numbers of each test differ.
+func checkAtMostOnceCalls(t *testing.T, salt uint64, injectFaults func(t *testing.T, ctx context.Context, tr *Trial)) {
+	t.Helper()
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		rng, h := rand.New(rand.NewPCG(seed, salt)), &AtMostOnceHistory{}
+		var wg conc.WaitGroup
+		wg.Go(func() { injectFaults(t, ctx, tr) })
+		sendConcurrently(ctx, tr, h, rng)
+		wg.Wait()
+		checkAtMostOnceHistory(t, tr, h)
+	})
+}
+
 func checkAtMostOnceHistory(t *testing.T, tr *Trial, h *AtMostOnceHistory) {
 	t.Helper()
 	out, err := tr.Audit(h.Results())
@@ -59,18 +73,11 @@
 // server, and between that call and the answer. The call must run at most once,
 // and no caller may be told otherwise.
 func TestOnceOnlyCallsUnderEntryKills(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		rng, h := rand.New(rand.NewPCG(seed, 7)), &AtMostOnceHistory{}
-		var wg conc.WaitGroup
-		wg.Go(func() {
-			for _, e := range []int{0, 3} {
-				clock.Sleep(ctx, 700*time.Millisecond)
-				tr.Bed.Entries[e].Kill()
-			}
-		})
-		sendConcurrently(ctx, tr, h, rng)
-		wg.Wait()
-		checkAtMostOnceHistory(t, tr, h)
+	checkAtMostOnceCalls(t, 7, func(_ *testing.T, ctx context.Context, tr *Trial) {
+		for _, e := range []int{0, 3} {
+			clock.Sleep(ctx, 700*time.Millisecond)
+			tr.Bed.Entries[e].Kill()
+		}
 	})
 }
 
@@ -78,23 +85,16 @@
 // that claims are in flight during the leader change, and while a plain server is
 // killed with calls in progress. Each call must run at most once.
 func TestOnceOnlyCallsUnderLeaderAndServerKills(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		rng, h := rand.New(rand.NewPCG(seed, 8)), &AtMostOnceHistory{}
-		var wg conc.WaitGroup
-		wg.Go(func() {
-			clock.Sleep(ctx, 600*time.Millisecond)
-			leader, err := tr.Bed.Leader(ctx)
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			leader.Kill()
-			clock.Sleep(ctx, 600*time.Millisecond)
-			tr.Bed.PlainServers[0].Kill()
-		})
-		sendConcurrently(ctx, tr, h, rng)
-		wg.Wait()
-		checkAtMostOnceHistory(t, tr, h)
+	checkAtMostOnceCalls(t, 8, func(t *testing.T, ctx context.Context, tr *Trial) {
+		clock.Sleep(ctx, 600*time.Millisecond)
+		leader, err := tr.Bed.Leader(ctx)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		leader.Kill()
+		clock.Sleep(ctx, 600*time.Millisecond)
+		tr.Bed.PlainServers[0].Kill()
 	})
 }
 
--- a/internal/proof/control/control_test.go
+++ b/internal/proof/control/control_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"os"
@@ -35,23 +34,10 @@
 var root, bin string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "goldcrest-control-")
-	if err == nil {
-		root, err = proof.ModuleRoot()
-	}
-	bin = filepath.Join(dir, "bin")
-	if err == nil {
-		err = proof.Build(root, bin)
-	}
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	code := m.Run()
-	if code == 0 || os.Getenv("GOLDCREST_KEEP") == "" {
-		_ = os.RemoveAll(dir)
-	}
-	os.Exit(code)
+	os.Exit(proof.RunWithPrograms("goldcrest-control-", func(rootDir, binDir string) int {
+		root, bin = rootDir, binDir
+		return m.Run()
+	}))
 }
 
 // forEachSeed runs the trial for each seed, one unless GOLDCREST_SEEDS sets the
@@ -59,9 +45,9 @@
 // connections between the replicas.
 func forEachSeed(t *testing.T, forwardLinks bool, trial func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64)) {
 	t.Helper()
-	n, err := strconv.Atoi(os.Getenv("GOLDCREST_SEEDS"))
-	if err != nil || n < 1 {
-		n = 1
+	n, err := proof.SeedCount()
+	if err != nil {
+		t.Fatal(err)
 	}
 	for seed := uint64(1); seed <= uint64(n); seed++ {
 		t.Run("seed="+strconv.FormatUint(seed, 10), func(t *testing.T) {
--- a/internal/proof/control/measure_test.go
+++ b/internal/proof/control/measure_test.go
@@ -167,12 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range bed.Control {
-		if p != leader {
-			p.Kill()
-			break
-		}
-	}
+	bed.Control[followerOf(bed, leader)].Kill()
 	measureInForce(t, ctx, w, "the same with one control VM down")
 }
 
@@ -241,14 +236,16 @@
 	}
 }
 
+// followerOf returns the index of a replica that does not lead.
+func followerOf(bed *testbed.Bed, leader *testbed.Process) int {
+	return slices.IndexFunc(bed.Control, func(p *testbed.Process) bool { return p != leader })
+}
+
 // restartFollower kills a follower and returns the time from its restart until its
 // match index reaches the commit index.
 func restartFollower(t *testing.T, ctx context.Context, bed *testbed.Bed, c *ctl.Client, leader *testbed.Process) time.Duration {
 	t.Helper()
-	target := 0
-	if bed.Control[target] == leader {
-		target = 1
-	}
+	target := followerOf(bed, leader)
 	bed.Control[target].Kill()
 	clock.Sleep(ctx, recoveryTime)
 	start := time.Now()
--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -28,12 +28,18 @@
 	return p
 }
 
+// checkOnlyPauses plays the mixed load with the fault. No caller may have to resume its stream.
+func checkOnlyPauses(t *testing.T, fault string) {
+	t.Helper()
+	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
+		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, fault))
+	})
+}
+
 // The engine that produces a stream is killed in the middle. The caller must see
 // only a pause and then the rest, byte for byte what the engine would have sent.
 func TestEngineKilledMidStream(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "engine killed"))
-	})
+	checkOnlyPauses(t, "engine killed")
 }
 
 // An entry is killed while it relays a stream, which closes the caller's connection.
@@ -60,9 +66,7 @@
 // streams must continue on other engines, and tokens that the engine sends when it
 // resumes must not reach callers.
 func TestEngineFrozenAndThawed(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "engine frozen"))
-	})
+	checkOnlyPauses(t, "engine frozen")
 }
 
 // A network device drops its state of the open connections to every engine: they
@@ -78,7 +82,5 @@
 // The control leader is killed under load and restarted. Streams and lookups must
 // not be affected; at-most-once calls wait for the next leader and still run once.
 func TestControlLeaderKilled(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, ctx context.Context, tr *Trial, seed uint64) {
-		runWithoutResumes(t, ctx, tr, MixedLoad(seed), injectFault(t, tr, "control leader killed"))
-	})
+	checkOnlyPauses(t, "control leader killed")
 }
