--- a/internal/httpconn/client_test.go
+++ b/internal/httpconn/client_test.go
@@ -292,15 +292,7 @@
 	})
 	c := New()
 	send := func(accepts bool) error {
-		req := fasthttp.AcquireRequest()
-		defer fasthttp.ReleaseRequest(req)
-		req.SetRequestURI("/")
-		req.Header.SetHost(p.address)
-		resp, err := c.Do(context.Background(), Call{Address: p.address, Request: req, AcceptsRequests: func() bool { return accepts }})
-		if err == nil {
-			_, _ = io.Copy(io.Discard, resp)
-			resp.Close()
-		}
+		_, err := call(t, c, p, func(outgoing *Call) { outgoing.AcceptsRequests = func() bool { return accepts } })
 		return err
 	}
 	if err := send(false); !errorx.IsOfType(err, NotSent) || got.Load() != 0 {
@@ -334,16 +326,9 @@
 			})
 			client := New()
 			for range 2 {
-				req := fasthttp.AcquireRequest()
-				req.SetRequestURI("/")
-				req.Header.SetHost(p.address)
-				resp, err := client.Do(context.Background(), Call{Address: p.address, Request: req})
-				if err != nil {
+				if _, err := call(t, client, p, nil); err != nil {
 					t.Fatal(err)
 				}
-				_, _ = io.Copy(io.Discard, resp)
-				resp.Close()
-				fasthttp.ReleaseRequest(req)
 				time.Sleep(c.pause)
 			}
 			if got := p.conns.Load(); got != c.conns {
