--- a/internal/proof/control/control_test.go
+++ b/internal/proof/control/control_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"os"
@@ -16,6 +15,7 @@
 	"github.com/sourcegraph/conc"
 	"google.golang.org/protobuf/proto"
 
+	"goldcrestseam.dev/goldcrestseam/internal/clock"
 	"goldcrestseam.dev/goldcrestseam/internal/ctl"
 	"goldcrestseam.dev/goldcrestseam/internal/proof"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc"
@@ -34,23 +34,10 @@
 var root, bin string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "goldcrest-control-")
-	if err == nil {
-		root, err = proof.ModuleRoot()
-	}
-	bin = filepath.Join(dir, "bin")
-	if err == nil {
-		err = proof.Build(root, bin)
-	}
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	code := m.Run()
-	if code == 0 || os.Getenv("GOLDCREST_KEEP") == "" {
-		_ = os.RemoveAll(dir)
-	}
-	os.Exit(code)
+	os.Exit(proof.RunWithPrograms("goldcrest-control-", func(rootDir, binDir string) int {
+		root, bin = rootDir, binDir
+		return m.Run()
+	}))
 }
 
 // forEachSeed runs the trial for each seed, one unless GOLDCREST_SEEDS sets the
@@ -58,9 +45,9 @@
 // connections between the replicas.
 func forEachSeed(t *testing.T, forwardLinks bool, trial func(t *testing.T, ctx context.Context, bed *testbed.Bed, seed uint64)) {
 	t.Helper()
-	n, err := strconv.Atoi(os.Getenv("GOLDCREST_SEEDS"))
-	if err != nil || n < 1 {
-		n = 1
+	n, err := proof.SeedCount()
+	if err != nil {
+		t.Fatal(err)
 	}
 	for seed := uint64(1); seed <= uint64(n); seed++ {
 		t.Run("seed="+strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -179,7 +166,7 @@
 			faultCtx, cancel := context.WithTimeout(ctx, faultPhase)
 			defer cancel()
 			injector.run(faultCtx)
-			sleep(ctx, recoveryTime)
+			clock.Sleep(ctx, recoveryTime)
 		})
 		t.Logf("faults: %v", injector.counts)
 	})
@@ -193,7 +180,7 @@
 		injector := newFaultInjector(bed, seed)
 		runClients(t, ctx, bed, seed, func(ctx context.Context) {
 			for n := range 2 {
-				sleep(ctx, recoveryTime)
+				clock.Sleep(ctx, recoveryTime)
 				target := injector.pickReplica(ctx)
 				before := voterIncarnation(t, ctx, bed, target)
 				if err := injector.loseDisk(ctx, target, n == 0); err != nil {
@@ -346,7 +333,7 @@
 					t.Error(err)
 					return
 				}
-				sleep(ctx, 10*time.Millisecond)
+				clock.Sleep(ctx, 10*time.Millisecond)
 			}
 		})
 		leader, err := waitForLeader(ctx, bed)
