--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -10,6 +10,7 @@
 
 // dispatchWaiting dispatches the waiting requests for which placement finds a server.
 func (r *Reducer) dispatchWaiting() {
+	r.refuseOutdated()
 	r.dispatchHeld()
 	for {
 		var choice placement.Choice
