--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -108,8 +108,10 @@
 type dutyCall struct {
 	inFlight bool
 	attempts int
-	retryAt  time.Duration
-	request  DutyCall
+	// last is the answer to the last completed attempt.
+	last    DutyAnswered
+	retryAt time.Duration
+	request DutyCall
 }
 
 func newLeaderDuties() leaderDuties { return leaderDuties{calls: make(map[string]*dutyCall)} }
@@ -157,6 +159,7 @@
 	}
 	call.inFlight = false
 	call.attempts++
+	call.last = e
 	d.inFlight--
 	r.logDuty(e, call)
 	switch e.Result {
