--- a/internal/control/usage_test.go
+++ b/internal/control/usage_test.go
@@ -6,6 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"goldcrestseam.dev/goldcrestseam/internal/consensus"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -43,14 +44,22 @@
 	var calls []DutyCall
 	for until := h.clock + d; h.clock < until; h.clock += 50 * time.Millisecond {
 		for _, eff := range h.Step(h.clock, Tick{WallMS: startMS + (h.clock - time.Hour).Milliseconds()}) {
-			if c, ok := eff.(DutyCall); ok {
-				calls = append(calls, c)
+			switch e := eff.(type) {
+			case DutyCall:
+				calls = append(calls, e)
+			case UsageProgress:
+				h.addProgress(e)
 			}
 		}
 	}
 	return calls
 }
 
+func (h *harness) addProgress(p UsageProgress) {
+	h.progress.Decided += p.Decided
+	h.progress.Reported += p.Reported
+}
+
 func (h *harness) answerDuty(c DutyCall, result DutyResult) {
 	h.step(DutyAnswered{Duty: c.Duty, Subject: c.Subject, Result: result})
 }
@@ -270,3 +279,60 @@
 		t.Errorf("answered %v, want %v", got, want)
 	}
 }
+
+// Guards against metrics that count a window before it is committed, count one twice whose
+// report was accepted twice, or count it again at the next leader.
+func TestUsageProgressCountsEachWindowOnce(t *testing.T) {
+	h := newUsageHarness(t)
+	h.answerUsage(h.advanceDuties(6*time.Second), 0, "", "")
+	if want := (UsageProgress{Decided: 1, Reported: 1}); h.progress != want {
+		t.Errorf("after the first window: %+v, want %+v", h.progress, want)
+	}
+	var calls []DutyCall
+	for len(calls) == 0 {
+		calls = h.advanceDuties(200 * time.Millisecond)
+	}
+	h.node.commitsBlocked = true
+	h.answerDuty(calls[0], DutyAccepted)
+	for again := h.advanceDuties(time.Second); len(again) > 0; again = nil {
+		h.answerDuty(again[0], DutyAccepted)
+	}
+	if want := (UsageProgress{Decided: 2, Reported: 1}); h.progress != want || h.node.index < 2 {
+		t.Errorf("before the commit: %+v, want %+v", h.progress, want)
+	}
+	cmd := &pb.Command{Op: &pb.Command_Usage{Usage: &pb.UsageUpdate{Taken: []int64{calls[0].Usage.GetWindow()}}}}
+	data, err := proto.Marshal(cmd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, index := range []uint64{h.node.index - 1, h.node.index} {
+		h.emitOnTick(consensus.Apply{Entries: []*pb.LogEntry{{Term: 1, Index: index, Data: data}}})
+	}
+	if want := (UsageProgress{Decided: 2, Reported: 2}); h.progress != want || len(h.usageAnswer().GetUnreported()) > 0 {
+		t.Errorf("after the commit of two acceptances: %+v, want %+v", h.progress, want)
+	}
+	h.node.commitsBlocked = false
+	h.stepDown(2)
+	h.becomeLeader(3)
+	if want := (UsageProgress{Decided: 2, Reported: 2}); h.progress != want {
+		t.Errorf("at the next leader: %+v, want %+v", h.progress, want)
+	}
+}
+
+// Guards against an alert on missing reports that stays silent, and against one by a replica
+// that does not lead and whose state may be old.
+func TestOldestUnreportedUsageIsOfTheLeader(t *testing.T) {
+	h := newUsageHarness(t)
+	if age := h.OldestUnreportedUsage(); age != 0 {
+		t.Errorf("before the first window: %v", age)
+	}
+	first := h.window()
+	h.advanceDuties(20 * time.Second)
+	if age, want := h.OldestUnreportedUsage(), 15*time.Second; age < want-100*time.Millisecond || age > want {
+		t.Errorf("%v after window %d ended: %v", want, first, age)
+	}
+	h.stepDown(2)
+	if age := h.OldestUnreportedUsage(); age != 0 {
+		t.Errorf("at a replica that does not lead: %v", age)
+	}
+}
