--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -19,7 +19,7 @@
 	for i := range size {
 		f.Servers = append(f.Servers, decision.Server{
 			ID: fmt.Sprint("engine-", i), Kind: declaration.KindModel, Model: "m",
-			Role: engineapi.RoleMixed, Usable: true, Slots: 32, Load: load,
+			Role: decision.RoleMixed, Usable: true, Slots: 32, Load: load,
 		})
 	}
 	return f
--- a/internal/decision/admission/guess_test.go
+++ b/internal/decision/admission/guess_test.go
@@ -12,7 +12,7 @@
 
 func idleCountsOnlyFleet() *decision.Fleet {
 	return &decision.Fleet{Entries: 9, Servers: []decision.Server{{
-		ID: "e", Kind: declaration.KindModel, Model: "m", Role: engineapi.RoleMixed, Usable: true, Slots: 64,
+		ID: "e", Kind: declaration.KindModel, Model: "m", Role: decision.RoleMixed, Usable: true, Slots: 64,
 		ReportsCountsOnly: true, Load: engineapi.Load{PrefillRate: 25000, DecodeRate: 7000},
 	}}}
 }
--- a/internal/decision/admission/supply.go
+++ b/internal/decision/admission/supply.go
@@ -5,7 +5,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // serverCapacity sums up the servers that can run a request and their backlog.
@@ -51,14 +50,14 @@
 	}
 	age := max(0, (now - server.ReportedAt).Seconds())
 	prefillRate, decodeRate := server.PrefillRate(), server.DecodeRate()
-	if server.Role != engineapi.RoleDecode {
+	if server.Role != decision.RoleDecode {
 		s.prefillRate += prefillRate
 		s.maxPrefillRate = max(s.maxPrefillRate, prefillRate)
 		s.prefillTokens += remaining(float64(load.QueuedPrefillTokens), prefillRate, age) +
 			float64(server.InFlight.PrefillTokensSinceReport)*entries
 	}
 	s.urgentTokens += float64(server.InFlight.UrgentPrefillTokens) * entries
-	if server.Role != engineapi.RolePrefill {
+	if server.Role != decision.RolePrefill {
 		s.decodeRate += decodeRate
 		s.decodeTokens += remaining(float64(load.RunningDecodeTokens), decodeRate, age) +
 			float64(server.InFlight.DecodeTokensSinceReport)*entries
@@ -68,14 +67,14 @@
 // addCountsOnly adds a server that reports only counts. Its estimate covers the requests of
 // all entries, so nothing is multiplied by their number.
 func (s *serverCapacity) addCountsOnly(w *decision.Work, server *decision.Server) {
-	if server.Role != engineapi.RoleDecode {
+	if server.Role != decision.RoleDecode {
 		s.prefillRate += server.PrefillRate()
 		s.maxPrefillRate = max(s.maxPrefillRate, server.PrefillRate())
 		backlog := server.PrefillTokensAhead(w)
 		s.prefillTokens += backlog
 		s.urgentTokens += backlog
 	}
-	if server.Role != engineapi.RolePrefill {
+	if server.Role != decision.RolePrefill {
 		s.decodeRate += server.DecodeRate()
 		s.decodeTokens += float64(server.InFlight.DecodeTokens)
 	}
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -85,6 +85,16 @@
 	return sum
 }
 
+// Role is the part of the work that an engine does: prefill, decode or both.
+type Role string
+
+// Roles of an engine.
+const (
+	RolePrefill Role = "prefill"
+	RoleDecode  Role = "decode"
+	RoleMixed   Role = "mixed"
+)
+
 // Server is one backend server as the decisions see it.
 type Server struct {
 	ID          string
@@ -96,7 +106,7 @@
 	Services []string
 	Model    string
 	Adapters []string
-	Role     engineapi.Role
+	Role     Role
 	// PreferredByOtherGroup is set if the server is assigned to another group of entries, which
 	// sends its requests there first. What that group has sent in the last moments is not in
 	// the reported backlog yet.
--- a/internal/decision/placement/peers_test.go
+++ b/internal/decision/placement/peers_test.go
@@ -116,7 +116,7 @@
 		own := f.ownBacklog(entry, i)
 		running, waiting := e.loadEstimators[i].Estimate(now, e.fleetAverage)
 		s := decision.Server{
-			ID: engineName(i), Kind: declaration.KindModel, Model: "m", Role: engineapi.RoleMixed, Usable: true, Slots: 128,
+			ID: engineName(i), Kind: declaration.KindModel, Model: "m", Role: decision.RoleMixed, Usable: true, Slots: 128,
 			ReportsCountsOnly: true, EstimatedPeerRunning: running, EstimatedPeerWaiting: waiting, MeanPrefillTokens: meanPrefillTokens,
 			Load:     engineapi.Load{PrefillRate: f.rate / f.slowdown[i], DecodeRate: 1e6},
 			InFlight: decision.InFlight{Requests: own.Requests, PrefillBacklog: own.PrefillBacklog},
--- a/internal/decision/placement/placement_test.go
+++ b/internal/decision/placement/placement_test.go
@@ -10,14 +10,14 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-func fleetOf(roles ...engineapi.Role) *decision.Fleet {
+func fleetOf(roles ...decision.Role) *decision.Fleet {
 	f := &decision.Fleet{Entries: 1}
 	for i, role := range roles {
 		s := decision.Server{
 			ID: fmt.Sprint("engine-", i), Kind: declaration.KindModel, Model: "m", Role: role,
 			Usable: true, Slots: 32, Load: engineapi.Load{PrefillRate: 10000, DecodeRate: 889, KVTokens: 600000},
 		}
-		if role == engineapi.RoleMixed {
+		if role == decision.RoleMixed {
 			s.Load.PrefillRate, s.Load.DecodeRate = 4000, 355
 		}
 		f.Servers = append(f.Servers, s)
@@ -26,9 +26,9 @@
 }
 
 func mixedFleet(n int) *decision.Fleet {
-	roles := make([]engineapi.Role, n)
+	roles := make([]decision.Role, n)
 	for i := range roles {
-		roles[i] = engineapi.RoleMixed
+		roles[i] = decision.RoleMixed
 	}
 	return fleetOf(roles...)
 }
@@ -185,7 +185,7 @@
 }
 
 func TestPrefillAndDecodeArePairedWhenThatCostsLess(t *testing.T) {
-	f := fleetOf(engineapi.RolePrefill, engineapi.RoleMixed, engineapi.RoleDecode)
+	f := fleetOf(decision.RolePrefill, decision.RoleMixed, decision.RoleDecode)
 	c, ok := New().Pick(0, bulkWork("a"), f)
 	if !ok || c.Prefill == nil || c.Prefill.ID != "engine-0" || c.Server.ID != "engine-2" {
 		t.Fatalf("%+v", c)
@@ -196,7 +196,7 @@
 	}
 	imported := bulkWork("c")
 	imported.KVTokens = 30000
-	if c, _ := New().Pick(0, imported, f); c.Prefill != nil || c.Server.Role == engineapi.RolePrefill {
+	if c, _ := New().Pick(0, imported, f); c.Prefill != nil || c.Server.Role == decision.RolePrefill {
 		t.Fatalf("imported KV cache was placed as %+v", c)
 	}
 	f.Servers[0].Usable = false
--- a/internal/decision/placement/scan.go
+++ b/internal/decision/placement/scan.go
@@ -5,7 +5,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // candidate is a server with its cost in seconds; its index is -1 for none.
@@ -85,11 +84,11 @@
 		return
 	}
 	switch s.server.Role {
-	case engineapi.RolePrefill:
+	case decision.RolePrefill:
 		if s.hasCapacity(prefillOnly) {
 			c.prefill.consider(s.index, s.remotePenalty+s.prefillCost(), requestHash)
 		}
-	case engineapi.RoleDecode:
+	case decision.RoleDecode:
 		if s.hasCapacity(decodeOnly) {
 			c.decode.consider(s.index, s.remotePenalty+s.decodeCost(), requestHash)
 		}
@@ -100,7 +99,7 @@
 
 // evaluateImport considers a server for continuing from imported KV cache.
 func (s *evaluation) evaluateImport(c *candidates, requestHash uint32) {
-	if s.server.Role != engineapi.RolePrefill && s.hasCapacity(decodeOnly) {
+	if s.server.Role != decision.RolePrefill && s.hasCapacity(decodeOnly) {
 		c.singleServer.consider(s.index, s.remotePenalty+s.decodeCost()+s.kvImportTime(), requestHash)
 	}
 }
--- a/internal/decision/roles/roles.go
+++ b/internal/decision/roles/roles.go
@@ -15,15 +15,14 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Engine is the state of one engine as the control process sees it.
 type Engine struct {
 	ID   string
-	Role engineapi.Role
+	Role decision.Role
 	// TargetRole is the role that the engine is changing to; equal to Role if it is not changing.
-	TargetRole engineapi.Role
+	TargetRole decision.Role
 	// Changing tells that the engine is unavailable during a change of role, version or adapter.
 	Changing bool
 	// Usable is false while the engine is leaving, gone or changing.
@@ -80,7 +79,7 @@
 // Change is a role change to order.
 type Change struct {
 	Engine   string
-	From, To engineapi.Role
+	From, To decision.Role
 	Reason   string
 	Figures  []decision.Figure
 }
--- a/internal/decision/roles/roles_test.go
+++ b/internal/decision/roles/roles_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
+	"goldcrestseam.dev/goldcrestseam/internal/decision"
 )
 
 // simFleet simulates engines that have their new role after ChangeTime.
@@ -26,11 +26,11 @@
 		Price:  ChangePrice{PerChange: 7 * time.Second, GoodputWeight: 3, ChangeWeight: 1},
 	}
 	for i := range prefill + mixed + decode {
-		role := engineapi.RoleMixed
+		role := decision.RoleMixed
 		if i < prefill {
-			role = engineapi.RolePrefill
+			role = decision.RolePrefill
 		} else if i >= prefill+mixed {
-			role = engineapi.RoleDecode
+			role = decision.RoleDecode
 		}
 		f.o.Engines = append(f.o.Engines, Engine{ID: fmt.Sprint("engine-", i), Role: role, TargetRole: role, Usable: true})
 	}
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -85,7 +85,7 @@
 		DataCentre: s.pb.DataCentre, Kind: wire.Kind(s.pb.Kind), Services: s.pb.Services,
 		Model: s.pb.Model, Adapters: s.pb.Adapters,
 		// A plain service does all of its work by itself, as a mixed engine does.
-		Role:   cmp.Or(wire.Role(s.pb.Role), engineapi.RoleMixed),
+		Role:   cmp.Or(wire.Role(s.pb.Role), decision.RoleMixed),
 		Usable: usable, Slots: int(s.pb.Slots), Load: r.effectiveLoad(s), ReportedAt: s.reportedAt,
 		ReportsCountsOnly: s.reportsCountsOnly(), EstimatedPeerRunning: running, EstimatedPeerWaiting: waiting,
 		PeerBacklog: r.peers.reports.BacklogAt(r.now, s.pb.Id), PeerCoverage: r.peers.knownFraction(r),
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -11,6 +11,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision/queue"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
+	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 // simEntry is one simulated entry: its decisions and its own, delayed view of the engines.
@@ -32,7 +33,7 @@
 	e.fleet = decision.Fleet{Entries: m.scenario.Entries}
 	for _, n := range m.engines {
 		e.fleet.Servers = append(e.fleet.Servers, decision.Server{
-			ID: n.id, Kind: declaration.KindModel, Model: m.scenario.Model, Role: n.engine.Role(),
+			ID: n.id, Kind: declaration.KindModel, Model: m.scenario.Model, Role: native.Role(n.engine.Role()),
 			Usable: true, Slots: n.engine.Config().Slots, Load: n.engine.Load(0),
 		})
 	}
@@ -44,7 +45,7 @@
 	for i, n := range e.sim.engines {
 		s := &e.fleet.Servers[i]
 		s.Usable = !n.leaving
-		s.Role = n.engine.Role()
+		s.Role = native.Role(n.engine.Role())
 		if n.lost {
 			continue
 		}
--- /dev/null
+++ b/internal/wire/native/native.go
@@ -0,0 +1,21 @@
+// Package native converts between the types of the native protocol with backend servers
+// (package engineapi) and those of the decisions (package decision).
+package native
+
+import (
+	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
+	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
+)
+
+// Role converts the role that an engine reports. The names of roles are the same in both
+// packages.
+func Role(role engineapi.Role) decision.Role { return decision.Role(role) }
+
+// EngineRole is the inverse of Role.
+func EngineRole(role decision.Role) engineapi.Role { return engineapi.Role(role) }
+
+// Token converts the fencing token of an order.
+func Token(t *pb.FencingToken) engineapi.FencingToken {
+	return engineapi.FencingToken{Term: t.GetTerm(), Sequence: t.GetSequence()}
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,9 @@
-// Package wire converts between the types of the protocol with backend servers
-// (package engineapi) and the system's own messages (package pb).
+// Package wire converts between the types that the decisions use and the system's own
+// messages (package pb).
 package wire
 
 import (
+	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -24,27 +25,27 @@
 }
 
 // Role converts an engine's role. It is empty for plain services.
-func Role(role pb.EngineRole) engineapi.Role {
+func Role(role pb.EngineRole) decision.Role {
 	switch role {
 	case pb.EngineRole_ENGINE_ROLE_PREFILL:
-		return engineapi.RolePrefill
+		return decision.RolePrefill
 	case pb.EngineRole_ENGINE_ROLE_DECODE:
-		return engineapi.RoleDecode
+		return decision.RoleDecode
 	case pb.EngineRole_ENGINE_ROLE_MIXED:
-		return engineapi.RoleMixed
+		return decision.RoleMixed
 	default:
 		return ""
 	}
 }
 
 // RoleProto is the inverse of Role. An unknown role becomes unspecified.
-func RoleProto(role engineapi.Role) pb.EngineRole {
+func RoleProto(role decision.Role) pb.EngineRole {
 	switch role {
-	case engineapi.RolePrefill:
+	case decision.RolePrefill:
 		return pb.EngineRole_ENGINE_ROLE_PREFILL
-	case engineapi.RoleDecode:
+	case decision.RoleDecode:
 		return pb.EngineRole_ENGINE_ROLE_DECODE
-	case engineapi.RoleMixed:
+	case decision.RoleMixed:
 		return pb.EngineRole_ENGINE_ROLE_MIXED
 	default:
 		return pb.EngineRole_ENGINE_ROLE_UNSPECIFIED
@@ -64,12 +65,7 @@
 	}
 }
 
-// Token converts a fencing token.
-func Token(t *pb.FencingToken) engineapi.FencingToken {
-	return engineapi.FencingToken{Term: t.GetTerm(), Sequence: t.GetSequence()}
-}
-
-// TokenProto is the inverse of Token.
+// TokenProto converts a fencing token.
 func TokenProto(t engineapi.FencingToken) *pb.FencingToken {
 	return &pb.FencingToken{Term: t.Term, Sequence: t.Sequence}
 }
