--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -95,6 +95,16 @@
 	RoleMixed   Role = "mixed"
 )
 
+// ServerState is the state that a backend server reports.
+type ServerState string
+
+// States of a backend server.
+const (
+	StateServing  ServerState = "serving"
+	StateLeaving  ServerState = "leaving"
+	StateChanging ServerState = "changing"
+)
+
 // Server is one backend server as the decisions see it.
 type Server struct {
 	ID          string
--- a/internal/entry/announcements.go
+++ b/internal/entry/announcements.go
@@ -1,6 +1,7 @@
 package entry
 
 import (
+	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
@@ -13,7 +14,7 @@
 		return
 	}
 	r.report.announce(a, s.pb)
-	r.applyServerState(s, a.State, a.Load, true)
+	r.applyServerState(s, decision.ServerState(a.State), a.Load, true)
 }
 
 // maxPendingServers bounds the servers whose announcements are kept before the view contains
@@ -39,7 +40,7 @@
 	}
 }
 
-func (r *Reducer) applyServerState(s *server, state engineapi.State, load engineapi.Load, hasLoad bool) {
+func (r *Reducer) applyServerState(s *server, state decision.ServerState, load engineapi.Load, hasLoad bool) {
 	if state != s.ownState {
 		r.logServer(s, "reported state "+string(state))
 	}
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -31,7 +31,7 @@
 	Server      string
 	Incarnation string
 	// State is empty if the server reported none.
-	State   engineapi.State
+	State   decision.ServerState
 	Load    engineapi.Load
 	HasLoad bool
 	// FromResponse is set if the report came with the response to a request that was sent at
--- a/internal/entry/hard_deadline_test.go
+++ b/internal/entry/hard_deadline_test.go
@@ -66,7 +66,7 @@
 	w.view(withPrefillEngines(2, 1)...)
 	d := w.arriveWithSeparatePrefill("r1")
 	w.advance(2 * second)
-	w.step(ServerReported{Server: d.Server, Incarnation: "life-1", State: engineapi.StateLeaving})
+	w.step(ServerReported{Server: d.Server, Incarnation: "life-1", State: decision.StateLeaving})
 	w.renew()
 	w.step(PrefillDone{RequestID: "r1", Attempt: d.Attempt})
 	at := effectsOf[DecodeAt](w.effects)
@@ -81,7 +81,7 @@
 	w := newDeadlineHarness(t)
 	w.view(withPrefillEngines(1, 1)...)
 	d := w.arriveWithSeparatePrefill("r1")
-	w.step(ServerReported{Server: d.Server, Incarnation: "life-1", State: engineapi.StateLeaving})
+	w.step(ServerReported{Server: d.Server, Incarnation: "life-1", State: decision.StateLeaving})
 	w.step(PrefillDone{RequestID: "r1", Attempt: d.Attempt})
 	if len(effectsOf[DecodeAt](w.effects)) != 0 {
 		t.Fatalf("effects %v", w.effects)
@@ -175,7 +175,7 @@
 	}
 	reportLoad := func(waiting uint32) {
 		w.step(ServerReported{
-			Server: "engine-0", Incarnation: "life-1", State: engineapi.StateServing, HasLoad: true,
+			Server: "engine-0", Incarnation: "life-1", State: decision.StateServing, HasLoad: true,
 			Load: engineapi.Load{Running: 1, Queued: waiting},
 		})
 	}
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -177,7 +177,7 @@
 			Id: a.ID, Incarnation: a.Incarnation, Address: a.Address, Region: a.Region,
 			DataCentre: a.DataCentre, Kind: wire.KindProto(a.Kind), Services: a.Services,
 			Model: a.Model, ModelVersion: a.Version, Adapters: a.Adapters,
-			Role: wire.RoleProto(decision.Role(a.Role)), State: wire.StateProto(a.State), Slots: a.Slots,
+			Role: wire.RoleProto(decision.Role(a.Role)), State: wire.StateProto(decision.ServerState(a.State)), Slots: a.Slots,
 		},
 		Load: &pb.Load{
 			Running: a.Load.Running, Queued: a.Load.Queued,
--- a/internal/entry/sent_announcements.go
+++ b/internal/entry/sent_announcements.go
@@ -3,6 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
+	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -18,7 +19,7 @@
 
 type serverState struct {
 	incarnation string
-	state       engineapi.State
+	state       decision.ServerState
 	order       string
 }
 
@@ -41,7 +42,7 @@
 // observe records the server's announcement and reports whether its incarnation, state or order
 // has changed.
 func (t *sentTable) observe(a engineapi.Announcement) bool {
-	next := serverState{a.Incarnation, a.State, a.LastOrder + "/" + a.RunningOrder}
+	next := serverState{a.Incarnation, decision.ServerState(a.State), a.LastOrder + "/" + a.RunningOrder}
 	changed := t.states[a.ID] != next
 	t.states[a.ID] = next
 	return changed
@@ -84,5 +85,5 @@
 // serving by its own report and by the view, and carries out no order.
 func heartbeatSuffices(a engineapi.Announcement, inView *pb.BackendServer) bool {
 	return inView != nil && inView.GetState() == pb.ServerState_SERVER_STATE_SERVING &&
-		a.State == engineapi.StateServing && a.RunningOrder == ""
+		decision.ServerState(a.State) == decision.StateServing && a.RunningOrder == ""
 }
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -30,7 +30,7 @@
 	aliveAt time.Duration
 	// ownState is the last state that the server reported itself in this incarnation, ownStateAt
 	// is when.
-	ownState   engineapi.State
+	ownState   decision.ServerState
 	ownStateAt time.Duration
 	// aliveUnreported is set until other entries are told of that state.
 	aliveUnreported bool
@@ -148,7 +148,7 @@
 func (t *serverTable) newServer(p *pb.BackendServer, now time.Duration) *server {
 	s := &server{pb: p, roleAverage: t.roleAverage(p), backpressure: t.ended.take(p.Incarnation)}
 	if a, ok := t.pending[p.Id]; ok && a.Incarnation == p.Incarnation {
-		s.observeState(a.State, now)
+		s.observeState(decision.ServerState(a.State), now)
 		s.setLoad(a.Load, now)
 	}
 	delete(t.pending, p.Id)
@@ -185,12 +185,12 @@
 // observeState records the server's own report of its state. A response that was under way when
 // the server began to leave may arrive after the report of leaving, so leaving is never taken
 // back within an incarnation.
-func (s *server) observeState(state engineapi.State, now time.Duration) {
+func (s *server) observeState(state decision.ServerState, now time.Duration) {
 	s.ownState, s.ownStateAt, s.aliveAt, s.aliveUnreported = state, now, now, true
-	if state == engineapi.StateLeaving {
+	if state == decision.StateLeaving {
 		s.markLeaving()
 	}
-	if state == engineapi.StateServing {
+	if state == decision.StateServing {
 		s.failures, s.coolUntil, s.died = 0, 0, false
 	}
 }
@@ -255,7 +255,7 @@
 	if s.backpressure.Leaving || s.died || s.pb.Drained || s.pb.State != pb.ServerState_SERVER_STATE_SERVING {
 		return false
 	}
-	if s.ownState == engineapi.StateChanging || now < s.coolUntil {
+	if s.ownState == decision.StateChanging || now < s.coolUntil {
 		return false
 	}
 	if stale {
@@ -265,5 +265,5 @@
 }
 
 func (s *server) confirmed(now time.Duration) bool {
-	return s.ownState == engineapi.StateServing && now-s.ownStateAt < confirmationTime
+	return s.ownState == decision.StateServing && now-s.ownStateAt < confirmationTime
 }
--- a/internal/traffic/effects.go
+++ b/internal/traffic/effects.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
+	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 const (
@@ -38,7 +39,7 @@
 		return
 	}
 	s.host.Post(entry.ServerReported{
-		Server: health.ID, Incarnation: health.Incarnation, State: health.State,
+		Server: health.ID, Incarnation: health.Incarnation, State: native.State(health.State),
 		Load: health.Load, HasLoad: true,
 	})
 }
--- a/internal/wire/native/native.go
+++ b/internal/wire/native/native.go
@@ -15,6 +15,10 @@
 // EngineRole is the inverse of Role.
 func EngineRole(role decision.Role) engineapi.Role { return engineapi.Role(role) }
 
+// State converts the state that a backend server reports. The names of states are the same in
+// both packages.
+func State(state engineapi.State) decision.ServerState { return decision.ServerState(state) }
+
 // Token converts the fencing token of an order.
 func Token(t *pb.FencingToken) engineapi.FencingToken {
 	return engineapi.FencingToken{Term: t.GetTerm(), Sequence: t.GetSequence()}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -4,6 +4,7 @@
 
 import (
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -11,14 +12,14 @@
 // Kind converts a backend server's kind. Every kind but plain counts as a model engine.
 func Kind(k pb.ServerKind) string {
 	if k == pb.ServerKind_SERVER_KIND_PLAIN {
-		return engineapi.KindPlain
+		return declaration.KindPlain
 	}
-	return engineapi.KindModel
+	return declaration.KindModel
 }
 
 // KindProto is the inverse of Kind.
 func KindProto(kind string) pb.ServerKind {
-	if kind == engineapi.KindPlain {
+	if kind == declaration.KindPlain {
 		return pb.ServerKind_SERVER_KIND_PLAIN
 	}
 	return pb.ServerKind_SERVER_KIND_MODEL
@@ -54,11 +55,11 @@
 
 // StateProto converts the state that a server reports. Every state but leaving
 // and changing counts as serving.
-func StateProto(state engineapi.State) pb.ServerState {
+func StateProto(state decision.ServerState) pb.ServerState {
 	switch state {
-	case engineapi.StateLeaving:
+	case decision.StateLeaving:
 		return pb.ServerState_SERVER_STATE_LEAVING
-	case engineapi.StateChanging:
+	case decision.StateChanging:
 		return pb.ServerState_SERVER_STATE_CHANGING
 	default:
 		return pb.ServerState_SERVER_STATE_SERVING
