--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -105,6 +105,23 @@
 	StateChanging ServerState = "changing"
 )
 
+// Load is the load that a backend server reports.
+type Load struct {
+	Running             uint32
+	Queued              uint32
+	QueuedPrefillTokens uint64
+	RunningDecodeTokens uint64
+	PrefillRate         float64
+	DecodeRate          float64
+	CacheUsed           float64
+	// KVTokens is the capacity of the KV cache in tokens, KVUsed how many of them running and
+	// queued requests reserve. If KVTokens is zero, it is unknown.
+	KVTokens uint64
+	KVUsed   uint64
+	// Age is how long before the report the load was measured, in whole milliseconds.
+	Age time.Duration
+}
+
 // Server is one backend server as the decisions see it.
 type Server struct {
 	ID          string
@@ -151,7 +168,7 @@
 	PrefillOverheadSeconds float64
 	// Load is the server's last report. ReportedAt is the time it describes, since boot, with
 	// the reporting lag subtracted.
-	Load       engineapi.Load
+	Load       Load
 	ReportedAt time.Duration
 	// InFlight is what this entry has sent to the server and not seen finished.
 	InFlight InFlight
--- a/internal/decision/placement/owner_test.go
+++ b/internal/decision/placement/owner_test.go
@@ -8,13 +8,12 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 func countsOnlyEngine(i int, role decision.Role) decision.Server {
 	return decision.Server{
 		ID: fmt.Sprint("engine-", i), Kind: declaration.KindModel, Model: "m", Role: role, Usable: true, Slots: 64,
-		ReportsCountsOnly: true, Load: engineapi.Load{PrefillRate: 30000, DecodeRate: 5000, KVTokens: 460000},
+		ReportsCountsOnly: true, Load: decision.Load{PrefillRate: 30000, DecodeRate: 5000, KVTokens: 460000},
 	}
 }
 
--- a/internal/decision/placement/peers_test.go
+++ b/internal/decision/placement/peers_test.go
@@ -9,7 +9,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // engineSim simulates engines that prefill one prompt after the other for several entries, in
@@ -118,7 +117,7 @@
 		s := decision.Server{
 			ID: engineName(i), Kind: declaration.KindModel, Model: "m", Role: decision.RoleMixed, Usable: true, Slots: 128,
 			ReportsCountsOnly: true, EstimatedPeerRunning: running, EstimatedPeerWaiting: waiting, MeanPrefillTokens: meanPrefillTokens,
-			Load:     engineapi.Load{PrefillRate: f.rate / f.slowdown[i], DecodeRate: 1e6},
+			Load:     decision.Load{PrefillRate: f.rate / f.slowdown[i], DecodeRate: 1e6},
 			InFlight: decision.InFlight{Requests: own.Requests, PrefillBacklog: own.PrefillBacklog},
 		}
 		s.PreferredByOtherGroup = f.preferredByOtherGroup(entry, i)
--- a/internal/decision/placement/placement_test.go
+++ b/internal/decision/placement/placement_test.go
@@ -15,7 +15,7 @@
 	for i, role := range roles {
 		s := decision.Server{
 			ID: fmt.Sprint("engine-", i), Kind: declaration.KindModel, Model: "m", Role: role,
-			Usable: true, Slots: 32, Load: engineapi.Load{PrefillRate: 10000, DecodeRate: 889, KVTokens: 600000},
+			Usable: true, Slots: 32, Load: decision.Load{PrefillRate: 10000, DecodeRate: 889, KVTokens: 600000},
 		}
 		if role == decision.RoleMixed {
 			s.Load.PrefillRate, s.Load.DecodeRate = 4000, 355
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -5,7 +5,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/backpressure"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -24,7 +23,7 @@
 }
 
 // Announced is an announcement by a backend server, already validated.
-type Announced struct{ Announcement engineapi.Announcement }
+type Announced struct{ Announcement Announcement }
 
 // ServerReported is the state that a server reported with a response or a probe.
 type ServerReported struct {
@@ -32,7 +31,7 @@
 	Incarnation string
 	// State is empty if the server reported none.
 	State   decision.ServerState
-	Load    engineapi.Load
+	Load    decision.Load
 	HasLoad bool
 	// FromResponse is set if the report came with the response to a request that was sent at
 	// SentAt. Backpressure is what the server said with it about the load that it accepts.
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -6,7 +6,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 	"goldcrestseam.dev/goldcrestseam/internal/wire"
 )
@@ -98,7 +97,7 @@
 func (s *server) reportsCountsOnly() bool { return s.load.PrefillRate == 0 && s.load.DecodeRate == 0 }
 
 // effectiveLoad returns the server's load, with assumed rates if it reports none.
-func (r *Reducer) effectiveLoad(s *server) engineapi.Load {
+func (r *Reducer) effectiveLoad(s *server) decision.Load {
 	load := s.load
 	if s.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL {
 		return load
--- a/internal/entry/hard_deadline_test.go
+++ b/internal/entry/hard_deadline_test.go
@@ -8,7 +8,6 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/admission"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -176,7 +175,7 @@
 	reportLoad := func(waiting uint32) {
 		w.step(ServerReported{
 			Server: "engine-0", Incarnation: "life-1", State: decision.StateServing, HasLoad: true,
-			Load: engineapi.Load{Running: 1, Queued: waiting},
+			Load: decision.Load{Running: 1, Queued: waiting},
 		})
 	}
 	w.arriveWithDeadline("first", func(a *RequestArrived) { dossier(a); a.Work.PromptTokens = 10000 })
--- a/internal/entry/sent_announcements_test.go
+++ b/internal/entry/sent_announcements_test.go
@@ -5,7 +5,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
@@ -14,9 +13,9 @@
 func (w *harness) announceState(state decision.ServerState, runningOrder string) []Report {
 	w.renew()
 	s := testServer(0, pb.ServerState_SERVER_STATE_SERVING)
-	w.step(Announced{Announcement: engineapi.Announcement{
+	w.step(Announced{Announcement: Announcement{
 		ID: s.Id, Incarnation: s.Incarnation, Address: s.Address, Kind: declaration.KindModel,
-		State: engineapi.State(state), RunningOrder: runningOrder,
+		State: state, RunningOrder: runningOrder,
 	}})
 	reports := effectsOf[Report](w.effects)
 	w.advance(reportInterval)
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -8,7 +8,6 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/backpressure"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/speed"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
@@ -34,7 +33,7 @@
 	ownStateAt time.Duration
 	// aliveUnreported is set until other entries are told of that state.
 	aliveUnreported bool
-	load            engineapi.Load
+	load            decision.Load
 	reportedAt      time.Duration
 	failures        int
 	coolUntil       time.Duration
@@ -105,7 +104,7 @@
 	// roleAverages holds the average load of servers by role and pool.
 	roleAverages map[roleKey]*decision.FleetAverage
 	// pending keeps the announcements of servers that the view does not contain yet.
-	pending map[string]engineapi.Announcement
+	pending map[string]Announcement
 	// restricted are the servers that accept less than they have slots for, in order of id.
 	restricted []*server
 	ended      endedIncarnations
@@ -113,7 +112,7 @@
 
 func newServerTable() serverTable {
 	return serverTable{
-		byID: make(map[string]*server), roleAverages: make(map[roleKey]*decision.FleetAverage), pending: make(map[string]engineapi.Announcement),
+		byID: make(map[string]*server), roleAverages: make(map[roleKey]*decision.FleetAverage), pending: make(map[string]Announcement),
 	}
 }
 
@@ -148,7 +147,7 @@
 func (t *serverTable) newServer(p *pb.BackendServer, now time.Duration) *server {
 	s := &server{pb: p, roleAverage: t.roleAverage(p), backpressure: t.ended.take(p.Incarnation)}
 	if a, ok := t.pending[p.Id]; ok && a.Incarnation == p.Incarnation {
-		s.observeState(decision.ServerState(a.State), now)
+		s.observeState(a.State, now)
 		s.setLoad(a.Load, now)
 	}
 	delete(t.pending, p.Id)
@@ -203,8 +202,8 @@
 }
 
 // setLoad applies a load report and drops the work that was sent before the load was measured.
-func (s *server) setLoad(load engineapi.Load, now time.Duration) {
-	at := now - time.Duration(load.AgeMS)*time.Millisecond
+func (s *server) setLoad(load decision.Load, now time.Duration) {
+	at := now - load.Age
 	if at < s.reportedAt {
 		return
 	}
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/admission"
@@ -34,7 +33,7 @@
 	for _, n := range m.engines {
 		e.fleet.Servers = append(e.fleet.Servers, decision.Server{
 			ID: n.id, Kind: declaration.KindModel, Model: m.scenario.Model, Role: native.Role(n.engine.Role()),
-			Usable: true, Slots: n.engine.Config().Slots, Load: n.engine.Load(0),
+			Usable: true, Slots: n.engine.Config().Slots, Load: native.Load(n.engine.Load(0)),
 		})
 	}
 	return e
@@ -49,8 +48,8 @@
 		if n.lost {
 			continue
 		}
-		s.Load = n.engine.Load(e.sim.now)
-		s.ReportedAt = e.sim.now - time.Duration(s.Load.AgeMS)*time.Millisecond
+		s.Load = native.Load(n.engine.Load(e.sim.now))
+		s.ReportedAt = e.sim.now - s.Load.Age
 		e.inFlight[i].ApplyReport(s.ReportedAt)
 		s.InFlight = e.inFlight[i].InFlight
 	}
--- a/internal/traffic/effects.go
+++ b/internal/traffic/effects.go
@@ -40,6 +40,6 @@
 	}
 	s.host.Post(entry.ServerReported{
 		Server: health.ID, Incarnation: health.Incarnation, State: native.State(health.State),
-		Load: health.Load, HasLoad: true,
+		Load: native.Load(health.Load), HasLoad: true,
 	})
 }
--- a/internal/traffic/entries.go
+++ b/internal/traffic/entries.go
@@ -12,6 +12,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
+	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 const (
@@ -77,11 +78,22 @@
 	if problem := checkAnnouncement(&a); problem != "" {
 		return invalid(problem)
 	}
-	s.host.Post(entry.Announced{Announcement: a})
+	s.host.Post(entry.Announced{Announcement: reducerAnnouncement(&a)})
 	s.setCommonHeaders(c, outcome.Ran)
 	return c.JSON(s.host.Snapshot().AnnounceAnswer(a.ID))
 }
 
+// reducerAnnouncement converts an announcement for the reducer.
+func reducerAnnouncement(a *engineapi.Announcement) entry.Announcement {
+	return entry.Announcement{
+		ID: a.ID, Incarnation: a.Incarnation, Address: a.Address, Region: a.Region, DataCentre: a.DataCentre,
+		Kind: a.Kind, Services: a.Services, Model: a.Model, Version: a.Version, Adapters: a.Adapters,
+		Role: native.Role(a.Role), State: native.State(a.State), Slots: a.Slots, Load: native.Load(a.Load),
+		LastOrder: a.LastOrder, LastTerm: a.LastToken.Term, LastSequence: a.LastToken.Sequence,
+		RunningOrder: a.RunningOrder,
+	}
+}
+
 // checkAnnouncement validates an announcement. It returns a description of the
 // first problem, or "" if there is none.
 func checkAnnouncement(a *engineapi.Announcement) string {
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -136,7 +136,7 @@
 		return
 	}
 	s.host.Post(entry.ServerReported{
-		Server: server, Incarnation: incarnation, State: native.State(status.state), Load: status.load, HasLoad: status.hasLoad,
+		Server: server, Incarnation: incarnation, State: native.State(status.state), Load: native.Load(status.load), HasLoad: status.hasLoad,
 		FromResponse: true, SentAt: status.sentAt, Backpressure: status.backpressure,
 	})
 }
--- a/internal/wire/native/native.go
+++ b/internal/wire/native/native.go
@@ -3,6 +3,8 @@
 package native
 
 import (
+	"time"
+
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
@@ -19,6 +21,16 @@
 // both packages.
 func State(state engineapi.State) decision.ServerState { return decision.ServerState(state) }
 
+// Load converts the load that a backend server reports.
+func Load(l engineapi.Load) decision.Load {
+	return decision.Load{
+		Running: l.Running, Queued: l.Queued,
+		QueuedPrefillTokens: l.QueuedPrefillTokens, RunningDecodeTokens: l.RunningDecodeTokens,
+		PrefillRate: l.PrefillRate, DecodeRate: l.DecodeRate, CacheUsed: l.CacheUsed,
+		KVTokens: l.KVTokens, KVUsed: l.KVUsed, Age: time.Duration(l.AgeMS) * time.Millisecond,
+	}
+}
+
 // Token converts the fencing token of an order.
 func Token(t *pb.FencingToken) engineapi.FencingToken {
 	return engineapi.FencingToken{Term: t.GetTerm(), Sequence: t.GetSequence()}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -5,7 +5,6 @@
 import (
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
@@ -65,8 +64,3 @@
 		return pb.ServerState_SERVER_STATE_SERVING
 	}
 }
-
-// TokenProto converts a fencing token.
-func TokenProto(t engineapi.FencingToken) *pb.FencingToken {
-	return &pb.FencingToken{Term: t.Term, Sequence: t.Sequence}
-}
