--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Work is one request as the decisions see it. Times are since boot (clock.SinceBoot).
@@ -39,7 +38,7 @@
 	// Prefix is the chain of hashes of the prompt's blocks, salted by member.
 	Prefix []uint64
 	// BlockTokens is the number of tokens of each block in Prefix; nil if every block has
-	// engineapi.BlockTokens.
+	// DefaultBlockTokens.
 	BlockTokens []int
 	// Arrived is the arrival time; FirstTokenBy and FinishBy are the deadlines.
 	Arrived      time.Duration
@@ -73,10 +72,14 @@
 	KVTransferRate float64
 }
 
+// DefaultBlockTokens is the number of prompt tokens that a block of a prefix has unless
+// Work.BlockTokens says otherwise.
+const DefaultBlockTokens = 256
+
 // PrefixTokens returns the number of tokens in the first blocks of Prefix.
 func (w *Work) PrefixTokens(blocks int) int {
 	if w.BlockTokens == nil {
-		return blocks * engineapi.BlockTokens
+		return blocks * DefaultBlockTokens
 	}
 	sum := 0
 	for _, n := range w.BlockTokens[:blocks] {
@@ -122,6 +125,13 @@
 	Age time.Duration
 }
 
+// CacheEvent reports that a server stored a block of a prompt prefix in its cache, or evicted
+// it. Hash is the block's element of Work.Prefix.
+type CacheEvent struct {
+	Hash    uint64
+	Dropped bool
+}
+
 // Server is one backend server as the decisions see it.
 type Server struct {
 	ID          string
--- a/internal/decision/placement/placement_test.go
+++ b/internal/decision/placement/placement_test.go
@@ -7,7 +7,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 func fleetOf(roles ...decision.Role) *decision.Fleet {
@@ -154,7 +153,7 @@
 		t.Fatal("accepts a queue of ten seconds to save six seconds of prefill")
 	}
 	first.Server.Load.QueuedPrefillTokens = 0
-	p.ApplyCacheEvents(time.Minute, first.Server.ID, []engineapi.CacheEvent{{Hash: 1, Dropped: true}})
+	p.ApplyCacheEvents(time.Minute, first.Server.ID, []decision.CacheEvent{{Hash: 1, Dropped: true}})
 	if c, _ := p.Pick(time.Minute, w, f); c.Figures[1].Value != 0 {
 		t.Fatal("counts blocks as cached after the first one was evicted")
 	}
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -88,7 +88,7 @@
 )
 
 // RequestArrived is a new request that the declaration allows a member to make. Work.RequestID
-// is its wire id (engineapi.WireID).
+// identifies it among the requests of all members.
 type RequestArrived struct {
 	Work  decision.Work
 	Retry RetryRule
--- a/internal/traffic/effects.go
+++ b/internal/traffic/effects.go
@@ -28,7 +28,9 @@
 func (s *Server) pollCache(p entry.PollCache) {
 	events, ok := s.engines.cacheEvents(p.Address, p.After)
 	if ok {
-		s.host.Post(entry.CacheReported{Server: p.Server, Incarnation: p.Incarnation, Events: events})
+		s.host.Post(entry.CacheReported{
+			Server: p.Server, Incarnation: p.Incarnation, Events: native.CacheEvents(events.Events), Next: events.Next,
+		})
 	}
 }
 
--- a/internal/traffic/entries.go
+++ b/internal/traffic/entries.go
@@ -80,7 +80,10 @@
 	}
 	s.host.Post(entry.Announced{Announcement: reducerAnnouncement(&a)})
 	s.setCommonHeaders(c, outcome.Ran)
-	return c.JSON(s.host.Snapshot().AnnounceAnswer(a.ID))
+	answer := s.host.Snapshot().AnnounceAnswer(a.ID)
+	return c.JSON(engineapi.AnnounceAnswer{
+		IntervalMS: uint32(answer.Interval.Milliseconds()), Entries: answer.Entries, Leave: answer.Leave,
+	})
 }
 
 // reducerAnnouncement converts an announcement for the reducer.
--- a/internal/wire/native/native.go
+++ b/internal/wire/native/native.go
@@ -31,6 +31,18 @@
 	}
 }
 
+// CacheEvents converts changes of an engine's prefix cache.
+func CacheEvents(events []engineapi.CacheEvent) []decision.CacheEvent {
+	list := make([]decision.CacheEvent, 0, len(events))
+	for _, e := range events {
+		list = append(list, decision.CacheEvent{Hash: e.Hash, Dropped: e.Dropped})
+	}
+	return list
+}
+
+// The hashes of engineapi.PrefixChain cover the blocks that the decisions assume.
+var _ = [1]struct{}{}[engineapi.BlockTokens-decision.DefaultBlockTokens]
+
 // Token converts the fencing token of an order.
 func Token(t *pb.FencingToken) engineapi.FencingToken {
 	return engineapi.FencingToken{Term: t.GetTerm(), Sequence: t.GetSequence()}
--- a/internal/wire/native/native_test.go
+++ b/internal/wire/native/native_test.go
@@ -30,3 +30,10 @@
 		}
 	}
 }
+
+func TestCacheEventsKeepOrderAndContent(t *testing.T) {
+	got := CacheEvents([]engineapi.CacheEvent{{Seq: 1, Salt: "s", Hash: 7}, {Seq: 2, Salt: "s", Hash: 8, Dropped: true}})
+	if want := []decision.CacheEvent{{Hash: 7}, {Hash: 8, Dropped: true}}; !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
