--- a/internal/traffic/http_test.go
+++ b/internal/traffic/http_test.go
@@ -100,7 +100,8 @@
 			t.Errorf("%s: %d", body, a.status)
 		}
 	}
-	if a := f.do("POST", "/v1/backend/announce", nil, valid); a.status != http.StatusOK || a.outcome() == "" {
+	a := f.do("POST", "/v1/backend/announce", nil, valid)
+	if a.status != http.StatusOK || a.outcome() == "" || string(a.body) != `{"interval_ms":1000,"entries":[]}` {
 		t.Fatalf("valid announcement: %d %s", a.status, a.body)
 	}
 	f.waitFor("control has the valid announcement", func() bool { return countReported(f) > 0 })
