--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -5,7 +5,6 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/backpressure"
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -24,15 +23,15 @@
 }
 
 // Announced is an announcement by a backend server, already validated.
-type Announced struct{ Announcement engineapi.Announcement }
+type Announced struct{ Announcement Announcement }
 
 // ServerReported is the state that a server reported with a response or a probe.
 type ServerReported struct {
 	Server      string
 	Incarnation string
 	// State is empty if the server reported none.
-	State   engineapi.State
-	Load    engineapi.Load
+	State   decision.ServerState
+	Load    decision.Load
 	HasLoad bool
 	// FromResponse is set if the report came with the response to a request that was sent at
 	// SentAt. Backpressure is what the server said with it about the load that it accepts.
@@ -89,7 +88,7 @@
 )
 
 // RequestArrived is a new request that the declaration allows a member to make. Work.RequestID
-// is its wire id (engineapi.WireID).
+// identifies it among the requests of all members.
 type RequestArrived struct {
 	Work  decision.Work
 	Retry RetryRule
