--- a/internal/entry/revisions_test.go
+++ b/internal/entry/revisions_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
+	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -51,7 +51,7 @@
 	for end := c.now + d; c.now < end; {
 		c.advance(simTick)
 		for i := range c.servers {
-			c.reportState(i, engineapi.StateServing)
+			c.reportState(i, decision.StateServing)
 		}
 		c.step(Tick{})
 		for _, e := range effectsOf[AskRevision](c.effects) {
