--- a/internal/entry/arrival.go
+++ b/internal/entry/arrival.go
@@ -62,8 +62,6 @@
 		return outcome.NoConfiguration(), nil
 	case r.refusesNew(q):
 		return refuseLeaving(), nil
-	case r.outdated() && !q.begun():
-		return outcome.OutdatedView(), nil
 	}
 	if refusal := r.authorize(q); refusal != nil {
 		return refusal, nil
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -10,7 +10,6 @@
 
 // dispatchWaiting dispatches the waiting requests for which placement finds a server.
 func (r *Reducer) dispatchWaiting() {
-	r.refuseOutdated()
 	r.dispatchHeld()
 	for {
 		var choice placement.Choice
--- a/internal/entry/effect.go
+++ b/internal/entry/effect.go
@@ -104,10 +104,6 @@
 // RequestSum asks the aggregator for the sum of backlogs.
 type RequestSum struct{}
 
-// AskRevision asks the entry at an address which revision of the declaration it has in force. The
-// answer is a RevisionHeard. No answer has no event.
-type AskRevision struct{ Address string }
-
 // RequestPermit asks the entry at an address for permits. The answer is a PermitAnswered or a
 // PermitTimedOut.
 type RequestPermit struct {
@@ -171,7 +167,6 @@
 func (ReportToPeers) isEffect() {}
 func (AnswerSum) isEffect()     {}
 func (RequestSum) isEffect()    {}
-func (AskRevision) isEffect()   {}
 func (RequestPermit) isEffect() {}
 func (AnswerPermit) isEffect()  {}
 func (Publish) isEffect()       {}
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -195,10 +195,6 @@
 // AggregatorTimedOut reports that the aggregator at an address did not answer in time.
 type AggregatorTimedOut struct{ Address string }
 
-// RevisionHeard is the revision of the declaration that another entry has in force.
-type RevisionHeard struct{ Revision uint64 }
-
-func (RevisionHeard) isEvent()      {}
 func (PermitRequested) isEvent()    {}
 func (PermitAnswered) isEvent()     {}
 func (PermitTimedOut) isEvent()     {}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -230,18 +230,9 @@
 
 func (r *Reducer) peerAddresses() []string {
 	var list []string
-	for _, id := range r.otherEntries() {
-		list = append(list, id.GetPeerAddress())
-	}
-	return list
-}
-
-// otherEntries returns the other entries that have a peer address, in order of name.
-func (r *Reducer) otherEntries() []*pb.EntryIdentity {
-	var list []*pb.EntryIdentity
 	for _, e := range r.view.sortedEntries() {
 		if id := e.info.GetIdentity(); id.GetName() != r.cfg.Identity.GetName() && id.GetPeerAddress() != "" {
-			list = append(list, id)
+			list = append(list, id.GetPeerAddress())
 		}
 	}
 	return list
--- a/internal/entry/reducer.go
+++ b/internal/entry/reducer.go
@@ -63,7 +63,6 @@
 	decisions decider
 	speeds    speeds
 	peers     peerBacklogs
-	revisions peerRevisions
 	suspects  suspectTable
 	permits   permits
 	// held is accepted work that waits outside of the queue.
@@ -157,8 +156,6 @@
 		r.sumReceived(ev)
 	case AggregatorTimedOut:
 		r.aggregatorTimedOut(ev)
-	case RevisionHeard:
-		r.revisionHeard(ev)
 	case PermitRequested:
 		r.permitRequested(ev)
 	case PermitAnswered:
@@ -194,7 +191,6 @@
 	}
 	r.expireBackoffs()
 	r.updateLeaseExpiring()
-	r.askRevisions()
 	r.sendProbes()
 	r.pollCaches()
 	r.expireWaiting()
--- a/internal/entry/snapshot.go
+++ b/internal/entry/snapshot.go
@@ -17,9 +17,6 @@
 	Entries     []EntryWeight
 	ViewVersion uint64
 	Revision    uint64
-	// Superseded is set if another entry has a later revision in force. Without a lease on the
-	// view, new requests are then not served by this declaration.
-	Superseded bool
 	// Drained holds the backend servers that operators have drained.
 	Drained map[string]bool
 	// Servers is the number of backend servers in the view.
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -76,7 +76,6 @@
 		}
 	}
 	v.confirmedAt = max(v.confirmedAt, ev.SentAt)
-	r.dropDisprovedRevision(ev.SentAt)
 	lease := min(time.Duration(resp.LeaseMs)*time.Millisecond, maxLease)
 	if until := ev.SentAt + lease; until > v.leaseUntil {
 		r.dirty = r.dirty || r.stale()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -126,8 +126,6 @@
 		h.peers.sumRequests.resolve(e.Key, e.Sum)
 	case entry.AnswerPermit:
 		h.peers.permitRequests.resolve(e.Key, e.Answer)
-	case entry.AskRevision:
-		h.Spawn(func() { h.peers.askRevision(e) })
 	case entry.RequestPermit:
 		h.Spawn(func() { h.peers.requestPermit(e) })
 	case entry.RequestSum:
--- a/internal/relay/job.go
+++ b/internal/relay/job.go
@@ -77,25 +77,25 @@
 	return s.host.Snapshot().Ready() || s.await(ctx, req, "a configuration", s.host.AwaitConfiguration)
 }
 
-// findRoute returns the request's route. If the lease on the entry's view has expired, and there is
-// no route or another entry has a later manifest, it waits a limited time for a view in force: the
-// route may have been added, moved or removed since.
+// findRoute returns the request's route. If there is none and the lease on the entry's view has
+// expired, it waits a limited time for a view in force, because the route may have been added
+// since.
 func (s *Server) findRoute(ctx context.Context, req *Request) (*entry.Snapshot, *declaration.HostRoute, *outcome.Refusal) {
 	inForce := s.host.ViewLeaseValid()
 	snap := s.host.Snapshot()
 	route := snap.Routes.Find(req.Host, req.Path)
-	if !inForce && (route == nil || snap.Superseded) {
+	if route == nil && !inForce {
 		inForce = s.await(ctx, req, "a view in force", s.host.AwaitViewLease)
 		snap = s.host.Snapshot()
 		route = snap.Routes.Find(req.Host, req.Path)
 	}
 	switch {
-	case !inForce && (route == nil || snap.Superseded):
+	case route != nil:
+		return snap, route, nil
+	case !inForce:
 		return nil, nil, outcome.OutdatedView()
-	case route == nil:
-		return nil, nil, noRoute()
 	}
-	return snap, route, nil
+	return nil, nil, noRoute()
 }
 
 // await waits a limited time for something that the entry must know before it can answer the
