--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -7,6 +7,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
@@ -112,10 +113,10 @@
 func (b *entryBench) announce(i int) {
 	b.now += eventInterval
 	s := sampleServer(i)
-	b.reducer.Step(b.now, entry.Announced{Announcement: entry.Announcement{
-		ID: s.Id, Incarnation: s.Incarnation, Address: s.Address,
-		Region: s.Region, DataCentre: s.DataCentre, Kind: declaration.KindModel, Model: sampleModel,
-		Role: decision.RoleMixed, State: decision.StateServing, Slots: 64,
+	b.reducer.Step(b.now, entry.Announced{Announcement: engineapi.Announcement{
+		Cluster: sampleCluster, ID: s.Id, Incarnation: s.Incarnation, Address: s.Address,
+		Region: s.Region, DataCentre: s.DataCentre, Kind: engineapi.KindModel, Model: sampleModel,
+		Role: engineapi.RoleMixed, State: engineapi.StateServing, Slots: 64,
 	}})
 }
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -84,9 +84,6 @@
 
 // Run runs the command, prints its error to stderr and returns the exit code.
 func Run(root *cobra.Command, stderr io.Writer) int {
-	started := false
-	root.InitDefaultCompletionCmd()
-	prepare(root, &started)
 	err := root.Execute()
 	if err == nil {
 		return ExitOK
@@ -96,29 +93,5 @@
 	if errors.As(err, &coded) {
 		return coded.Code
 	}
-	if !started {
-		return ExitUsage
-	}
 	return ExitFailed
 }
-
-// prepare makes cmd and the commands below it set started when they run. Errors before that are cobra's,
-// about the command line: an unknown command, a wrong number of arguments, a missing flag.
-//
-// Failure: cobra prints the help of a command that only groups others and reports success, also if an
-// unknown command follows: a script with a misspelt one goes on as if it had been carried out.
-func prepare(cmd *cobra.Command, started *bool) {
-	if !cmd.Runnable() && cmd.HasParent() {
-		cmd.Args = cobra.NoArgs
-		cmd.RunE = func(cmd *cobra.Command, _ []string) error { return cmd.Help() }
-	}
-	if run := cmd.RunE; run != nil {
-		cmd.RunE = func(cmd *cobra.Command, args []string) error {
-			*started = true
-			return run(cmd, args)
-		}
-	}
-	for _, sub := range cmd.Commands() {
-		prepare(sub, started)
-	}
-}
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -56,8 +56,6 @@
 		r.onChangeRole(id, q)
 	case *pb.ListReplicasRequest:
 		r.readCall(id, func() proto.Message { return r.replicas() })
-	case *pb.UsageRequest:
-		r.readCall(id, func() proto.Message { return r.usageReports() })
 	case *pb.ChangeReplicaRequest:
 		r.onChangeReplica(id, q)
 	case *pb.JoinRequest:
--- a/internal/control/delivery.go
+++ b/internal/control/delivery.go
@@ -9,7 +9,6 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 	"goldcrestseam.dev/goldcrestseam/internal/wire"
-	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 const (
@@ -224,8 +223,8 @@
 func (r *Reducer) apiOrder(o *pb.Order) engineapi.Order {
 	return engineapi.Order{
 		ID: o.GetId(), Incarnation: o.GetIncarnation(), Sender: r.cfg.Sender,
-		Token: native.Token(o.GetToken()),
-		Kind:  apiOrderKind(o.GetKind()), Role: native.EngineRole(wire.Role(o.GetRole())),
+		Token: wire.Token(o.GetToken()),
+		Kind:  apiOrderKind(o.GetKind()), Role: wire.Role(o.GetRole()),
 		Model: o.GetModel(), Version: o.GetModelVersion(), Adapter: o.GetAdapter(),
 	}
 }
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -108,10 +108,8 @@
 type dutyCall struct {
 	inFlight bool
 	attempts int
-	// last is the answer to the last completed attempt.
-	last    DutyAnswered
-	retryAt time.Duration
-	request DutyCall
+	retryAt  time.Duration
+	request  DutyCall
 }
 
 func newLeaderDuties() leaderDuties { return leaderDuties{calls: make(map[string]*dutyCall)} }
@@ -159,7 +157,6 @@
 	}
 	call.inFlight = false
 	call.attempts++
-	call.last = e
 	d.inFlight--
 	r.logDuty(e, call)
 	switch e.Result {
--- a/internal/control/effect.go
+++ b/internal/control/effect.go
@@ -54,13 +54,6 @@
 	IsLeader bool
 }
 
-// UsageProgress reports windows of members' usage that were committed, for metrics.
-type UsageProgress struct {
-	// Decided is the number of windows that got their final counts, Reported that of windows
-	// whose reports were accepted.
-	Decided, Reported int
-}
-
 // Fatal ends the process: continuing could serve answers from a corrupt state.
 type Fatal struct{ Err error }
 
@@ -82,6 +75,5 @@
 func (Reply) isEffect()           {}
 func (SendOrder) isEffect()       {}
 func (Members) isEffect()         {}
-func (UsageProgress) isEffect()   {}
 func (Fatal) isEffect()           {}
 func (Log) isEffect()             {}
--- a/internal/control/runner/duties.go
+++ b/internal/control/runner/duties.go
@@ -41,7 +41,6 @@
 func (d *dutyCaller) call(c control.DutyCall) {
 	d.wg.Go(func() {
 		result, reason := d.deliver(c)
-		d.loop.scope.Tagged(map[string]string{"duty": string(c.Duty), "result": string(result)}).Counter("duty_calls").Inc(1)
 		d.loop.post(control.DutyAnswered{Duty: c.Duty, Subject: c.Subject, Result: result, Reason: reason})
 	})
 }
--- a/internal/control/runner/loop.go
+++ b/internal/control/runner/loop.go
@@ -51,10 +51,6 @@
 
 	// callCounters counts the calls of other processes.
 	callCounters *rpc.CallCounters
-	// windowsDecided and windowsReported count the windows of members' usage that were
-	// committed while this replica led. They exist from the start, so that an alert on one
-	// that does not grow also fires before its first window.
-	windowsDecided, windowsReported tally.Counter
 
 	events chan control.Event
 	stop   chan struct{}
@@ -74,13 +70,11 @@
 func newLoop(reducer *control.Reducer, log *slog.Logger, scope tally.Scope) *loop {
 	l := &loop{
 		reducer: reducer, log: log, scope: scope, callCounters: rpc.NewCallCounters(scope),
-		windowsDecided:  scope.Counter("usage_windows_decided"),
-		windowsReported: scope.Counter("usage_windows_reported"),
-		events:          make(chan control.Event, eventQueueLength),
-		stop:            make(chan struct{}),
-		done:            make(chan struct{}),
-		failed:          make(chan error, 1),
-		pendingCalls:    make(map[uint64]chan control.Reply),
+		events:       make(chan control.Event, eventQueueLength),
+		stop:         make(chan struct{}),
+		done:         make(chan struct{}),
+		failed:       make(chan error, 1),
+		pendingCalls: make(map[uint64]chan control.Reply),
 	}
 	l.group.Store(&group{members: &pb.Membership{}})
 	return l
@@ -137,7 +131,6 @@
 		{"backend_servers", float64(f.Servers)}, {"entries", float64(f.Entries)},
 		{"unresolved_orders", float64(f.UnresolvedOrders)}, {"claims", float64(f.Claims)},
 		{"suspects", float64(f.Suspects)}, {"stored_answer_bytes", float64(f.AnswerBytes)},
-		{"usage_oldest_unreported_seconds", l.reducer.OldestUnreportedUsage().Seconds()},
 	} {
 		l.scope.Gauge(g.name).Update(g.value)
 	}
@@ -165,9 +158,6 @@
 		l.group.Store(&group{members: e.Committed, leader: e.Leader, isLeader: e.IsLeader})
 		l.net.setMembers(e.Membership)
 		l.scope.Gauge("leads").Update(boolGauge(e.IsLeader))
-	case control.UsageProgress:
-		l.windowsDecided.Inc(int64(e.Decided))
-		l.windowsReported.Inc(int64(e.Reported))
 	case control.Fatal:
 		l.fail(e.Err)
 	case control.Log:
--- a/internal/control/runner/server.go
+++ b/internal/control/runner/server.go
@@ -197,11 +197,6 @@
 	return typedAnswer[*pb.ListReplicasResponse](s.loop.call(ctx, q))
 }
 
-// Usage implements pb.Operator.
-func (s *services) Usage(ctx context.Context, q *pb.UsageRequest) (*pb.UsageResponse, error) {
-	return typedAnswer[*pb.UsageResponse](s.loop.call(ctx, q))
-}
-
 // Join implements pb.Operator.
 func (s *services) Join(ctx context.Context, q *pb.JoinRequest) (*pb.JoinResponse, error) {
 	return typedAnswer[*pb.JoinResponse](s.loop.call(ctx, q))
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -170,7 +170,7 @@
 				RequestId: known.requestID, Fingerprint: known.fingerprint,
 				Owner: &pb.EntryIdentity{Name: known.owner.name, Incarnation: known.owner.incarnation},
 			},
-			Status: known.status, Answer: known.answer, Answered: known.answerSequence, Ended: known.ended,
+			Status: known.status, Answer: known.answer, Answered: known.answerSequence,
 		})
 	}
 	slices.SortFunc(list, func(a, b *pb.ClaimRecord) int {
@@ -191,7 +191,7 @@
 		known := &claim{
 			requestID: r.GetClaim().GetRequestId(), owner: ownerOf(r.GetClaim().GetOwner()),
 			fingerprint: r.GetClaim().GetFingerprint(), status: r.GetStatus(),
-			answer: r.GetAnswer(), answerSequence: r.GetAnswered(), ended: r.GetEnded(),
+			answer: r.GetAnswer(), answerSequence: r.GetAnswered(),
 		}
 		c.byKey[key] = known
 		bucket := keyMS / claimBucketWidth.Milliseconds()
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -62,10 +62,6 @@
 	}
 }
 
-func (u *usageState) isPending(window int64) bool {
-	return slices.ContainsFunc(u.pending, func(w *pb.UsageWindow) bool { return w.GetWindow() == window })
-}
-
 // leaderUsage is the leader's in-memory state of usage accounting.
 type leaderUsage struct {
 	// firstWindow is the window in which this leadership began, or in which members were
@@ -78,15 +74,10 @@
 	completeBefore map[string]int64
 	// proposing is set while a decision is being replicated.
 	proposing bool
-	// taking holds the windows whose acceptance is being replicated.
-	taking map[int64]bool
 }
 
 func newLeaderUsage() leaderUsage {
-	return leaderUsage{
-		counts: make(map[int64]map[string]*pb.UsageWindow), completeBefore: make(map[string]int64),
-		taking: make(map[int64]bool),
-	}
+	return leaderUsage{counts: make(map[int64]map[string]*pb.UsageWindow), completeBefore: make(map[string]int64)}
 }
 
 func incarnationKey(id *pb.EntryIdentity) string { return id.GetName() + "/" + id.GetIncarnation() }
@@ -200,12 +191,7 @@
 		r.log(slog.LevelInfo, "usage decided", Field{"window", w.GetWindow()},
 			Field{"members", len(w.GetCounts())}, Field{"requests", totalRequests(w)})
 	}
-	r.propose(&pb.Command{Op: &pb.Command_Usage{Usage: update}}, func(_ proto.Message, ok bool) {
-		l.proposing = false
-		if ok {
-			r.emit(UsageProgress{Decided: len(update.Decided)})
-		}
-	})
+	r.propose(&pb.Command{Op: &pb.Command_Usage{Usage: update}}, func(proto.Message, bool) { l.proposing = false })
 }
 
 // usageReady reports whether all live entries have reported all counts of a window, or no
@@ -239,29 +225,7 @@
 	return out
 }
 
-// onUsageAccepted removes a window whose report was accepted, on all replicas. A window is
-// sent again until its acceptance is committed, so a second acceptance may come.
+// onUsageAccepted removes a window whose report was accepted, on all replicas.
 func (r *Reducer) onUsageAccepted(window int64) {
-	l := &r.lead.usage
-	first := !l.taking[window] && r.state.usage.isPending(window)
-	l.taking[window] = true
-	cmd := &pb.Command{Op: &pb.Command_Usage{Usage: &pb.UsageUpdate{Taken: []int64{window}}}}
-	r.propose(cmd, func(_ proto.Message, ok bool) {
-		delete(l.taking, window)
-		if ok && first {
-			r.emit(UsageProgress{Reported: 1})
-		}
-	})
-}
-
-// OldestUnreportedUsage returns how long ago the oldest window ended that is decided but not
-// known to be reported. It is zero for none, and on replicas that do not lead: their state may
-// be old.
-func (r *Reducer) OldestUnreportedUsage() time.Duration {
-	length, pending := r.cfg.Duties.Usage.Window, r.state.usage.pending
-	if r.lead == nil || length <= 0 || len(pending) == 0 {
-		return 0
-	}
-	end := time.Duration(pending[0].GetWindow()+1) * length
-	return max(0, time.Duration(r.wall())*time.Millisecond-end)
+	r.propose(&pb.Command{Op: &pb.Command_Usage{Usage: &pb.UsageUpdate{Taken: []int64{window}}}}, func(proto.Message, bool) {})
 }
--- a/internal/ctl/commands.go
+++ b/internal/ctl/commands.go
@@ -20,7 +20,7 @@
 	o.addFlags(root)
 	root.AddCommand(
 		newValidateCommand(), newPlanCommand(o), newApplyCommand(o),
-		newStatusCommand(o), newEntriesCommand(o), newUsageCommand(o),
+		newStatusCommand(o), newEntriesCommand(o),
 		newDrainCommand(o, "drain", "Drain a backend server: it gets no new requests", true),
 		newDrainCommand(o, "undrain", "Send requests to a drained backend server again", false),
 		newRolesCommand(o), newReplicaCommand(o), newExplainCommand(),
--- a/internal/ctl/options.go
+++ b/internal/ctl/options.go
@@ -49,7 +49,6 @@
 	f.StringVar(&o.auth.CertFile, "cert-file", "", "certificate (PEM), enables TLS")
 	f.StringVar(&o.auth.KeyFile, "key-file", "", "key of the certificate (PEM)")
 	f.StringVar(&o.auth.CAFile, "ca-file", "", "CA of the deployment (PEM)")
-	f.BoolVar(&o.auth.TrustedNetwork, "trusted-network", false, "call control without key and certificate")
 	f.StringVar(&o.output, "output", outputText, "text or json")
 	f.DurationVar(&o.timeout, "timeout", defaultTimeout, "how long to retry before giving up")
 }
@@ -64,7 +63,6 @@
 	if o.output != outputText && o.output != outputJSON {
 		return nil, usageError("--output is neither text nor json")
 	}
-	authFlags := o.auth
 	if o.settings != "" {
 		if err := o.fillFromSettings(); err != nil {
 			return nil, err
@@ -75,9 +73,8 @@
 		return nil, usageError("--control or --settings is needed")
 	case o.cluster == "":
 		return nil, usageError("--cluster or --settings is needed")
-	}
-	if err := checkAuth(authFlags, o.auth); err != nil {
-		return nil, err
+	case o.auth.SharedKeyFile == "" && !o.auth.TLS():
+		return nil, usageError("--shared-key-file, --cert-file or --settings is needed")
 	}
 	auth, err := rpc.LoadAuth(o.auth)
 	if err != nil {
@@ -86,30 +83,6 @@
 	return NewClient(o.cluster, o.control, auth), nil
 }
 
-// checkAuth checks the flags about credentials, and auth, which is what they and the settings file result
-// in.
-//
-// Failure: an operator names a credential, but incompletely or beside --trusted-network, and the command
-// is sent without it.
-func checkAuth(flags, auth settings.Auth) error {
-	named := flags
-	named.TrustedNetwork = false
-	anyNamed := named != settings.Auth{}
-	switch {
-	case flags.TrustedNetwork && anyNamed:
-		return usageError("--trusted-network excludes --shared-key-file, --cert-file, --key-file and --ca-file")
-	case hasCredential(auth):
-		return nil
-	case !auth.TrustedNetwork:
-		return usageError("--shared-key-file, --cert-file, --trusted-network or --settings is needed")
-	case anyNamed:
-		return usageError("--key-file and --ca-file need --cert-file")
-	}
-	return nil
-}
-
-func hasCredential(a settings.Auth) bool { return a.SharedKeyFile != "" || a.TLS() }
-
 // fillFromSettings sets the options that the flags leave out. It decodes only the common part of the
 // file; the process whose file it is checks it strictly.
 func (o *options) fillFromSettings() error {
@@ -122,13 +95,12 @@
 		return cli.WithCode(cli.ExitInvalid, err)
 	}
 	if len(o.control) == 0 {
-		file.Common.ApplyControlPort()
 		o.control = file.Common.Control
 	}
 	if o.cluster == "" {
 		o.cluster = file.Common.Cluster
 	}
-	if !o.auth.TrustedNetwork && !hasCredential(o.auth) {
+	if o.auth.SharedKeyFile == "" && !o.auth.TLS() {
 		o.auth = file.Common.Auth
 	}
 	return nil
--- a/internal/ctl/replicas.go
+++ b/internal/ctl/replicas.go
@@ -28,15 +28,6 @@
 	cmd.Flags().StringVar(&f.region, "region", "", "region of the replica")
 }
 
-// check must pass before the first call of a command: replace removes a dead voter before it adds the
-// replica.
-func (f *addedReplicaFlags) check() error {
-	if f.address == "" {
-		return usageError("--address is needed")
-	}
-	return nil
-}
-
 func newReplicaCommand(o *options) *cobra.Command {
 	cmd := &cobra.Command{Use: "replica", Short: "Show and change the replicas of the control group"}
 	cmd.AddCommand(newReplicaListCommand(o), newReplicaAddCommand(o), newReplicaRemoveCommand(o), newReplicaReplaceCommand(o))
@@ -80,9 +71,6 @@
 		if err != nil {
 			return err
 		}
-		if err := f.check(); err != nil {
-			return err
-		}
 		return c.addReplica(ctx, out, id, f)
 	})
 	return cmd
@@ -121,9 +109,6 @@
 		if err != nil {
 			return err
 		}
-		if err := f.check(); err != nil {
-			return err
-		}
 		return c.replaceReplica(ctx, out, oldID, id, f)
 	})
 	return cmd
@@ -155,6 +140,9 @@
 // addReplica adds the replica unless it is a member already: the answer to an earlier call may have
 // been lost.
 func (c *Client) addReplica(ctx context.Context, out io.Writer, id uint64, f addedReplicaFlags) error {
+	if f.address == "" {
+		return usageError("--address is needed")
+	}
 	known, err := c.replicaMember(ctx, id)
 	if err != nil {
 		return err
--- a/internal/decision/admission/supply.go
+++ b/internal/decision/admission/supply.go
@@ -5,6 +5,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // serverCapacity sums up the servers that can run a request and their backlog.
@@ -50,14 +51,14 @@
 	}
 	age := max(0, (now - server.ReportedAt).Seconds())
 	prefillRate, decodeRate := server.PrefillRate(), server.DecodeRate()
-	if server.Role != decision.RoleDecode {
+	if server.Role != engineapi.RoleDecode {
 		s.prefillRate += prefillRate
 		s.maxPrefillRate = max(s.maxPrefillRate, prefillRate)
 		s.prefillTokens += remaining(float64(load.QueuedPrefillTokens), prefillRate, age) +
 			float64(server.InFlight.PrefillTokensSinceReport)*entries
 	}
 	s.urgentTokens += float64(server.InFlight.UrgentPrefillTokens) * entries
-	if server.Role != decision.RolePrefill {
+	if server.Role != engineapi.RolePrefill {
 		s.decodeRate += decodeRate
 		s.decodeTokens += remaining(float64(load.RunningDecodeTokens), decodeRate, age) +
 			float64(server.InFlight.DecodeTokensSinceReport)*entries
@@ -67,14 +68,14 @@
 // addCountsOnly adds a server that reports only counts. Its estimate covers the requests of
 // all entries, so nothing is multiplied by their number.
 func (s *serverCapacity) addCountsOnly(w *decision.Work, server *decision.Server) {
-	if server.Role != decision.RoleDecode {
+	if server.Role != engineapi.RoleDecode {
 		s.prefillRate += server.PrefillRate()
 		s.maxPrefillRate = max(s.maxPrefillRate, server.PrefillRate())
 		backlog := server.PrefillTokensAhead(w)
 		s.prefillTokens += backlog
 		s.urgentTokens += backlog
 	}
-	if server.Role != decision.RolePrefill {
+	if server.Role != engineapi.RolePrefill {
 		s.decodeRate += server.DecodeRate()
 		s.decodeTokens += float64(server.InFlight.DecodeTokens)
 	}
--- a/internal/decision/admission/throttled.go
+++ b/internal/decision/admission/throttled.go
@@ -6,6 +6,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/queue"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 )
 
@@ -39,7 +40,7 @@
 	for i := range fleet.Servers {
 		s := &fleet.Servers[i]
 		switch {
-		case !s.ServesNowOrLater(w), s.Role == decision.RolePrefill:
+		case !s.ServesNowOrLater(w), s.Role == engineapi.RolePrefill:
 		case s.RateLimit == 0 && s.Usable:
 			return throttledServers{}
 		default:
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Work is one request as the decisions see it. Times are since boot (clock.SinceBoot).
@@ -38,7 +39,7 @@
 	// Prefix is the chain of hashes of the prompt's blocks, salted by member.
 	Prefix []uint64
 	// BlockTokens is the number of tokens of each block in Prefix; nil if every block has
-	// DefaultBlockTokens.
+	// engineapi.BlockTokens.
 	BlockTokens []int
 	// Arrived is the arrival time; FirstTokenBy and FinishBy are the deadlines.
 	Arrived      time.Duration
@@ -72,14 +73,10 @@
 	KVTransferRate float64
 }
 
-// DefaultBlockTokens is the number of prompt tokens that a block of a prefix has unless
-// Work.BlockTokens says otherwise.
-const DefaultBlockTokens = 256
-
 // PrefixTokens returns the number of tokens in the first blocks of Prefix.
 func (w *Work) PrefixTokens(blocks int) int {
 	if w.BlockTokens == nil {
-		return blocks * DefaultBlockTokens
+		return blocks * engineapi.BlockTokens
 	}
 	sum := 0
 	for _, n := range w.BlockTokens[:blocks] {
@@ -88,50 +85,6 @@
 	return sum
 }
 
-// Role is the part of the work that an engine does: prefill, decode or both.
-type Role string
-
-// Roles of an engine.
-const (
-	RolePrefill Role = "prefill"
-	RoleDecode  Role = "decode"
-	RoleMixed   Role = "mixed"
-)
-
-// ServerState is the state that a backend server reports.
-type ServerState string
-
-// States of a backend server.
-const (
-	StateServing  ServerState = "serving"
-	StateLeaving  ServerState = "leaving"
-	StateChanging ServerState = "changing"
-)
-
-// Load is the load that a backend server reports.
-type Load struct {
-	Running             uint32
-	Queued              uint32
-	QueuedPrefillTokens uint64
-	RunningDecodeTokens uint64
-	PrefillRate         float64
-	DecodeRate          float64
-	CacheUsed           float64
-	// KVTokens is the capacity of the KV cache in tokens, KVUsed how many of them running and
-	// queued requests reserve. If KVTokens is zero, it is unknown.
-	KVTokens uint64
-	KVUsed   uint64
-	// Age is how long before the report the load was measured, in whole milliseconds.
-	Age time.Duration
-}
-
-// CacheEvent reports that a server stored a block of a prompt prefix in its cache, or evicted
-// it. Hash is the block's element of Work.Prefix.
-type CacheEvent struct {
-	Hash    uint64
-	Dropped bool
-}
-
 // Server is one backend server as the decisions see it.
 type Server struct {
 	ID          string
@@ -143,7 +96,7 @@
 	Services []string
 	Model    string
 	Adapters []string
-	Role     Role
+	Role     engineapi.Role
 	// PreferredByOtherGroup is set if the server is assigned to another group of entries, which
 	// sends its requests there first. What that group has sent in the last moments is not in
 	// the reported backlog yet.
@@ -178,7 +131,7 @@
 	PrefillOverheadSeconds float64
 	// Load is the server's last report. ReportedAt is the time it describes, since boot, with
 	// the reporting lag subtracted.
-	Load       Load
+	Load       engineapi.Load
 	ReportedAt time.Duration
 	// InFlight is what this entry has sent to the server and not seen finished.
 	InFlight InFlight
--- a/internal/decision/placement/cost.go
+++ b/internal/decision/placement/cost.go
@@ -5,6 +5,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // equalCostTolerance is the relative difference up to which costs count as equal.
@@ -85,7 +86,7 @@
 	if server.ReportsCountsOnly && w.Class == declaration.ClassBulk {
 		prefill *= bulkPrefillWeight
 	}
-	if server.ReportsCountsOnly && server.Role == decision.RoleMixed {
+	if server.ReportsCountsOnly && server.Role == engineapi.RoleMixed {
 		prefill *= 1 + prefillInterference*l.requests
 	}
 	return wait + prefill
@@ -99,7 +100,7 @@
 	occupancy := min(1, max((l.requests+1)/slots, kvMemoryShare(w, server, l)))
 	perToken := slots / max(1, server.DecodeRate()) * (singleStreamStepShare + (1-singleStreamStepShare)*occupancy)
 	slowdown := 1 / max(minFactor, p.limits.aligned[i].factor)
-	if server.Role == decision.RoleMixed {
+	if server.Role == engineapi.RoleMixed {
 		slowdown *= mixedDecodeWeight
 	}
 	if server.ReportsCountsOnly {
--- a/internal/decision/placement/limit.go
+++ b/internal/decision/placement/limit.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Bounds and steps of the factor by which a server's slots are multiplied.
@@ -46,7 +47,7 @@
 // 20 ms, ten tokens of a stream take 90 ms.
 type comparisonGroup struct {
 	kind, pool string
-	role       decision.Role
+	role       engineapi.Role
 }
 
 func groupOf(s *decision.Server) comparisonGroup {
--- a/internal/decision/placement/owner.go
+++ b/internal/decision/placement/owner.go
@@ -7,6 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // ownersPerRole is the number of owners of a prefix among the engines of each role. With two,
@@ -57,7 +58,7 @@
 			continue
 		}
 		h := scoredServer{index: i, score: mixHash(key, xxhash.Sum64String(s.ID)) | 1}
-		if s.Role == decision.RolePrefill {
+		if s.Role == engineapi.RolePrefill {
 			insertByScore(&prefill, h)
 		} else {
 			insertByScore(&others, h)
--- a/internal/decision/placement/placement.go
+++ b/internal/decision/placement/placement.go
@@ -20,6 +20,7 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Choice is the result of a placement decision.
@@ -162,7 +163,7 @@
 // ApplyCacheEvents applies a server's cache events. They arrive late and with gaps. A gap needs
 // no special treatment: a block that is wrongly assumed to be cached costs its prefill and causes
 // no error.
-func (p *Picker) ApplyCacheEvents(now time.Duration, server string, events []decision.CacheEvent) {
+func (p *Picker) ApplyCacheEvents(now time.Duration, server string, events []engineapi.CacheEvent) {
 	for _, e := range events {
 		if e.Dropped {
 			p.cache.removeHolder(server, e.Hash)
--- a/internal/decision/placement/scan.go
+++ b/internal/decision/placement/scan.go
@@ -5,6 +5,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // candidate is a server with its cost in seconds; its index is -1 for none.
@@ -84,11 +85,11 @@
 		return
 	}
 	switch s.server.Role {
-	case decision.RolePrefill:
+	case engineapi.RolePrefill:
 		if s.hasCapacity(prefillOnly) {
 			c.prefill.consider(s.index, s.remotePenalty+s.prefillCost(), requestHash)
 		}
-	case decision.RoleDecode:
+	case engineapi.RoleDecode:
 		if s.hasCapacity(decodeOnly) {
 			c.decode.consider(s.index, s.remotePenalty+s.decodeCost(), requestHash)
 		}
@@ -99,7 +100,7 @@
 
 // evaluateImport considers a server for continuing from imported KV cache.
 func (s *evaluation) evaluateImport(c *candidates, requestHash uint32) {
-	if s.server.Role != decision.RolePrefill && s.hasCapacity(decodeOnly) {
+	if s.server.Role != engineapi.RolePrefill && s.hasCapacity(decodeOnly) {
 		c.singleServer.consider(s.index, s.remotePenalty+s.decodeCost()+s.kvImportTime(), requestHash)
 	}
 }
--- a/internal/decision/rates.go
+++ b/internal/decision/rates.go
@@ -2,6 +2,7 @@
 
 import (
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Rates that are assumed for a server that has not reported any, in tokens per second: those
@@ -20,7 +21,7 @@
 // that reports only counts.
 func (s *Server) PrefillTokensAhead(w *Work) float64 {
 	prefilling := s.EstimatedPeerWaiting + prefillingShare*s.EstimatedPeerRunning
-	if s.Role == RolePrefill {
+	if s.Role == engineapi.RolePrefill {
 		prefilling = s.EstimatedPeerRunning + s.EstimatedPeerWaiting
 	}
 	unreported := (1 - s.PeerCoverage) * prefilling * s.MeanPrefillTokens
@@ -49,7 +50,7 @@
 
 // PrefillRate returns the tokens per second that the server can prefill in its role.
 func (s *Server) PrefillRate() float64 {
-	if s.Role == RoleDecode {
+	if s.Role == engineapi.RoleDecode {
 		return 0
 	}
 	if s.Load.PrefillRate <= 0 {
@@ -61,7 +62,7 @@
 // DecodeRate returns the tokens per second that the server can decode in its role with all
 // slots in use.
 func (s *Server) DecodeRate() float64 {
-	if s.Role == RolePrefill {
+	if s.Role == engineapi.RolePrefill {
 		return 0
 	}
 	if s.Load.DecodeRate <= 0 {
--- a/internal/decision/roles/plan.go
+++ b/internal/decision/roles/plan.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Plan records an observation and returns the role changes to order now, at most as many as the
@@ -108,9 +109,9 @@
 }
 
 // nextChange returns one change from s towards the target.
-func nextChange(s, target Split) (from, to decision.Role, ok bool) {
+func nextChange(s, target Split) (from, to engineapi.Role, ok bool) {
 	diff := [3]int{target.Prefill - s.Prefill, target.Mixed - s.Mixed, target.Decode - s.Decode}
-	roles := [3]decision.Role{decision.RolePrefill, decision.RoleMixed, decision.RoleDecode}
+	roles := [3]engineapi.Role{engineapi.RolePrefill, engineapi.RoleMixed, engineapi.RoleDecode}
 	surplus, shortage := 0, 0
 	for i := range diff {
 		if diff[i] < diff[surplus] {
@@ -125,7 +126,7 @@
 
 // leastPending returns the engine of that role with the fewest pending tokens. Among equals it
 // returns the one that started last, because it has the fewest prompts cached.
-func leastPending(o *Observation, role decision.Role, chosen []Change) *Engine {
+func leastPending(o *Observation, role engineapi.Role, chosen []Change) *Engine {
 	var best *Engine
 	for i := range o.Engines {
 		e := &o.Engines[i]
@@ -139,8 +140,8 @@
 	return best
 }
 
-func sameRole(a, b decision.Role) bool {
-	return a == b || (a == "" && b == decision.RoleMixed)
+func sameRole(a, b engineapi.Role) bool {
+	return a == b || (a == "" && b == engineapi.RoleMixed)
 }
 
 func isChosen(chosen []Change, id string) bool {
--- a/internal/decision/roles/roles.go
+++ b/internal/decision/roles/roles.go
@@ -15,14 +15,15 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Engine is the state of one engine as the control process sees it.
 type Engine struct {
 	ID   string
-	Role decision.Role
+	Role engineapi.Role
 	// TargetRole is the role that the engine is changing to; equal to Role if it is not changing.
-	TargetRole decision.Role
+	TargetRole engineapi.Role
 	// Changing tells that the engine is unavailable during a change of role, version or adapter.
 	Changing bool
 	// Usable is false while the engine is leaving, gone or changing.
@@ -79,7 +80,7 @@
 // Change is a role change to order.
 type Change struct {
 	Engine   string
-	From, To decision.Role
+	From, To engineapi.Role
 	Reason   string
 	Figures  []decision.Figure
 }
--- a/internal/decision/roles/split.go
+++ b/internal/decision/roles/split.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // Split is how many engines have each role.
@@ -18,11 +18,11 @@
 	return max(0, o.Prefill-s.Prefill) + max(0, o.Mixed-s.Mixed) + max(0, o.Decode-s.Decode)
 }
 
-func (s *Split) count(role decision.Role, by int) {
+func (s *Split) count(role engineapi.Role, by int) {
 	switch role {
-	case decision.RolePrefill:
+	case engineapi.RolePrefill:
 		s.Prefill += by
-	case decision.RoleDecode:
+	case engineapi.RoleDecode:
 		s.Decode += by
 	default:
 		s.Mixed += by
--- a/internal/entry/addresses.go
+++ b/internal/entry/addresses.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 const (
@@ -145,22 +147,12 @@
 	return 1
 }
 
-// AnnounceAnswer tells a backend server when and where to announce next, and whether to leave.
-type AnnounceAnswer struct {
-	// Interval is the time until the next announcement.
-	Interval time.Duration
-	// Entries are the caller addresses of the entries to announce to, best first.
-	Entries []string
-	// Leave asks the server to finish its requests and leave, since an operator drains it.
-	Leave bool
-}
-
 // AnnounceAnswer tells a backend server which entries to announce to and whether to leave.
 // Rendezvous hashing spreads the servers over the entries and moves few of them when an entry
 // comes or goes.
-func (s *Snapshot) AnnounceAnswer(serverID string) AnnounceAnswer {
-	answer := AnnounceAnswer{
-		Interval: s.announceInterval(), Entries: []string{}, Leave: s.Drained[serverID],
+func (s *Snapshot) AnnounceAnswer(serverID string) engineapi.AnnounceAnswer {
+	answer := engineapi.AnnounceAnswer{
+		IntervalMS: uint32(s.announceInterval().Milliseconds()), Entries: []string{}, Leave: s.Drained[serverID],
 	}
 	for _, e := range s.SelectEntries(serverID, announceFanout, "") {
 		answer.Entries = append(answer.Entries, e.Address)
--- a/internal/entry/announcements.go
+++ b/internal/entry/announcements.go
@@ -1,34 +1,9 @@
 package entry
 
 import (
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
-// Announcement is the report by which a backend server registers with entries.
-type Announcement struct {
-	ID          string
-	Incarnation string
-	// Address is where the server accepts requests, as host:port.
-	Address    string
-	Region     string
-	DataCentre string
-	// Kind is declaration.KindModel or declaration.KindPlain.
-	Kind     string
-	Services []string
-	Model    string
-	Version  string
-	Adapters []string
-	Role     decision.Role
-	State    decision.ServerState
-	Slots    uint32
-	Load     decision.Load
-	// LastOrder is the last order carried out, with its fencing token. RunningOrder is the one
-	// in progress.
-	LastOrder              string
-	LastTerm, LastSequence uint64
-	RunningOrder           string
-}
-
 func (r *Reducer) announced(ev Announced) {
 	a := ev.Announcement
 	s := r.servers.incarnation(a.ID, a.Incarnation)
@@ -45,7 +20,7 @@
 // them.
 const maxPendingServers = 4096
 
-func (t *serverTable) keepPending(a Announcement) {
+func (t *serverTable) keepPending(a engineapi.Announcement) {
 	if _, known := t.pending[a.ID]; known || len(t.pending) < maxPendingServers {
 		t.pending[a.ID] = a
 	}
@@ -64,7 +39,7 @@
 	}
 }
 
-func (r *Reducer) applyServerState(s *server, state decision.ServerState, load decision.Load, hasLoad bool) {
+func (r *Reducer) applyServerState(s *server, state engineapi.State, load engineapi.Load, hasLoad bool) {
 	if state != s.ownState {
 		r.logServer(s, "reported state "+string(state))
 	}
--- a/internal/entry/cachepoll.go
+++ b/internal/entry/cachepoll.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
@@ -34,9 +34,7 @@
 type CacheReported struct {
 	Server      string
 	Incarnation string
-	Events      []decision.CacheEvent
-	// Next is the sequence number of the event that follows.
-	Next uint64
+	Events      engineapi.CacheEvents
 }
 
 func (CacheReported) isEvent() {}
@@ -88,9 +86,9 @@
 // that was overtaken by a later one.
 func (r *Reducer) cacheReported(ev CacheReported) {
 	s := r.servers.incarnation(ev.Server, ev.Incarnation)
-	if s == nil || ev.Next <= s.cache.lastSequence {
+	if s == nil || ev.Events.Next <= s.cache.lastSequence {
 		return
 	}
-	r.decisions.picker.ApplyCacheEvents(r.now, ev.Server, ev.Events)
-	s.cache.lastSequence = ev.Next - 1
+	r.decisions.picker.ApplyCacheEvents(r.now, ev.Server, ev.Events.Events)
+	s.cache.lastSequence = ev.Events.Next - 1
 }
--- a/internal/entry/event.go
+++ b/internal/entry/event.go
@@ -5,6 +5,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/backpressure"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
@@ -23,15 +24,15 @@
 }
 
 // Announced is an announcement by a backend server, already validated.
-type Announced struct{ Announcement Announcement }
+type Announced struct{ Announcement engineapi.Announcement }
 
 // ServerReported is the state that a server reported with a response or a probe.
 type ServerReported struct {
 	Server      string
 	Incarnation string
 	// State is empty if the server reported none.
-	State   decision.ServerState
-	Load    decision.Load
+	State   engineapi.State
+	Load    engineapi.Load
 	HasLoad bool
 	// FromResponse is set if the report came with the response to a request that was sent at
 	// SentAt. Backpressure is what the server said with it about the load that it accepts.
@@ -88,7 +89,7 @@
 )
 
 // RequestArrived is a new request that the declaration allows a member to make. Work.RequestID
-// identifies it among the requests of all members.
+// is its wire id (engineapi.WireID).
 type RequestArrived struct {
 	Work  decision.Work
 	Retry RetryRule
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -6,6 +6,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 	"goldcrestseam.dev/goldcrestseam/internal/wire"
 )
@@ -84,7 +85,7 @@
 		DataCentre: s.pb.DataCentre, Kind: wire.Kind(s.pb.Kind), Services: s.pb.Services,
 		Model: s.pb.Model, Adapters: s.pb.Adapters,
 		// A plain service does all of its work by itself, as a mixed engine does.
-		Role:   cmp.Or(wire.Role(s.pb.Role), decision.RoleMixed),
+		Role:   cmp.Or(wire.Role(s.pb.Role), engineapi.RoleMixed),
 		Usable: usable, Slots: int(s.pb.Slots), Load: r.effectiveLoad(s), ReportedAt: s.reportedAt,
 		ReportsCountsOnly: s.reportsCountsOnly(), EstimatedPeerRunning: running, EstimatedPeerWaiting: waiting,
 		PeerBacklog: r.peers.reports.BacklogAt(r.now, s.pb.Id), PeerCoverage: r.peers.knownFraction(r),
@@ -97,7 +98,7 @@
 func (s *server) reportsCountsOnly() bool { return s.load.PrefillRate == 0 && s.load.DecodeRate == 0 }
 
 // effectiveLoad returns the server's load, with assumed rates if it reports none.
-func (r *Reducer) effectiveLoad(s *server) decision.Load {
+func (r *Reducer) effectiveLoad(s *server) engineapi.Load {
 	load := s.load
 	if s.pb.Kind != pb.ServerKind_SERVER_KIND_MODEL {
 		return load
--- a/internal/entry/liveness.go
+++ b/internal/entry/liveness.go
@@ -5,7 +5,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
@@ -169,7 +169,7 @@
 		if s == nil || at <= s.ownStateAt {
 			continue
 		}
-		s.ownState, s.ownStateAt, s.aliveUnreported = decision.StateServing, at, forward
+		s.ownState, s.ownStateAt, s.aliveUnreported = engineapi.StateServing, at, forward
 		r.sharedFleet = nil
 	}
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -9,6 +9,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 	"goldcrestseam.dev/goldcrestseam/internal/wire"
 )
@@ -30,7 +31,7 @@
 
 // reportBuffer collects what is to be reported to control.
 type reportBuffer struct {
-	announcements map[string]Announcement
+	announcements map[string]engineapi.Announcement
 	sent          sentTable
 	demand        map[demandKey]*pb.Demand
 	deaths        []*pb.ServerDeath
@@ -43,7 +44,7 @@
 
 func newReportBuffer() reportBuffer {
 	return reportBuffer{
-		announcements: make(map[string]Announcement),
+		announcements: make(map[string]engineapi.Announcement),
 		sent:          newSentTable(),
 		demand:        make(map[demandKey]*pb.Demand),
 	}
@@ -51,7 +52,7 @@
 
 // announce keeps the newest announcement of each server. A change of incarnation, state or order
 // makes the report urgent. A server that the view does not show as serving is reported soon.
-func (b *reportBuffer) announce(a Announcement, inView *pb.BackendServer) {
+func (b *reportBuffer) announce(a engineapi.Announcement, inView *pb.BackendServer) {
 	if !b.sent.hasRoom(a) {
 		return
 	}
@@ -124,14 +125,14 @@
 		req.Demand = b.takeDemand(r.now)
 	}
 	r.usage.fill(r.now, req)
-	b.announcements = make(map[string]Announcement)
+	b.announcements = make(map[string]engineapi.Announcement)
 	b.deaths, b.urgent, b.changing, b.lastReportAt = nil, false, false, r.now
 	r.emit(Report{Request: req})
 }
 
 // addAnnouncement reports a server in full, or by a heartbeat if control already has the same
 // announcement.
-func (r *Reducer) addAnnouncement(req *pb.ReportRequest, a Announcement) {
+func (r *Reducer) addAnnouncement(req *pb.ReportRequest, a engineapi.Announcement) {
 	full := toProto(a)
 	var inView *pb.BackendServer
 	if s := r.servers.incarnation(a.ID, a.Incarnation); s != nil {
@@ -170,7 +171,7 @@
 	return keys
 }
 
-func toProto(a Announcement) *pb.Announcement {
+func toProto(a engineapi.Announcement) *pb.Announcement {
 	return &pb.Announcement{
 		Server: &pb.BackendServer{
 			Id: a.ID, Incarnation: a.Incarnation, Address: a.Address, Region: a.Region,
@@ -183,10 +184,10 @@
 			QueuedPrefillTokens: a.Load.QueuedPrefillTokens,
 			RunningDecodeTokens: a.Load.RunningDecodeTokens,
 			PrefillRate:         a.Load.PrefillRate, DecodeRate: a.Load.DecodeRate,
-			CacheUsed: a.Load.CacheUsed, AgeMs: uint32(a.Load.Age.Milliseconds()),
+			CacheUsed: a.Load.CacheUsed, AgeMs: a.Load.AgeMS,
 		},
 		OrderId:        a.LastOrder,
-		OrderToken:     &pb.FencingToken{Term: a.LastTerm, Sequence: a.LastSequence},
+		OrderToken:     wire.TokenProto(a.LastToken),
 		RunningOrderId: a.RunningOrder,
 	}
 }
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -1,8 +1,8 @@
 package entry
 
 import (
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/placement"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 )
 
 // deliveries records which servers have received a request, and how many retries were taken from
@@ -66,7 +66,7 @@
 			d.unusedRetries++
 			continue
 		}
-		if d.unusedRetries < d.retryCost(false) || choice.Server.Role != decision.RoleMixed {
+		if d.unusedRetries < d.retryCost(false) || choice.Server.Role != engineapi.RoleMixed {
 			return false
 		}
 		*choice = placement.Choice{
--- a/internal/entry/sent_announcements.go
+++ b/internal/entry/sent_announcements.go
@@ -3,7 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
@@ -18,7 +18,7 @@
 
 type serverState struct {
 	incarnation string
-	state       decision.ServerState
+	state       engineapi.State
 	order       string
 }
 
@@ -33,14 +33,14 @@
 }
 
 // hasRoom reports whether the server can be tracked.
-func (t *sentTable) hasRoom(a Announcement) bool {
+func (t *sentTable) hasRoom(a engineapi.Announcement) bool {
 	_, known := t.states[a.ID]
 	return known || len(t.states) < maxPendingServers
 }
 
 // observe records the server's announcement and reports whether its incarnation, state or order
 // has changed.
-func (t *sentTable) observe(a Announcement) bool {
+func (t *sentTable) observe(a engineapi.Announcement) bool {
 	next := serverState{a.Incarnation, a.State, a.LastOrder + "/" + a.RunningOrder}
 	changed := t.states[a.ID] != next
 	t.states[a.ID] = next
@@ -82,7 +82,7 @@
 
 // heartbeatSuffices reports whether a heartbeat may replace the announcement: the server is
 // serving by its own report and by the view, and carries out no order.
-func heartbeatSuffices(a Announcement, inView *pb.BackendServer) bool {
+func heartbeatSuffices(a engineapi.Announcement, inView *pb.BackendServer) bool {
 	return inView != nil && inView.GetState() == pb.ServerState_SERVER_STATE_SERVING &&
-		a.State == decision.StateServing && a.RunningOrder == ""
+		a.State == engineapi.StateServing && a.RunningOrder == ""
 }
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -8,6 +8,7 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/backpressure"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/speed"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 )
 
@@ -29,11 +30,11 @@
 	aliveAt time.Duration
 	// ownState is the last state that the server reported itself in this incarnation, ownStateAt
 	// is when.
-	ownState   decision.ServerState
+	ownState   engineapi.State
 	ownStateAt time.Duration
 	// aliveUnreported is set until other entries are told of that state.
 	aliveUnreported bool
-	load            decision.Load
+	load            engineapi.Load
 	reportedAt      time.Duration
 	failures        int
 	coolUntil       time.Duration
@@ -104,7 +105,7 @@
 	// roleAverages holds the average load of servers by role and pool.
 	roleAverages map[roleKey]*decision.FleetAverage
 	// pending keeps the announcements of servers that the view does not contain yet.
-	pending map[string]Announcement
+	pending map[string]engineapi.Announcement
 	// restricted are the servers that accept less than they have slots for, in order of id.
 	restricted []*server
 	ended      endedIncarnations
@@ -112,7 +113,7 @@
 
 func newServerTable() serverTable {
 	return serverTable{
-		byID: make(map[string]*server), roleAverages: make(map[roleKey]*decision.FleetAverage), pending: make(map[string]Announcement),
+		byID: make(map[string]*server), roleAverages: make(map[roleKey]*decision.FleetAverage), pending: make(map[string]engineapi.Announcement),
 	}
 }
 
@@ -184,12 +185,12 @@
 // observeState records the server's own report of its state. A response that was under way when
 // the server began to leave may arrive after the report of leaving, so leaving is never taken
 // back within an incarnation.
-func (s *server) observeState(state decision.ServerState, now time.Duration) {
+func (s *server) observeState(state engineapi.State, now time.Duration) {
 	s.ownState, s.ownStateAt, s.aliveAt, s.aliveUnreported = state, now, now, true
-	if state == decision.StateLeaving {
+	if state == engineapi.StateLeaving {
 		s.markLeaving()
 	}
-	if state == decision.StateServing {
+	if state == engineapi.StateServing {
 		s.failures, s.coolUntil, s.died = 0, 0, false
 	}
 }
@@ -202,8 +203,8 @@
 }
 
 // setLoad applies a load report and drops the work that was sent before the load was measured.
-func (s *server) setLoad(load decision.Load, now time.Duration) {
-	at := now - load.Age
+func (s *server) setLoad(load engineapi.Load, now time.Duration) {
+	at := now - time.Duration(load.AgeMS)*time.Millisecond
 	if at < s.reportedAt {
 		return
 	}
@@ -254,7 +255,7 @@
 	if s.backpressure.Leaving || s.died || s.pb.Drained || s.pb.State != pb.ServerState_SERVER_STATE_SERVING {
 		return false
 	}
-	if s.ownState == decision.StateChanging || now < s.coolUntil {
+	if s.ownState == engineapi.StateChanging || now < s.coolUntil {
 		return false
 	}
 	if stale {
@@ -264,5 +265,5 @@
 }
 
 func (s *server) confirmed(now time.Duration) bool {
-	return s.ownState == decision.StateServing && now-s.ownStateAt < confirmationTime
+	return s.ownState == engineapi.StateServing && now-s.ownStateAt < confirmationTime
 }
--- a/internal/host/control.go
+++ b/internal/host/control.go
@@ -24,12 +24,6 @@
 	ControlRetryDelay    = 30 * time.Millisecond
 	controlRetryGrowth   = 1.3
 	maxControlRetryDelay = 300 * time.Millisecond
-	// longestRetryDelay is the longest delay after a failed attempt, with its random part.
-	longestRetryDelay = 2 * maxControlRetryDelay
-	// silentRetrySpread bounds the delay after an attempt that took longestRetryDelay or more. With
-	// watchSilenceTimeout it is at most three quarters of the time that a request with a deadline
-	// of 3 s is held for a view in force.
-	silentRetrySpread = 50 * time.Millisecond
 	// avoidSilentFor is how long a replica that did not answer is avoided even if another
 	// replica names it as the leader. It is about the duration of an election.
 	avoidSilentFor = time.Second
@@ -123,37 +117,25 @@
 
 // Call calls fn at the leader, with attemptTimeout for each attempt, until it succeeds, fails
 // with an error that a retry can't resolve, or ctx ends. fn must be idempotent.
+//
+// The delay between attempts grows and is randomized: hundreds of entries that retry at a
+// constant rate would keep overloaded replicas from ever electing a leader.
 func (c *ControlClient) Call(ctx context.Context, attemptTimeout time.Duration, fn func(context.Context, pb.Control) error) error {
-	silentDelay := rand.N(silentRetrySpread)
 	for failures := 0; ; failures++ {
-		sent := time.Now()
 		err := c.attempt(ctx, attemptTimeout, fn)
 		if err == nil || ctx.Err() != nil || isFinal(err) {
 			return err
 		}
+		delay := retryDelay(failures)
+		delay += rand.N(delay)
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(delayAfter(failures, time.Since(sent), silentDelay)):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// delayAfter returns the delay after a failed attempt that took that long.
-//
-// The delay grows and is randomized: hundreds of entries that retry at a constant rate would keep
-// overloaded replicas from ever electing a leader. An attempt that took longer than any such delay
-// has bounded the rate by itself; a further delay would keep requests waiting that the entry holds
-// until its next view. What remains is silentDelay, which is the same for the whole call: entries
-// that lost control at the same moment then move apart faster than by a new random delay each time.
-func delayAfter(failures int, took, silentDelay time.Duration) time.Duration {
-	if took >= longestRetryDelay {
-		return silentDelay
-	}
-	delay := retryDelay(failures)
-	return delay + rand.N(delay)
-}
-
 // retryDelay returns the minimum delay after a failed attempt. failures is the number of
 // attempts that failed before it.
 func retryDelay(failures int) time.Duration {
--- a/internal/host/watch.go
+++ b/internal/host/watch.go
@@ -83,5 +83,12 @@
 	}
 }
 
-// Sleep is clock.Sleep.
-func Sleep(ctx context.Context, d time.Duration) bool { return clock.Sleep(ctx, d) }
+// Sleep waits for d. It returns false if ctx ended first.
+func Sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/admission"
@@ -10,7 +11,6 @@
 	"goldcrestseam.dev/goldcrestseam/internal/decision/queue"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
-	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 // simEntry is one simulated entry: its decisions and its own, delayed view of the engines.
@@ -32,8 +32,8 @@
 	e.fleet = decision.Fleet{Entries: m.scenario.Entries}
 	for _, n := range m.engines {
 		e.fleet.Servers = append(e.fleet.Servers, decision.Server{
-			ID: n.id, Kind: declaration.KindModel, Model: m.scenario.Model, Role: native.Role(n.engine.Role()),
-			Usable: true, Slots: n.engine.Config().Slots, Load: native.Load(n.engine.Load(0)),
+			ID: n.id, Kind: declaration.KindModel, Model: m.scenario.Model, Role: n.engine.Role(),
+			Usable: true, Slots: n.engine.Config().Slots, Load: n.engine.Load(0),
 		})
 	}
 	return e
@@ -44,12 +44,12 @@
 	for i, n := range e.sim.engines {
 		s := &e.fleet.Servers[i]
 		s.Usable = !n.leaving
-		s.Role = native.Role(n.engine.Role())
+		s.Role = n.engine.Role()
 		if n.lost {
 			continue
 		}
-		s.Load = native.Load(n.engine.Load(e.sim.now))
-		s.ReportedAt = e.sim.now - s.Load.Age
+		s.Load = n.engine.Load(e.sim.now)
+		s.ReportedAt = e.sim.now - time.Duration(s.Load.AgeMS)*time.Millisecond
 		e.inFlight[i].ApplyReport(s.ReportedAt)
 		s.InFlight = e.inFlight[i].InFlight
 	}
--- a/internal/policy/sim.go
+++ b/internal/policy/sim.go
@@ -6,8 +6,8 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/decision/roles"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
-	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 // reportEvery is the interval at which the engines' loads reach the entries.
@@ -26,7 +26,7 @@
 	nextEventAt time.Duration // as given by engine.NextEventAt
 	lost        bool
 	leaving     bool // being drained or changing its role
-	targetRole  decision.Role
+	targetRole  engineapi.Role
 	requests    map[string]*simRequest
 }
 
@@ -93,14 +93,14 @@
 	m := &sim{scenario: s, trace: trace, policy: policy, losses: trace.Losses}
 	m.stats.scenario = s
 	for i := range s.Engines {
-		role := decision.RoleMixed
+		role := engineapi.RoleMixed
 		if i < split.Prefill {
-			role = decision.RolePrefill
+			role = engineapi.RolePrefill
 		} else if i >= s.Engines-split.Decode {
-			role = decision.RoleDecode
+			role = engineapi.RoleDecode
 		}
 		n := &simEngine{id: fmt.Sprintf("engine-%d", i), nextEventAt: enginemodel.Never, requests: make(map[string]*simRequest)}
-		n.engine = enginemodel.New(0, enginemodel.Config{RoleChangeTime: s.Roles.ChangeTime}, native.EngineRole(role))
+		n.engine = enginemodel.New(0, enginemodel.Config{RoleChangeTime: s.Roles.ChangeTime}, role)
 		m.engines = append(m.engines, n)
 	}
 	for i := range s.Entries {
@@ -162,7 +162,7 @@
 func (m *sim) tick() {
 	for i, n := range m.engines {
 		m.advance(i)
-		if n.leaving && !n.lost && !n.engine.ChangingRole() && native.Role(n.engine.Role()) == n.targetRole {
+		if n.leaving && !n.lost && !n.engine.ChangingRole() && n.engine.Role() == n.targetRole {
 			n.leaving = false
 		}
 	}
@@ -218,7 +218,7 @@
 		}
 		l := n.engine.Load(m.now)
 		o.Engines = append(o.Engines, roles.Engine{
-			ID: n.id, Role: native.Role(n.engine.Role()), TargetRole: n.targetRole, Changing: n.leaving, Usable: !n.leaving,
+			ID: n.id, Role: n.engine.Role(), TargetRole: n.targetRole, Changing: n.leaving, Usable: !n.leaving,
 			PendingTokens: float64(l.QueuedPrefillTokens) + decision.OutputTokenCost*float64(l.RunningDecodeTokens),
 		})
 	}
@@ -234,7 +234,7 @@
 		m.advance(i)
 		n.leaving, n.targetRole = true, c.To
 		m.requeueAll(i, true)
-		if err := n.engine.SetRole(m.now, native.EngineRole(c.To)); err != nil {
+		if err := n.engine.SetRole(m.now, c.To); err != nil {
 			panic(err) // cannot happen: the engine has no requests left
 		}
 		n.nextEventAt = n.engine.NextEventAt()
--- a/internal/policy/trace.go
+++ b/internal/policy/trace.go
@@ -8,6 +8,7 @@
 
 	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/enginemodel"
 )
 
@@ -255,7 +256,7 @@
 // member to the service, the rest is unique. Only two blocks of the rest are kept, because a
 // block that no other request has is never found in a cache.
 func (g *generator) prefix(w *decision.Work, shared int) []uint64 {
-	blocks := min(w.PromptTokens/decision.DefaultBlockTokens, shared+2)
+	blocks := min(w.PromptTokens/engineapi.BlockTokens, shared+2)
 	chain := make([]uint64, blocks)
 	hash := uint64(len(w.Member))
 	for _, c := range []byte(w.Member + w.Service) {
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
 	"goldcrestseam.dev/goldcrestseam/internal/declaration"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
 )
 
@@ -32,7 +32,7 @@
 		s.host.Post(entry.ProbeFailed{Server: p.Server, Incarnation: p.Incarnation})
 		return
 	}
-	s.host.Post(entry.ServerReported{Server: p.Server, Incarnation: p.Incarnation, State: decision.StateServing})
+	s.host.Post(entry.ServerReported{Server: p.Server, Incarnation: p.Incarnation, State: engineapi.StateServing})
 }
 
 // serviceOf returns a service that the probed server runs, or nil.
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/clock"
-	"goldcrestseam.dev/goldcrestseam/internal/decision"
+	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
 )
 
@@ -70,8 +70,8 @@
 	}
 	report := entry.ServerReported{Server: server, Incarnation: incarnation, FromResponse: true, SentAt: sent, Backpressure: status.Backpressure}
 	if status.HasLoad {
-		report.State, report.HasLoad = decision.StateServing, true
-		report.Load = decision.Load{Running: uint32(status.Running), Queued: uint32(status.Queued)}
+		report.State, report.HasLoad = engineapi.StateServing, true
+		report.Load = engineapi.Load{Running: uint32(status.Running), Queued: uint32(status.Queued)}
 	}
 	j.s.host.Post(report)
 }
--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -115,7 +115,7 @@
 		return nil, unreadableFile(path)
 	}
 	s.check(file)
-	s.ApplyControlPort()
+	s.applyControlPort()
 	s.deriveBootstrap()
 	return s, file.Findings()
 }
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -111,7 +111,7 @@
 		return nil, unreadableFile(path)
 	}
 	s.check(file)
-	s.ApplyControlPort()
+	s.applyControlPort()
 	return s, file.Findings()
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -133,8 +133,8 @@
 
 const maxPort = 1<<16 - 1
 
-// ApplyControlPort replaces the ports of the control replicas' addresses by ControlPort.
-func (s *Common) ApplyControlPort() {
+// applyControlPort replaces the ports of the control replicas' addresses by ControlPort.
+func (s *Common) applyControlPort() {
 	if s.ControlPort == 0 {
 		return
 	}
--- a/internal/testbed/measure/latency.go
+++ b/internal/testbed/measure/latency.go
@@ -7,9 +7,11 @@
 	"encoding/json"
 	"math/rand/v2"
 	"net/http"
+	"strconv"
 	"strings"
 	"time"
 
+	"github.com/google/uuid"
 	"github.com/sourcegraph/conc"
 
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
@@ -77,8 +79,14 @@
 }
 
 func (t *target) measurePair(ctx context.Context, rng *rand.Rand, n int, direct, entry *streamTimes) {
-	entryRequest := t.completion(rng, n, t.bed.Entries[n%len(t.bed.Entries)].Address, latencyPromptTokens, latencyOutputTokens)
-	engineRequest := t.completion(rng, n, "", latencyPromptTokens, latencyOutputTokens)
+	newCompletion := func() caller.Completion {
+		return caller.Completion{
+			ID: uuid.NewString(), Service: t.service, MaxTokens: latencyOutputTokens, Seed: rng.Uint64() >> 12,
+			Prompt: workload.Prompt(t.member, "overhead", strconv.Itoa(n), 0, latencyPromptTokens, rng),
+		}
+	}
+	entryRequest, engineRequest := newCompletion(), newCompletion()
+	entryRequest.Entry = t.bed.Entries[n%len(t.bed.Entries)].Address
 	engine := t.bed.Engines[n%len(t.bed.Engines)].Address
 	var wg conc.WaitGroup
 	wg.Go(func() { entry.add(t.caller.Complete(ctx, entryRequest)) })
--- a/internal/traffic/effects.go
+++ b/internal/traffic/effects.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
-	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 const (
@@ -28,9 +27,7 @@
 func (s *Server) pollCache(p entry.PollCache) {
 	events, ok := s.engines.cacheEvents(p.Address, p.After)
 	if ok {
-		s.host.Post(entry.CacheReported{
-			Server: p.Server, Incarnation: p.Incarnation, Events: native.CacheEvents(events.Events), Next: events.Next,
-		})
+		s.host.Post(entry.CacheReported{Server: p.Server, Incarnation: p.Incarnation, Events: events})
 	}
 }
 
@@ -41,7 +38,7 @@
 		return
 	}
 	s.host.Post(entry.ServerReported{
-		Server: health.ID, Incarnation: health.Incarnation, State: native.State(health.State),
-		Load: native.Load(health.Load), HasLoad: true,
+		Server: health.ID, Incarnation: health.Incarnation, State: health.State,
+		Load: health.Load, HasLoad: true,
 	})
 }
--- a/internal/traffic/entries.go
+++ b/internal/traffic/entries.go
@@ -12,7 +12,6 @@
 	"goldcrestseam.dev/goldcrestseam/internal/engineapi"
 	"goldcrestseam.dev/goldcrestseam/internal/entry"
 	"goldcrestseam.dev/goldcrestseam/internal/outcome"
-	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 const (
@@ -78,23 +77,9 @@
 	if problem := checkAnnouncement(&a); problem != "" {
 		return invalid(problem)
 	}
-	s.host.Post(entry.Announced{Announcement: reducerAnnouncement(&a)})
+	s.host.Post(entry.Announced{Announcement: a})
 	s.setCommonHeaders(c, outcome.Ran)
-	answer := s.host.Snapshot().AnnounceAnswer(a.ID)
-	return c.JSON(engineapi.AnnounceAnswer{
-		IntervalMS: uint32(answer.Interval.Milliseconds()), Entries: answer.Entries, Leave: answer.Leave,
-	})
-}
-
-// reducerAnnouncement converts an announcement for the reducer.
-func reducerAnnouncement(a *engineapi.Announcement) entry.Announcement {
-	return entry.Announcement{
-		ID: a.ID, Incarnation: a.Incarnation, Address: a.Address, Region: a.Region, DataCentre: a.DataCentre,
-		Kind: a.Kind, Services: a.Services, Model: a.Model, Version: a.Version, Adapters: a.Adapters,
-		Role: native.Role(a.Role), State: native.State(a.State), Slots: a.Slots, Load: native.Load(a.Load),
-		LastOrder: a.LastOrder, LastTerm: a.LastToken.Term, LastSequence: a.LastToken.Sequence,
-		RunningOrder: a.RunningOrder,
-	}
+	return c.JSON(s.host.Snapshot().AnnounceAnswer(a.ID))
 }
 
 // checkAnnouncement validates an announcement. It returns a description of the
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -18,7 +18,6 @@
 	"goldcrestseam.dev/goldcrestseam/internal/host"
 	"goldcrestseam.dev/goldcrestseam/internal/rpc/pb"
 	"goldcrestseam.dev/goldcrestseam/internal/settings"
-	"goldcrestseam.dev/goldcrestseam/internal/wire/native"
 )
 
 // Failed is the error type for an entry that cannot start.
@@ -136,7 +135,7 @@
 		return
 	}
 	s.host.Post(entry.ServerReported{
-		Server: server, Incarnation: incarnation, State: native.State(status.state), Load: native.Load(status.load), HasLoad: status.hasLoad,
+		Server: server, Incarnation: incarnation, State: status.state, Load: status.load, HasLoad: status.hasLoad,
 		FromResponse: true, SentAt: status.sentAt, Backpressure: status.backpressure,
 	})
 }
